--- a/GNUmakefile
+++ b/GNUmakefile
@@ -1,12 +1,15 @@
-# The targets are plain: build, test, lint, demo, soak, bench, capacity, fuzz, policy.
+# The targets are plain: build, test, tools, lint, demo, soak, bench, capacity, fuzz, policy.
 VERSION := $(shell cat version.txt)
 BIN := $(CURDIR)/bin
 TOOLS := $(CURDIR)/.tools
 LINT := $(TOOLS)/golangci-lint
 LINT_VERSION := v2.15.0
+GOPLS := $(TOOLS)/gopls
+# Newer versions need a newer Go.
+GOPLS_VERSION := v0.23.0
 MODULES := core daemon platform soak
 
-.PHONY: all build test lint fmt demo soak bench capacity policy fuzz clean
+.PHONY: all build test tools lint fmt demo soak bench capacity policy fuzz clean
 
 all: build
 
@@ -25,6 +28,11 @@
 $(LINT):
 	GOBIN=$(TOOLS) GOWORK=off go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
 
+$(GOPLS):
+	GOBIN=$(TOOLS) GOWORK=off go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
+tools: $(LINT) $(GOPLS)
+
 lint: $(LINT)
 	for m in $(MODULES); do (cd $$m && $(LINT) run --allow-parallel-runners --config $(CURDIR)/.golangci.yml ./...) || exit 1; done
 
