--- a/core/tally/tally.go
+++ b/core/aggregation/aggregation.go
@@ -1,4 +1,4 @@
-// Package tally adds up, over all daemons, what each of them sees: how much
+// Package aggregation adds up, over all daemons, what each of them sees: how much
 // each organisation asks for, how well each version answers, and which table
 // generation is in force.
 //
@@ -8,7 +8,7 @@
 // number of organisations and versions, and not on the number of daemons.
 // Figures are cumulative or levels, never differences: a lost or doubled
 // message does no harm.
-package tally
+package aggregation
 
 import (
 	"cmp"
--- a/core/tally/tally_test.go
+++ b/core/aggregation/aggregation_test.go
@@ -1,4 +1,4 @@
-package tally_test
+package aggregation_test
 
 import (
 	"slices"
@@ -10,16 +10,16 @@
 
 	_ "ladderridge.example/core/fixedseed"
 
-	"ladderridge.example/core/tally"
+	"ladderridge.example/core/aggregation"
 )
 
-func drawSums(t *rapid.T) tally.Sums {
-	s := tally.Sums{Daemons: 1, Set: rapid.Uint64().Draw(t, "set"), Oldest: rapid.Uint64Range(1, 9).Draw(t, "oldest")}
+func drawSums(t *rapid.T) aggregation.Sums {
+	s := aggregation.Sums{Daemons: 1, Set: rapid.Uint64().Draw(t, "set"), Oldest: rapid.Uint64Range(1, 9).Draw(t, "oldest")}
 	keys := rapid.SliceOfDistinct(rapid.Uint32Range(0, 6), func(k uint32) uint32 { return k }).Draw(t, "keys")
 	slices.Sort(keys)
 	for _, k := range keys {
-		s.Demands = append(s.Demands, tally.Demand{Key: tally.Key(k), InFlight: rapid.Uint32Range(0, 9).Draw(t, "in flight")})
-		s.Evidence = append(s.Evidence, tally.Evidence{Key: tally.Key(k), Answers: rapid.Uint64Range(0, 9).Draw(t, "answers")})
+		s.Demands = append(s.Demands, aggregation.Demand{Key: aggregation.Key(k), InFlight: rapid.Uint32Range(0, 9).Draw(t, "in flight")})
+		s.Evidence = append(s.Evidence, aggregation.Evidence{Key: aggregation.Key(k), Answers: rapid.Uint64Range(0, 9).Draw(t, "answers")})
 	}
 	return s
 }
@@ -32,7 +32,7 @@
 		if diff := cmp.Diff(left, right); diff != "" {
 			t.Fatal(diff)
 		}
-		for k := range tally.Key(7) {
+		for k := range aggregation.Key(7) {
 			want := a.Demand(k).InFlight + b.Demand(k).InFlight + c.Demand(k).InFlight
 			if got := left.Demand(k).InFlight; got != want {
 				t.Fatalf("key %d has %d in flight, want %d", k, got, want)
@@ -43,25 +43,25 @@
 
 func TestSilentChildrenAndHallsNoLongerCount(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	tree := tally.NewTree()
-	tree.Child("b", tally.Sums{Daemons: 3}, now)
-	own := tally.Sums{Daemons: 1}
+	tree := aggregation.NewTree()
+	tree.Child("b", aggregation.Sums{Daemons: 3}, now)
+	own := aggregation.Sums{Daemons: 1}
 	if got := tree.Sum(own, []string{"b"}, now).Daemons; got != 4 {
 		t.Errorf("%d daemons, want 4", got)
 	}
-	if got := tree.Sum(own, []string{"b"}, now.Add(tally.StaleAfter+time.Second)).Daemons; got != 1 {
+	if got := tree.Sum(own, []string{"b"}, now.Add(aggregation.StaleAfter+time.Second)).Daemons; got != 1 {
 		t.Errorf("with a silent child %d daemons, want 1", got)
 	}
-	other := tally.Status{Name: "other", Round: 2, AgeMS: 1000}
-	tree.Learn(tally.Hall{Status: other, Sums: tally.Sums{Daemons: 5}}, now)
-	tree.Root(tally.Hall{Status: tally.Status{Name: "own"}}, now)
+	other := aggregation.Status{Name: "other", Round: 2, AgeMS: 1000}
+	tree.Learn(aggregation.Hall{Status: other, Sums: aggregation.Sums{Daemons: 5}}, now)
+	tree.Root(aggregation.Hall{Status: aggregation.Status{Name: "own"}}, now)
 	if totals, fresh := tree.Totals(now); !fresh || totals.FreshOthers != 1 || totals.Others.Daemons != 5 {
 		t.Errorf("got %+v, fresh %v", totals, fresh)
 	}
 	other.Round, other.AgeMS = 1, 0
-	tree.Learn(tally.Hall{Status: other}, now.Add(time.Second))
-	later := now.Add(tally.StaleAfter)
-	tree.Root(tally.Hall{Status: tally.Status{Name: "own"}}, later)
+	tree.Learn(aggregation.Hall{Status: other}, now.Add(time.Second))
+	later := now.Add(aggregation.StaleAfter)
+	tree.Root(aggregation.Hall{Status: aggregation.Status{Name: "own"}}, later)
 	if totals, _ := tree.Totals(later); totals.FreshOthers != 0 {
 		t.Error("an old round made a silent data hall fresh again")
 	}
--- a/core/sizing/sizing.go
+++ b/core/autoscaling/autoscaling.go
@@ -1,4 +1,4 @@
-// Package sizing decides how many backend servers of a service stand in each data hall,
+// Package autoscaling decides how many backend servers of a service stand in each data hall,
 // where the platform starts and ends them by order.
 //
 // The load that it answers is one that rises within seconds, by half or more, while a server
@@ -7,7 +7,7 @@
 // grows both with the requests and with how long each takes; it is lowered by the peak of a
 // while, so that a wave does not end servers that the next one needs. Spot servers are spread
 // so that the others carry everything when any one hall's are taken back.
-package sizing
+package autoscaling
 
 import (
 	"math"
--- a/core/sizing/sizing_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -1,10 +1,10 @@
-package sizing_test
+package autoscaling_test
 
 import (
 	"testing"
 	"time"
 
-	"ladderridge.example/core/sizing"
+	"ladderridge.example/core/autoscaling"
 )
 
 // site is a provider of servers in three halls, as far as the decision sees it. Its time moves
@@ -12,14 +12,14 @@
 type site struct {
 	now     time.Time
 	halls   []string
-	places  map[sizing.Place]*stock
+	places  map[autoscaling.Place]*stock
 	emptied map[string]bool
 	dry     map[string]bool
-	demand  sizing.Demand
-	stands  sizing.Stand
+	demand  autoscaling.Demand
+	stands  autoscaling.Stand
 	planned int
 	ended   time.Time
-	terms   sizing.Terms
+	terms   autoscaling.Terms
 	// given are the orders that were carried out.
 	given int
 	// lateBy is how much later than it is given an order is carried out.
@@ -46,12 +46,12 @@
 
 func newSite(each int) *site {
 	s := &site{
-		now: time.Unix(1000, 0), halls: []string{"a", "b", "c"}, places: map[sizing.Place]*stock{}, emptied: map[string]bool{}, dry: map[string]bool{},
-		terms: sizing.Terms{Least: 1, Most: 40, Boot: boot, SpotPrice: 0.2},
+		now: time.Unix(1000, 0), halls: []string{"a", "b", "c"}, places: map[autoscaling.Place]*stock{}, emptied: map[string]bool{}, dry: map[string]bool{},
+		terms: autoscaling.Terms{Least: 1, Most: 40, Boot: boot, SpotPrice: 0.2},
 	}
 	for _, hall := range s.halls {
-		s.places[sizing.Place{Hall: hall, Kind: sizing.Regular}] = &stock{serving: each}
-		s.places[sizing.Place{Hall: hall, Kind: sizing.Spot}] = &stock{}
+		s.places[autoscaling.Place{Hall: hall, Kind: autoscaling.Regular}] = &stock{serving: each}
+		s.places[autoscaling.Place{Hall: hall, Kind: autoscaling.Spot}] = &stock{}
 	}
 	return s
 }
@@ -62,7 +62,7 @@
 		s.start()
 		s.demand.Note(work, s.now)
 		in := s.input()
-		for _, o := range sizing.Decide(in) {
+		for _, o := range autoscaling.Decide(in) {
 			s.carryOut(o)
 			s.planned = in.Need()
 		}
@@ -84,9 +84,9 @@
 	}
 }
 
-func (s *site) carryOut(o sizing.Order) {
+func (s *site) carryOut(o autoscaling.Order) {
 	at := s.places[o.Place]
-	if o.Place.Kind == sizing.Spot && s.dry[o.Place.Hall] {
+	if o.Place.Kind == autoscaling.Spot && s.dry[o.Place.Hall] {
 		at.none, at.asked = s.now.Add(2*time.Second), false
 		return
 	}
@@ -102,8 +102,8 @@
 	at.serving = min(at.serving, o.Count)
 }
 
-func (s *site) input() sizing.Input {
-	in := sizing.Input{Now: s.now, Terms: s.terms, Halls: s.halls, Emptied: s.emptied, Slots: slots, Planned: s.planned, EndedAt: s.ended, Places: map[sizing.Place]sizing.Standing{}}
+func (s *site) input() autoscaling.Input {
+	in := autoscaling.Input{Now: s.now, Terms: s.terms, Halls: s.halls, Emptied: s.emptied, Slots: slots, Planned: s.planned, EndedAt: s.ended, Places: map[autoscaling.Place]autoscaling.Standing{}}
 	standing := 0
 	for p, at := range s.places {
 		at.most = max(at.most, at.serving)
@@ -114,7 +114,7 @@
 			at.short = s.now
 		}
 		standing += at.serving
-		in.Places[p] = sizing.Standing{
+		in.Places[p] = autoscaling.Standing{
 			Serving: at.serving, Warm: at.serving, Ordered: at.ordered, Asked: at.asked, Short: at.short,
 			Lost: at.asked && at.serving < min(at.most, at.ordered), None: s.now.Before(at.none),
 		}
@@ -128,11 +128,11 @@
 // reclaim takes all spot servers of a hall back; for a while there are no others.
 func (s *site) reclaim(hall string) {
 	s.dry[hall] = true
-	s.places[sizing.Place{Hall: hall, Kind: sizing.Spot}].serving = 0
+	s.places[autoscaling.Place{Hall: hall, Kind: autoscaling.Spot}].serving = 0
 }
 
 // serving counts servers of a kind, in one hall or in all.
-func (s *site) serving(kind sizing.Kind, halls ...string) int {
+func (s *site) serving(kind autoscaling.Kind, halls ...string) int {
 	sum := 0
 	for p, at := range s.places {
 		if p.Kind == kind && (len(halls) == 0 || p.Hall == halls[0]) && !s.emptied[p.Hall] {
@@ -142,7 +142,7 @@
 	return sum
 }
 
-func (s *site) all() int { return s.serving(sizing.Regular) + s.serving(sizing.Spot) }
+func (s *site) all() int { return s.serving(autoscaling.Regular) + s.serving(autoscaling.Spot) }
 
 // Servers of a site that starts are listed one after the other. The first three were taken for
 // all of them, and the rest was ended before anybody called.
@@ -162,11 +162,11 @@
 func TestSpotServersTakeThePlaceOfDearOnes(t *testing.T) {
 	s := newSite(20)
 	s.run(15*time.Second, 0)
-	if n := s.serving(sizing.Regular); n > 0 {
+	if n := s.serving(autoscaling.Regular); n > 0 {
 		t.Errorf("%d dear servers stand", n)
 	}
 	for _, hall := range s.halls {
-		if n := s.serving(sizing.Spot, hall); n != 20 {
+		if n := s.serving(autoscaling.Spot, hall); n != 20 {
 			t.Errorf("%d spot servers in %s: any two halls are to carry what any two did", n, hall)
 		}
 	}
@@ -176,10 +176,10 @@
 	s := newSite(20)
 	s.terms.SpotPrice = 1
 	s.run(30*time.Second, 500)
-	if n := s.serving(sizing.Spot); n > 0 {
+	if n := s.serving(autoscaling.Spot); n > 0 {
 		t.Errorf("%d spot servers", n)
 	}
-	if n := s.serving(sizing.Regular); n == 0 || n >= 60 {
+	if n := s.serving(autoscaling.Regular); n == 0 || n >= 60 {
 		t.Errorf("%d servers carry what eight can", n)
 	}
 }
@@ -231,11 +231,11 @@
 		s.run(10*time.Second, 1500)
 		s.dry[hall] = false
 		s.run(15*time.Second, 1500)
-		if n := s.serving(sizing.Spot, hall); n == 0 {
+		if n := s.serving(autoscaling.Spot, hall); n == 0 {
 			t.Errorf("nothing stands in %s again", hall)
 		}
 	}
-	if n := s.serving(sizing.Regular); n > 0 {
+	if n := s.serving(autoscaling.Regular); n > 0 {
 		t.Errorf("%d dear servers", n)
 	}
 }
@@ -261,12 +261,12 @@
 		s.reclaim(hall)
 	}
 	s.run(8*time.Second, 1500)
-	if n := s.serving(sizing.Regular); n*slots < 1500 {
+	if n := s.serving(autoscaling.Regular); n*slots < 1500 {
 		t.Errorf("%d servers", n)
 	}
 	clear(s.dry)
 	s.run(60*time.Second, 1500)
-	if n := s.serving(sizing.Regular); n > 0 {
+	if n := s.serving(autoscaling.Regular); n > 0 {
 		t.Errorf("%d dear servers still stand", n)
 	}
 }
@@ -288,7 +288,7 @@
 	s.run(15*time.Second, 0)
 	s.run(30*time.Second, 2500)
 	stood := s.all()
-	s.demand, s.stands = sizing.Demand{}, sizing.Stand{}
+	s.demand, s.stands = autoscaling.Demand{}, autoscaling.Stand{}
 	s.run(15*time.Second, 50)
 	if n := s.all(); n < stood*2/3 {
 		t.Errorf("%d servers of %d are left to a new holder", n, stood)
@@ -301,10 +301,10 @@
 	in := newSite(20).input()
 	in.Known, in.Settled, in.Peak = true, true, 4000
 	for _, hall := range in.Halls {
-		in.Places[sizing.Place{Hall: hall, Kind: sizing.Spot}] = sizing.Standing{None: true}
-		in.Places[sizing.Place{Hall: hall, Kind: sizing.Regular}] = sizing.Standing{Serving: 20, Warm: 20, Asked: true}
+		in.Places[autoscaling.Place{Hall: hall, Kind: autoscaling.Spot}] = autoscaling.Standing{None: true}
+		in.Places[autoscaling.Place{Hall: hall, Kind: autoscaling.Regular}] = autoscaling.Standing{Serving: 20, Warm: 20, Asked: true}
 	}
-	for _, o := range sizing.Decide(in) {
+	for _, o := range autoscaling.Decide(in) {
 		if o.Count < 20 {
 			t.Errorf("%+v", o)
 		}
@@ -314,9 +314,9 @@
 func TestBoundOfAHallHoldsForAllThatStandsThere(t *testing.T) {
 	in := newSite(20).input()
 	in.Known, in.Settled, in.Peak = true, true, 20000
-	in.Places[sizing.Place{Hall: "a", Kind: sizing.Regular}] = sizing.Standing{Serving: 10, Warm: 10, Coming: 20}
-	for _, o := range sizing.Decide(in) {
-		if o.Place.Hall == "a" && o.Place.Kind == sizing.Spot && o.Count > 10 {
+	in.Places[autoscaling.Place{Hall: "a", Kind: autoscaling.Regular}] = autoscaling.Standing{Serving: 10, Warm: 10, Coming: 20}
+	for _, o := range autoscaling.Decide(in) {
+		if o.Place.Hall == "a" && o.Place.Kind == autoscaling.Spot && o.Count > 10 {
 			t.Errorf("%+v: 30 stand there, and 40 may", o)
 		}
 	}
@@ -324,8 +324,8 @@
 
 func TestServicesWithoutTermsGetNoOrders(t *testing.T) {
 	in := newSite(20).input()
-	in.Terms, in.Steady = sizing.Terms{}, true
-	if orders := sizing.Decide(in); len(orders) > 0 {
+	in.Terms, in.Steady = autoscaling.Terms{}, true
+	if orders := autoscaling.Decide(in); len(orders) > 0 {
 		t.Errorf("%+v", orders)
 	}
 }
@@ -335,7 +335,7 @@
 func TestServersOfUnknownSlotsAreLeftAlone(t *testing.T) {
 	in := newSite(20).input()
 	in.Slots, in.Known, in.Settled, in.Peak = 0, true, true, 1500
-	if orders := sizing.Decide(in); len(orders) > 0 {
+	if orders := autoscaling.Decide(in); len(orders) > 0 {
 		t.Errorf("%+v", orders)
 	}
 }
--- a/core/sizing/demand.go
+++ b/core/autoscaling/demand.go
@@ -1,4 +1,4 @@
-package sizing
+package autoscaling
 
 import "time"
 
--- a/core/ladder/ladder.go
+++ b/core/cascade/cascade.go
@@ -1,8 +1,8 @@
-// Package ladder decides which model of a ladder, from the smallest to the
+// Package cascade decides which model of a ladder, from the smallest to the
 // largest, answers a request, and whether a first answer is good enough to be
 // shown, by the model's own confidence in it and by what a larger model can
 // still do for the request.
-package ladder
+package cascade
 
 import (
 	"fmt"
--- a/core/ladder/ladder_test.go
+++ b/core/cascade/cascade_test.go
@@ -1,16 +1,16 @@
-package ladder_test
+package cascade_test
 
 import (
 	"testing"
 	"time"
 
-	"ladderridge.example/core/ladder"
+	"ladderridge.example/core/cascade"
 )
 
 func TestOnlyAnUnsureAnswerOfASmallerModelIsDropped(t *testing.T) {
-	start := ladder.Start(3)
+	start := cascade.Start(3)
 	for _, c := range []struct {
-		step       ladder.Step
+		step       cascade.Step
 		confidence int
 		stated     bool
 		want       bool
@@ -20,9 +20,9 @@
 		{start, 60, true, false},
 		{start, 0, false, false},
 		{start.Up(), 0, true, false},
-		{ladder.Start(1), 0, true, false},
+		{cascade.Start(1), 0, true, false},
 	} {
-		if up := c.step.Escalate(c.confidence, c.stated, ladder.Load{InTime: 1}); up != c.want {
+		if up := c.step.Escalate(c.confidence, c.stated, cascade.Load{InTime: 1}); up != c.want {
 			t.Errorf("%+v: escalates %v", c, up)
 		}
 	}
@@ -34,7 +34,7 @@
 func TestBusyServersLowerTheLine(t *testing.T) {
 	last := 101.0
 	for _, inTime := range []float64{1, 0.99, 0.9, 0.5, 0.1, 0} {
-		line := ladder.Line(ladder.Load{InTime: inTime})
+		line := cascade.Line(cascade.Load{InTime: inTime})
 		if line >= last {
 			t.Errorf("in time with %v: the line is %v after %v", inTime, line, last)
 		}
@@ -43,10 +43,10 @@
 	if last > 0 {
 		t.Errorf("with no hope to be in time answers are dropped below %v", last)
 	}
-	if ladder.Line(ladder.Load{InTime: 1, Waited: 0.5}) >= ladder.Line(ladder.Load{InTime: 1}) {
+	if cascade.Line(cascade.Load{InTime: 1, Waited: 0.5}) >= cascade.Line(cascade.Load{InTime: 1}) {
 		t.Error("what others wait for does not count")
 	}
-	if ladder.Start(3).Escalate(0, true, ladder.Load{InTime: 0}) {
+	if cascade.Start(3).Escalate(0, true, cascade.Load{InTime: 0}) {
 		t.Error("an answer is dropped with no time left")
 	}
 }
@@ -55,15 +55,15 @@
 // factors go.
 func TestWhatARequestHasWaitedCountsBesideTheUsual(t *testing.T) {
 	const objective = 2 * time.Second
-	calm, full := ladder.Waited(100*time.Millisecond, 100*time.Millisecond, objective), ladder.Waited(time.Second, time.Second, objective)
-	begins, over := ladder.Waited(time.Second, 100*time.Millisecond, objective), ladder.Waited(100*time.Millisecond, time.Second, objective)
+	calm, full := cascade.Waited(100*time.Millisecond, 100*time.Millisecond, objective), cascade.Waited(time.Second, time.Second, objective)
+	begins, over := cascade.Waited(time.Second, 100*time.Millisecond, objective), cascade.Waited(100*time.Millisecond, time.Second, objective)
 	if calm != 0.05 || full != 0.5 {
 		t.Errorf("calm %v, full %v", calm, full)
 	}
 	if begins < 3*calm || over > full/3 {
 		t.Errorf("a burst that begins counts %v, one that is over %v", begins, over)
 	}
-	if ladder.Waited(time.Second, 0, objective) != 0 || ladder.Waited(time.Second, time.Second, 0) != 0 {
+	if cascade.Waited(time.Second, 0, objective) != 0 || cascade.Waited(time.Second, time.Second, 0) != 0 {
 		t.Error("what is not known counts")
 	}
 }
@@ -71,15 +71,15 @@
 // What holds other requests up costs as much as they wait: nothing where servers
 // are free, more than any answer gains where they are full.
 func TestHoldingOthersUpCostsWhereTheyWait(t *testing.T) {
-	free := ladder.Load{InTime: 1}
-	delayed := ladder.Load{InTime: 1, Delay: 1}
-	if ladder.Line(delayed) != ladder.Line(free) {
+	free := cascade.Load{InTime: 1}
+	delayed := cascade.Load{InTime: 1, Delay: 1}
+	if cascade.Line(delayed) != cascade.Line(free) {
 		t.Error("it costs something where nothing waits")
 	}
-	last := ladder.Line(free)
+	last := cascade.Line(free)
 	for _, busy := range []float64{0.1, 0.2, 0.4} {
-		line := ladder.Line(ladder.Load{InTime: 1, Waited: busy, Delay: 1})
-		if line >= last || line >= ladder.Line(ladder.Load{InTime: 1, Waited: busy}) {
+		line := cascade.Line(cascade.Load{InTime: 1, Waited: busy, Delay: 1})
+		if line >= last || line >= cascade.Line(cascade.Load{InTime: 1, Waited: busy}) {
 			t.Errorf("busy with %v: the line is %v", busy, line)
 		}
 		last = line
@@ -90,7 +90,7 @@
 }
 
 func TestLoadSaysWhatTheLineFollowsFrom(t *testing.T) {
-	got := ladder.Load{InTime: 1, Waited: 0.1, Delay: 0.5}.String()
+	got := cascade.Load{InTime: 1, Waited: 0.1, Delay: 0.5}.String()
 	if want := "line 40 (in time 1.00, waited 0.10, delays 0.50)"; got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/prompts"
+	"ladderridge.example/core/prefixcache"
 )
 
 // BenchmarkChoose chooses a server for a long prompt of which some have a part: 0.7 us
@@ -16,8 +16,8 @@
 	for _, n := range []int{12, 116, 140} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			servers := pool(n)
-			parts := []prompts.Part{{ID: "policy", Tokens: 12000}, {ID: "own", Tokens: 1000}}
-			prompt := prompts.For("small", parts)
+			parts := []prefixcache.Part{{ID: "policy", Tokens: 12000}, {ID: "own", Tokens: 1000}}
+			prompt := prefixcache.For("small", parts)
 			for i, s := range servers {
 				if i%3 == 0 {
 					s.Load.Prompts.Read(prompt, now)
--- a/core/fleet/crowd_test.go
+++ b/core/fleet/crowd_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/prompts"
+	"ladderridge.example/core/prefixcache"
 )
 
 // crowdFor tells a list of work again and again for a while, and returns when it ended.
@@ -29,7 +29,7 @@
 
 // popular is a prompt that others share.
 func popular() fleet.Want {
-	prompt := prompts.For("small", []prompts.Part{{ID: "policy", Tokens: 3 * fleet.PieceTokens}, {ID: "own", Tokens: 500}})
+	prompt := prefixcache.For("small", []prefixcache.Part{{ID: "policy", Tokens: 3 * fleet.PieceTokens}, {ID: "own", Tokens: 500}})
 	return fleet.Want{Service: "s", Affinity: 42, Prompt: prompt, Piece: 1}
 }
 
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ladderridge.example/core/prompts"
+	"ladderridge.example/core/prefixcache"
 )
 
 // Incarnation is one start of a server. A server that begins again under its id is another
@@ -169,7 +169,7 @@
 	Affinity uint64
 	// Prompt is what the server has to read, and Piece how much of its work a piece
 	// of PieceTokens of it is, with a small request as 1.
-	Prompt prompts.Prompt
+	Prompt prefixcache.Prompt
 	Piece  float64
 	// Hall is preferred while its servers are not much busier than others.
 	Hall string
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/prompts"
+	"ladderridge.example/core/prefixcache"
 )
 
 func pool(n int) []*fleet.Server {
@@ -297,9 +297,9 @@
 // elsewhere, and goes to a server that has read it before to one that has not.
 func TestPromptMovesWhenWaitingCostsMoreThanReading(t *testing.T) {
 	servers := pool(6)
-	parts := []prompts.Part{{ID: "policy", Tokens: 12000}, {ID: "own", Tokens: 1000}}
+	parts := []prefixcache.Part{{ID: "policy", Tokens: 12000}, {ID: "own", Tokens: 1000}}
 	want := func(model string, piece float64) fleet.Want {
-		return fleet.Want{Affinity: 42, Prompt: prompts.For(model, parts), Piece: piece}
+		return fleet.Want{Affinity: 42, Prompt: prefixcache.For(model, parts), Piece: piece}
 	}
 	home := choose(t, servers, want("small", 1))
 	home.Load.Begin(5)
@@ -321,7 +321,7 @@
 			other = s
 		}
 	}
-	other.Load.Prompts.Read(prompts.For("small", parts), now)
+	other.Load.Prompts.Read(prefixcache.For("small", parts), now)
 	other.Load.Begin(2)
 	if s := choose(t, servers, want("small", 1)); s != other {
 		t.Errorf("%s was chosen, %s has read the prompt", s.ID, other.ID)
--- a/core/fleet/load.go
+++ b/core/fleet/load.go
@@ -5,14 +5,14 @@
 	"time"
 
 	"ladderridge.example/core/notice"
-	"ladderridge.example/core/prompts"
+	"ladderridge.example/core/prefixcache"
 )
 
 // Load is what this daemon's requests have seen of a server. It is safe for
 // concurrent use.
 type Load struct {
 	// Prompts is what the server has probably read.
-	Prompts *prompts.Memory
+	Prompts *prefixcache.Memory
 	// Notices is what the server has said of itself in answers.
 	Notices *notice.Held
 
@@ -64,7 +64,7 @@
 // NewLoad returns the load of a server that has served nothing yet. All servers
 // of a data hall share one Hall.
 func NewLoad(hall *Hall) *Load {
-	return &Load{Prompts: prompts.NewMemory(), Notices: &notice.Held{}, slowness: 1, hall: hall}
+	return &Load{Prompts: prefixcache.NewMemory(), Notices: &notice.Held{}, slowness: 1, hall: hall}
 }
 
 // InFlight is the number of this daemon's requests under way there.
--- a/core/relay/relay.go
+++ b/core/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package relay is what daemons tell each other about what the platform's
+// Package gossip is what daemons tell each other about what the platform's
 // store holds: rows by topic, how old the knowledge of them is, and what each
 // daemon has seen of a version that is being rolled out.
-package relay
+package gossip
 
 import (
 	"github.com/cespare/xxhash/v2"
--- a/core/relay/work.go
+++ b/core/gossip/work.go
@@ -1,4 +1,4 @@
-package relay
+package gossip
 
 import "math"
 
--- a/core/pace/pace.go
+++ b/core/latency/latency.go
@@ -1,7 +1,7 @@
-// Package pace predicts how long the first part of an answer takes by how large
+// Package latency predicts how long the first part of an answer takes by how large
 // the request is, from the answers that came before. It tells slow servers and
 // slow versions from slow work, and how likely an answer is in time.
-package pace
+package latency
 
 import (
 	"math"
--- a/core/pace/pace_test.go
+++ b/core/latency/latency_test.go
@@ -1,20 +1,20 @@
-package pace_test
+package latency_test
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"ladderridge.example/core/pace"
+	"ladderridge.example/core/latency"
 )
 
 var now = time.Unix(1000, 0)
 
 // learn gives an estimate answers that take base and each for every unit of
 // their size, which is up to 10, times a factor around 1.
-func learn(n int, base, each time.Duration, noise float64) pace.Estimate {
+func learn(n int, base, each time.Duration, noise float64) latency.Estimate {
 	r := rand.New(rand.NewPCG(1, 1))
-	var e pace.Estimate
+	var e latency.Estimate
 	for range n {
 		size := 10 * r.Float64() * r.Float64()
 		took := float64(base) + size*float64(each)
@@ -68,7 +68,7 @@
 	if got := e.Usual(10, now); !near(got, 100*time.Millisecond) {
 		t.Errorf("expected %v", got)
 	}
-	same := pace.Estimate{}
+	same := latency.Estimate{}
 	for range 20 {
 		same = same.With(0, 50*time.Millisecond, now)
 	}
--- a/core/pace/reference.go
+++ b/core/latency/reference.go
@@ -1,4 +1,4 @@
-package pace
+package latency
 
 import (
 	"math"
--- a/core/pace/reference_test.go
+++ b/core/latency/reference_test.go
@@ -1,4 +1,4 @@
-package pace_test
+package latency_test
 
 import (
 	"math"
@@ -6,25 +6,25 @@
 	"testing"
 	"time"
 
-	"ladderridge.example/core/pace"
+	"ladderridge.example/core/latency"
 )
 
 // took is what a server takes: longer by what it reads and by its load.
-func took(f pace.Features) time.Duration {
+func took(f latency.Features) time.Duration {
 	return time.Duration(float64(20*time.Millisecond) * (1 + f.Own) * (1 + f.Load))
 }
 
 func TestReferenceTellsSlownessFromLoadAndWork(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	var r pace.Reference
-	if r.Relative(pace.Features{}, time.Second) != 0 {
+	var r latency.Reference
+	if r.Relative(latency.Features{}, time.Second) != 0 {
 		t.Error("without answers something is known")
 	}
 	for range 300 {
-		f := pace.Features{Own: 8 * rng.Float64(), Load: float64(2 + rng.IntN(16))}
+		f := latency.Features{Own: 8 * rng.Float64(), Load: float64(2 + rng.IntN(16))}
 		r = r.With(f, time.Duration(float64(took(f))*math.Exp(0.3*rng.NormFloat64())))
 	}
-	for _, f := range []pace.Features{{Own: 0, Load: 4}, {Own: 8, Load: 4}, {Own: 0, Load: 16}, {Own: 4, Load: 8}} {
+	for _, f := range []latency.Features{{Own: 0, Load: 4}, {Own: 8, Load: 4}, {Own: 0, Load: 16}, {Own: 4, Load: 8}} {
 		if relative := r.Relative(f, took(f)); relative < 0.6 || relative > 1.6 {
 			t.Errorf("%+v: a usual time counts as %v", f, relative)
 		}
@@ -39,13 +39,13 @@
 // that have read little is not taken for a slow one.
 func TestReferenceTellsSharedPartsFromOwn(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	var r pace.Reference
+	var r latency.Reference
 	for range 300 {
-		f := pace.Features{Own: 8 * rng.Float64(), Shared: 8 * float64(rng.IntN(2)), Load: 4}
+		f := latency.Features{Own: 8 * rng.Float64(), Shared: 8 * float64(rng.IntN(2)), Load: 4}
 		reads := f.Own + f.Shared/4
 		r = r.With(f, time.Duration(float64(20*time.Millisecond)*(1+reads)))
 	}
-	known, unknown := r.Expected(pace.Features{Own: 2, Load: 4}), r.Expected(pace.Features{Own: 2, Shared: 8, Load: 4})
+	known, unknown := r.Expected(latency.Features{Own: 2, Load: 4}), r.Expected(latency.Features{Own: 2, Shared: 8, Load: 4})
 	if unknown < 1.2*known || unknown > 2.5*known {
 		t.Errorf("%.3f s if its shared parts were sent there, %.3f s if not", known, unknown)
 	}
@@ -53,25 +53,25 @@
 
 // Features that never differ, as where servers do not tell their load, do no harm.
 func TestReferenceWithoutFeatures(t *testing.T) {
-	var r pace.Reference
+	var r latency.Reference
 	for range 20 {
-		r = r.With(pace.Features{}, 50*time.Millisecond)
+		r = r.With(latency.Features{}, 50*time.Millisecond)
 	}
-	if relative := r.Relative(pace.Features{}, 100*time.Millisecond); relative < 1.9 || relative > 2.1 {
+	if relative := r.Relative(latency.Features{}, 100*time.Millisecond); relative < 1.9 || relative > 2.1 {
 		t.Errorf("twice the usual counts as %v", relative)
 	}
 }
 
 // The latest answers count: a service that has become slower is the usual.
 func TestReferenceFollows(t *testing.T) {
-	var r pace.Reference
+	var r latency.Reference
 	for range 200 {
-		r = r.With(pace.Features{}, 50*time.Millisecond)
+		r = r.With(latency.Features{}, 50*time.Millisecond)
 	}
 	for range 300 {
-		r = r.With(pace.Features{}, 200*time.Millisecond)
+		r = r.With(latency.Features{}, 200*time.Millisecond)
 	}
-	if relative := r.Relative(pace.Features{}, 200*time.Millisecond); relative > 1.1 {
+	if relative := r.Relative(latency.Features{}, 200*time.Millisecond); relative > 1.1 {
 		t.Errorf("the usual counts as %v", relative)
 	}
 }
@@ -80,12 +80,12 @@
 // not: a load far below the usual counts as one that is a little below.
 func TestReferenceDoesNotTellOfLoadsItHasNotSeen(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
-	var r pace.Reference
+	var r latency.Reference
 	for range 200 {
 		load := 14 + 4*rng.Float64()
-		r = r.With(pace.Features{Load: load}, time.Duration(load*load*float64(time.Millisecond)))
+		r = r.With(latency.Features{Load: load}, time.Duration(load*load*float64(time.Millisecond)))
 	}
-	if relative := r.Relative(pace.Features{Load: 1}, 20*time.Millisecond); relative > 2 {
+	if relative := r.Relative(latency.Features{Load: 1}, 20*time.Millisecond); relative > 2 {
 		t.Errorf("a time that is a tenth of the usual counts as %v at a load of 1", relative)
 	}
 }
--- a/core/node/event.go
+++ b/core/node/event.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/bill"
 	"ladderridge.example/core/member"
-	"ladderridge.example/core/spread"
-	"ladderridge.example/core/tally"
+	"ladderridge.example/core/replication"
 )
 
 // Event is something that happened to a daemon.
@@ -15,7 +15,7 @@
 // Tick comes once in TickEvery.
 type Tick struct {
 	// Own are this daemon's figures.
-	Own tally.Sums
+	Own aggregation.Sums
 }
 
 // Flush comes when bills may be due; FlushEvery while there are any.
@@ -33,7 +33,7 @@
 
 // ReadDone answers the order Read.
 type ReadDone struct {
-	Topic spread.Topic
+	Topic replication.Topic
 	// Number is the newest document's; Data is nil if it is the one held.
 	Number uint64
 	Data   []byte
@@ -94,7 +94,7 @@
 
 // Read asks the platform for a topic's newest document.
 type Read struct {
-	Topic spread.Topic
+	Topic replication.Topic
 	// Have is the number of the document held.
 	Have uint64
 }
@@ -109,7 +109,7 @@
 type BillAlone struct{ Key string }
 
 // Changed says that a newer document is held.
-type Changed struct{ Document spread.Document }
+type Changed struct{ Document replication.Document }
 
 func (Send) order()       {}
 func (Read) order()       {}
--- a/core/node/message.go
+++ b/core/node/message.go
@@ -1,10 +1,10 @@
 package node
 
 import (
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/bill"
 	"ladderridge.example/core/member"
-	"ladderridge.example/core/spread"
-	"ladderridge.example/core/tally"
+	"ladderridge.example/core/replication"
 )
 
 // Message is what daemons say to each other.
@@ -21,7 +21,7 @@
 	// it, so that the asker knows that it does not come from before a pause.
 	Ask     bool
 	Turn    uint64
-	Offers  []spread.Offer
+	Offers  []replication.Offer
 	Updates []member.Update
 	Leaving []LeavingServer
 }
@@ -37,32 +37,32 @@
 // Fetch asks for the document of a topic.
 type Fetch struct {
 	_     struct{} `cbor:",toarray"`
-	Topic spread.Topic
+	Topic replication.Topic
 }
 
 // Deliver answers a fetch.
 type Deliver struct {
 	_        struct{} `cbor:",toarray"`
-	Document spread.Document
+	Document replication.Document
 	AgeMS    uint64
 }
 
 // TallyUp carries a subtree's sums to its parent.
 type TallyUp struct {
 	_    struct{} `cbor:",toarray"`
-	Sums tally.Sums
+	Sums aggregation.Sums
 }
 
 // TallyDown carries the totals of all data halls to children.
 type TallyDown struct {
 	_      struct{} `cbor:",toarray"`
-	Totals tally.Totals
+	Totals aggregation.Totals
 }
 
 // TallyAcross carries a data hall's total to the roots of other halls.
 type TallyAcross struct {
 	_    struct{} `cbor:",toarray"`
-	Hall tally.Hall
+	Hall aggregation.Hall
 }
 
 // Copies asks another daemon to hold bills. With Adopt it is to write them
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -11,10 +11,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/bill"
 	"ladderridge.example/core/member"
-	"ladderridge.example/core/spread"
-	"ladderridge.example/core/tally"
+	"ladderridge.example/core/replication"
 )
 
 // The times of a node.
@@ -74,16 +74,16 @@
 	Seeds []member.Listed
 
 	Group  *member.Group
-	Store  spread.Store
-	Tree   *tally.Tree
+	Store  replication.Store
+	Tree   *aggregation.Tree
 	Ledger *bill.Ledger
 	Copies *bill.Copies
 
 	self    member.Listed
 	halls   int
-	own     tally.Sums
+	own     aggregation.Sums
 	turn    uint64
-	reads   [spread.Topics]reading
+	reads   [replication.Topics]reading
 	leaving map[string]time.Time
 	// holders have the copies of this daemon's bills, by key.
 	holders map[string]holder
@@ -101,7 +101,7 @@
 func New(self member.Listed, incarnation uint64, now time.Time) *Node {
 	return &Node{
 		Group:   member.New(self, incarnation, now),
-		Tree:    tally.NewTree(),
+		Tree:    aggregation.NewTree(),
 		Ledger:  bill.NewLedger(),
 		Copies:  bill.NewCopies(),
 		self:    self,
@@ -160,7 +160,7 @@
 
 // Doubt reports whether the table has still to be confirmed after a pause.
 func (n *Node) Doubt(now time.Time) bool {
-	return n.doubting(now) && n.Store.ConfirmedAt(spread.Config).Before(n.resumed)
+	return n.doubting(now) && n.Store.ConfirmedAt(replication.Config).Before(n.resumed)
 }
 
 func (n *Node) send(to string, m Message) {
@@ -185,7 +185,7 @@
 	n.adopt(now)
 	n.recopy(now)
 	n.flush(now)
-	for topic := range spread.Topics {
+	for topic := range replication.Topics {
 		n.maybeRead(topic, now)
 	}
 	for id, at := range n.leaving {
@@ -257,7 +257,7 @@
 
 // askSeeds asks up to two seeds, in turn, until a list of VMs is known.
 func (n *Node) askSeeds(now time.Time) {
-	if n.Store.Get(spread.VMs).Number > 0 {
+	if n.Store.Get(replication.VMs).Number > 0 {
 		return
 	}
 	for i := range min(readers, len(n.Seeds)) {
@@ -278,16 +278,16 @@
 }
 
 // sums adds up and passes on the figures of the tree.
-func (n *Node) sums(own tally.Sums, now time.Time) {
+func (n *Node) sums(own aggregation.Sums, now time.Time) {
 	n.own = own
 	own.Daemons, own.Set = 1, n.Group.Self().Hash()
-	own.Oldest = n.Store.Get(spread.Config).Number
+	own.Oldest = n.Store.Get(replication.Config).Number
 	total := n.Tree.Sum(own, n.Group.Children(), now)
 	if parent, ok := n.Group.Parent(); ok {
 		n.send(parent, TallyUp{Sums: total})
 		return
 	}
-	made := n.Tree.Root(tally.Hall{Sums: total, Status: tally.Status{
+	made := n.Tree.Root(aggregation.Hall{Sums: total, Status: aggregation.Status{
 		Name: n.self.Hall, Members: uint32(n.Group.Size()), Daemons: total.Daemons, Down: uint32(n.Group.Missing()),
 		Complete: total.Set == n.Group.Set(), Oldest: total.Oldest,
 	}}, now)
@@ -360,7 +360,7 @@
 }
 
 func (n *Node) fetchFrom(from string, m Fetch, now time.Time) {
-	if m.Topic >= spread.Topics {
+	if m.Topic >= replication.Topics {
 		return
 	}
 	doc := n.Store.Get(m.Topic)
@@ -382,7 +382,7 @@
 }
 
 // accept takes a document if it is newer, and tells the fingers at once.
-func (n *Node) accept(doc spread.Document, confirmed, now time.Time) {
+func (n *Node) accept(doc replication.Document, confirmed, now time.Time) {
 	if err := n.Store.Accept(doc, confirmed); err != nil {
 		return
 	}
@@ -436,7 +436,7 @@
 }
 
 // OwnSums are this daemon's figures as of the last tick.
-func (n *Node) OwnSums() tally.Sums { return n.own }
+func (n *Node) OwnSums() aggregation.Sums { return n.own }
 
 // Halls is the number of data halls of the system.
 func (n *Node) Halls() int { return n.halls }
--- a/core/node/node_reads.go
+++ b/core/node/node_reads.go
@@ -3,15 +3,15 @@
 import (
 	"time"
 
-	"ladderridge.example/core/spread"
+	"ladderridge.example/core/replication"
 )
 
 // ticksOf is how many ticks lie between a reader's reads of a topic.
-func ticksOf(topic spread.Topic) uint64 {
+func ticksOf(topic replication.Topic) uint64 {
 	switch topic {
-	case spread.VMs:
+	case replication.VMs:
 		return vmsTicks
-	case spread.Quality:
+	case replication.Quality:
 		return qualityTicks
 	default:
 		return configTicks
@@ -22,7 +22,7 @@
 // daemons that lead the hall's ring read; the others stand in, about two of
 // them at a tick, when the hall's knowledge is overdue. So a hall's reads are
 // bounded whatever the number of its daemons, also when all start at once.
-func (n *Node) maybeRead(topic spread.Topic, now time.Time) {
+func (n *Node) maybeRead(topic replication.Topic, now time.Time) {
 	r := &n.reads[topic]
 	if r.busy && now.Sub(r.since) < readTimeout {
 		return
@@ -56,15 +56,15 @@
 	return seedPatience + time.Duration(n.Group.Self().Hash()%uint64(patienceSpan))
 }
 
-func (n *Node) mayRead(topic spread.Topic, now time.Time) bool {
-	if n.Store.Get(spread.VMs).Number == 0 && now.Sub(n.started) < n.patience() {
+func (n *Node) mayRead(topic replication.Topic, now time.Time) bool {
+	if n.Store.Get(replication.VMs).Number == 0 && now.Sub(n.started) < n.patience() {
 		return false
 	}
 	rank := n.Group.Rank()
 	if rank >= 0 && rank < readers {
 		return (n.turn+uint64(rank))%ticksOf(topic) == 0
 	}
-	if topic == spread.Quality {
+	if topic == replication.Quality {
 		return false
 	}
 	overdue := OverdueAfter * time.Duration(ticksOf(topic))
@@ -88,5 +88,5 @@
 		n.Store.Confirm(d.Topic, d.Number, d.At)
 		return
 	}
-	n.accept(spread.NewDocument(d.Topic, d.Number, d.Data), d.At, now)
+	n.accept(replication.NewDocument(d.Topic, d.Number, d.Data), d.At, now)
 }
--- a/core/prompts/memory.go
+++ b/core/prefixcache/memory.go
@@ -1,8 +1,8 @@
-// Package prompts remembers which prompts a model server has probably in its
+// Package prefixcache remembers which prompts a model server has probably in its
 // memory, by what was sent there. Servers keep what they have read of a prompt
 // by its parts, each of which counts only behind those before it, and let go of
 // what was used longest ago.
-package prompts
+package prefixcache
 
 import (
 	"container/list"
--- a/core/spread/spread.go
+++ b/core/replication/replication.go
@@ -1,4 +1,4 @@
-// Package spread hands whole, numbered documents, such as table generations,
+// Package replication hands whole, numbered documents, such as table generations,
 // from daemon to daemon. A daemon only ever moves forward to a higher number,
 // and keeps how long ago its document was known to be the newest.
 //
@@ -6,7 +6,7 @@
 // times a day, so a document travels whole: a reader never sees half of an
 // edit. docs/design/02-table-generations.md weighs this against metadata for
 // each row.
-package spread
+package replication
 
 import (
 	"errors"
--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"ladderridge.example/core/sizing"
+	"ladderridge.example/core/autoscaling"
 )
 
 // Repeat says how often a request may run.
@@ -89,7 +89,7 @@
 	ColdRate float64
 	Models   []Model
 	// Sizes are the terms on which its servers are ordered.
-	Sizes sizing.Terms
+	Sizes autoscaling.Terms
 }
 
 // Organisation is one that holds keys.
--- a/core/crowd/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -1,4 +1,4 @@
-package crowd_test
+package serverload_test
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"time"
 
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/prompts"
+	"ladderridge.example/core/prefixcache"
 )
 
 // site replays a load on many daemons in modelled time: prompts of which some are
@@ -112,8 +112,8 @@
 // request has any daemon send a request with a shared prompt.
 func (s *site) request(key int) {
 	m := s.daemons[s.rng.IntN(len(s.daemons))]
-	parts := []prompts.Part{{ID: strconv.Itoa(key), Tokens: sharedPart}, {ID: fmt.Sprint(key, "-", len(s.waits)), Tokens: ownPart}}
-	prompt := prompts.For("m", parts)
+	parts := []prefixcache.Part{{ID: strconv.Itoa(key), Tokens: sharedPart}, {ID: fmt.Sprint(key, "-", len(s.waits)), Tokens: ownPart}}
+	prompt := prefixcache.For("m", parts)
 	chosen, _ := m.list.Choose(fleet.Want{Service: "llm", Hall: "h", Affinity: uint64(key) + 1, Prompt: prompt, Piece: 1}, s.now)
 	e := s.servers[slices.IndexFunc(s.servers, func(e *engine) bool { return e.id == chosen.ID })]
 	reading := pieceTime
--- a/core/crowd/crowd_test.go
+++ b/core/serverload/serverload_test.go
@@ -1,4 +1,4 @@
-package crowd_test
+package serverload_test
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"ladderridge.example/core/crowd"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
+	"ladderridge.example/core/serverload"
 )
 
 var (
@@ -16,8 +16,8 @@
 )
 
 // board returns a board of the usual servers.
-func board() *crowd.Board {
-	b := crowd.NewBoard()
+func board() *serverload.Board {
+	b := serverload.NewBoard()
 	b.List(7, ids)
 	return b
 }
@@ -64,10 +64,10 @@
 }
 
 func TestWorkOfAnotherListIsNotTaken(t *testing.T) {
-	b, other := board(), crowd.NewBoard()
+	b, other := board(), serverload.NewBoard()
 	other.List(8, ids)
 	b.HearDaemon("d", other.Ask(map[string]float64{"s1": 10}), start)
-	b.HearHall("h", relay.Work{Sum: 7, Packed: []byte{255}}, start)
+	b.HearHall("h", gossip.Work{Sum: 7, Packed: []byte{255}}, start)
 	if others := b.Others(start); len(others) > 0 {
 		t.Errorf("taken: %v", others)
 	}
@@ -93,11 +93,11 @@
 
 func TestPackedWorkIsNearlyWhatItWas(t *testing.T) {
 	for _, work := range []float64{0, 0.5, 1, 7, 100, 5000} {
-		if got := relay.UnpackWork(relay.PackWork(work)); math.Abs(got-work) > 0.05*(1+work) {
+		if got := gossip.UnpackWork(gossip.PackWork(work)); math.Abs(got-work) > 0.05*(1+work) {
 			t.Errorf("%v becomes %v", work, got)
 		}
 	}
-	if relay.PackWork(-1) != 0 || relay.PackWork(math.Inf(1)) != 255 {
+	if gossip.PackWork(-1) != 0 || gossip.PackWork(math.Inf(1)) != 255 {
 		t.Error("what does not fit is not bounded")
 	}
 }
@@ -105,7 +105,7 @@
 // A long list of servers is told less often: the bytes of a daemon stay the same.
 func TestBytesAreBoundedWhateverTheNumberOfServers(t *testing.T) {
 	for _, servers := range []int{10, 140, 720, 3000} {
-		b := crowd.NewBoard()
+		b := serverload.NewBoard()
 		b.List(1, make([]string, servers))
 		each := float64(len(b.Ask(nil).Packed)) / b.Every().Seconds()
 		if each > 400 {
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -11,18 +11,18 @@
 
 	"github.com/phuslu/log"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/bill"
 	"ladderridge.example/core/clock"
 	"ladderridge.example/core/member"
 	"ladderridge.example/core/node"
 	"ladderridge.example/core/quality"
+	"ladderridge.example/core/replication"
 	"ladderridge.example/core/route"
-	"ladderridge.example/core/spread"
 	"ladderridge.example/core/table"
-	"ladderridge.example/core/tally"
 	"ladderridge.example/daemon/platform"
 	"ladderridge.example/daemon/settings"
-	"ladderridge.example/daemon/standstill"
+	"ladderridge.example/daemon/suspend"
 	"ladderridge.example/daemon/tablestore"
 )
 
@@ -47,7 +47,7 @@
 	// asked once.
 	Acquainted bool
 	// Seen returns what all daemons together have counted under a key.
-	Seen func(tally.Key) tally.Evidence
+	Seen func(aggregation.Key) aggregation.Evidence
 	// BillsFull stops new work: the platform has been away for too long.
 	BillsFull bool
 
@@ -73,13 +73,13 @@
 	Log      log.Logger
 	// Demands returns what organisations asked of this daemon since it was
 	// last called, per second, sorted by key.
-	Demands func() []tally.Demand
+	Demands func() []aggregation.Demand
 	// Crashes returns how many servers have ended under requests, sorted by key.
-	Crashes func() []tally.Evidence
+	Crashes func() []aggregation.Evidence
 	// Published, if set, is told of every new snapshot.
 	Published func()
 	// StoodStill tells how long the VM has stood still; nil is never.
-	StoodStill standstill.Clock
+	StoodStill suspend.Clock
 	// Incarnation is the daemon's start time in milliseconds.
 	Incarnation uint64
 
@@ -101,7 +101,7 @@
 		facts:   make(chan Fact, factBacklog),
 		stopped: make(chan struct{}),
 	}
-	c.snapshot.Store(&Snapshot{View: &route.View{Table: table.New(table.Table{})}, Seen: func(tally.Key) tally.Evidence { return tally.Evidence{} }})
+	c.snapshot.Store(&Snapshot{View: &route.View{Table: table.New(table.Table{})}, Seen: func(aggregation.Key) aggregation.Evidence { return aggregation.Evidence{} }})
 	return c
 }
 
@@ -109,7 +109,7 @@
 // clock says that it is new.
 func (c *Control) Snapshot() *Snapshot {
 	s := c.snapshot.Load()
-	if c.StoodStill.Now()-s.stood < standstill.Least {
+	if c.StoodStill.Now()-s.stood < suspend.Least {
 		return s
 	}
 	out, view := *s, *s.View
@@ -271,7 +271,7 @@
 // confirmed anew, as after a pause of the process.
 func (l *loop) noteStandstill(now time.Time) {
 	d := l.StoodStill.Now() - l.stood
-	if d < standstill.Least {
+	if d < suspend.Least {
 		return
 	}
 	l.stood += d
@@ -350,9 +350,9 @@
 
 func (l *loop) tick(now time.Time) {
 	l.ticked = now
-	own := tally.Sums{Evidence: l.guard.own()}
+	own := aggregation.Sums{Evidence: l.guard.own()}
 	if l.Crashes != nil {
-		own.Evidence = tally.Sums{Daemons: 1, Evidence: own.Evidence}.Add(tally.Sums{Daemons: 1, Evidence: l.Crashes()}).Evidence
+		own.Evidence = aggregation.Sums{Daemons: 1, Evidence: own.Evidence}.Add(aggregation.Sums{Daemons: 1, Evidence: l.Crashes()}).Evidence
 	}
 	if l.Demands != nil {
 		own.Demands = l.Demands()
@@ -365,7 +365,7 @@
 }
 
 // pooled returns a version's evidence of all daemons that are heard of.
-func (l *loop) pooled(now time.Time) func(tally.Key) tally.Evidence {
+func (l *loop) pooled(now time.Time) func(aggregation.Key) aggregation.Evidence {
 	totals, _ := l.node.Tree.Totals(now)
 	return totals.Evidence
 }
@@ -399,14 +399,14 @@
 }
 
 // changed puts a newer document in force.
-func (l *loop) changed(doc spread.Document, now time.Time) {
+func (l *loop) changed(doc replication.Document, now time.Time) {
 	var err error
 	switch doc.Topic {
-	case spread.Config:
+	case replication.Config:
 		err = l.changeTable(doc)
-	case spread.VMs:
+	case replication.VMs:
 		err = l.changeVMs(doc, now)
-	case spread.Quality:
+	case replication.Quality:
 		err = l.changeQuality(doc)
 	}
 	if err != nil {
@@ -415,7 +415,7 @@
 	l.publish(now)
 }
 
-func (l *loop) changeQuality(doc spread.Document) error {
+func (l *loop) changeQuality(doc replication.Document) error {
 	var read quality.Document
 	if err := json.Unmarshal(doc.Data, &read); err != nil {
 		return &Error{Op: "take quality", Kind: BadDocument, Err: err}
@@ -425,7 +425,7 @@
 	return nil
 }
 
-func (l *loop) changeTable(doc spread.Document) error {
+func (l *loop) changeTable(doc replication.Document) error {
 	t, err := table.Parse(doc.Data)
 	if err != nil {
 		return &Error{Op: "put table in force", Kind: BadDocument, Err: err}
@@ -436,7 +436,7 @@
 	return nil
 }
 
-func (l *loop) changeVMs(doc spread.Document, now time.Time) error {
+func (l *loop) changeVMs(doc replication.Document, now time.Time) error {
 	var list platform.VMList
 	if err := json.Unmarshal(doc.Data, &list); err != nil {
 		return &Error{Op: "take VM list", Kind: BadDocument, Err: err}
@@ -461,7 +461,7 @@
 	v := &route.View{
 		Generation:  l.gen,
 		Table:       l.table,
-		ConfirmedAt: l.node.Store.ConfirmedAt(spread.Config),
+		ConfirmedAt: l.node.Store.ConfirmedAt(replication.Config),
 		PublishedAt: l.ticked,
 		Doubt:       l.node.Doubt(now),
 		Hall:        l.Settings.Hall,
--- a/daemon/control/control_io.go
+++ b/daemon/control/control_io.go
@@ -12,8 +12,8 @@
 	"ladderridge.example/core/bill"
 	"ladderridge.example/core/node"
 	"ladderridge.example/core/quality"
+	"ladderridge.example/core/replication"
 	"ladderridge.example/core/route"
-	"ladderridge.example/core/spread"
 	"ladderridge.example/core/table"
 	"ladderridge.example/daemon/platform"
 	"ladderridge.example/daemon/wire"
@@ -29,11 +29,11 @@
 		done, stood := node.ReadDone{Topic: o.Topic, At: time.Now()}, l.StoodStill.Now()
 		var err error
 		switch o.Topic {
-		case spread.Config:
+		case replication.Config:
 			done.Number, done.Data, err = l.readConfig(o.Have)
-		case spread.VMs:
+		case replication.VMs:
 			done.Number, done.Data, err = l.readVMs(o.Have)
-		case spread.Quality:
+		case replication.Quality:
 			done.Number, done.Data, err = l.readQuality(o.Have, held)
 		}
 		if err != nil {
--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/member"
-	"ladderridge.example/core/spread"
+	"ladderridge.example/core/replication"
 	"ladderridge.example/core/table"
-	"ladderridge.example/core/tally"
 )
 
 // MemberDump is one daemon as another one sees it.
@@ -82,16 +82,16 @@
 	Guarded    map[string]string `json:"guarded,omitempty"`
 	// Seen is what all daemons together have counted, of versions and of requests under
 	// which servers have ended.
-	Seen         []tally.Evidence `json:"seen"`
-	Shares       map[string]Share `json:"shares"`
-	PendingBills int              `json:"pending_bills"`
-	CopiesHeld   int              `json:"copies_held"`
-	BillsWritten int64            `json:"bills_written"`
-	BillsFound   int64            `json:"bills_found"`
-	DroppedFacts int64            `json:"dropped_facts"`
-	BusyMS       float64          `json:"control_busy_ms"`
-	PlatformCall int64            `json:"platform_calls"`
-	PlatformByte int64            `json:"platform_bytes"`
+	Seen         []aggregation.Evidence `json:"seen"`
+	Shares       map[string]Share       `json:"shares"`
+	PendingBills int                    `json:"pending_bills"`
+	CopiesHeld   int                    `json:"copies_held"`
+	BillsWritten int64                  `json:"bills_written"`
+	BillsFound   int64                  `json:"bills_found"`
+	DroppedFacts int64                  `json:"dropped_facts"`
+	BusyMS       float64                `json:"control_busy_ms"`
+	PlatformCall int64                  `json:"platform_calls"`
+	PlatformByte int64                  `json:"platform_bytes"`
 }
 
 // Dump returns the whole control state. Changes that wait to be published are published
@@ -134,7 +134,7 @@
 	}
 	totals, _ := l.node.Tree.Totals(now)
 	d.Seen = totals.Seen
-	for topic := range spread.Topics {
+	for topic := range replication.Topics {
 		doc := l.node.Store.Get(topic)
 		age := now.Sub(l.node.Store.ConfirmedAt(topic)).Milliseconds()
 		d.Documents = append(d.Documents, DocumentDump{Topic: topic.String(), Number: doc.Number, Bytes: len(doc.Data), AgeMS: age})
--- a/daemon/control/guard.go
+++ b/daemon/control/guard.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/evidence"
 	"ladderridge.example/core/route"
 	"ladderridge.example/core/table"
-	"ladderridge.example/core/tally"
 )
 
 // guardFor is how long a guarded version gets no new sessions before it is
@@ -23,7 +23,7 @@
 	local   evidence.Test
 	pooled  evidence.Test
 	// seen are the pooled counts that the pooled test has taken in.
-	seen  tally.Evidence
+	seen  aggregation.Evidence
 	until time.Time
 	why   string
 }
@@ -82,10 +82,10 @@
 }
 
 // pool takes in what all daemons saw, and reports whether anything changed.
-func (g *guard) pool(counts func(tally.Key) tally.Evidence, now time.Time) bool {
+func (g *guard) pool(counts func(aggregation.Key) aggregation.Evidence, now time.Time) bool {
 	changed := false
 	for ref, w := range g.versions {
-		total := counts(tally.KeyOfRef(ref))
+		total := counts(aggregation.KeyOfRef(ref))
 		if total.Answers > w.seen.Answers && total.Bad >= w.seen.Bad {
 			w.pooled = w.pooled.WithCounts(total.Answers-w.seen.Answers, total.Bad-w.seen.Bad)
 		}
@@ -137,11 +137,11 @@
 }
 
 // own are this daemon's counts, for the tally.
-func (g *guard) own() []tally.Evidence {
-	out := make([]tally.Evidence, 0, len(g.versions))
+func (g *guard) own() []aggregation.Evidence {
+	out := make([]aggregation.Evidence, 0, len(g.versions))
 	for ref, w := range g.versions {
-		out = append(out, tally.Evidence{Key: tally.KeyOfRef(ref), Answers: w.answers, Bad: w.bad})
+		out = append(out, aggregation.Evidence{Key: aggregation.KeyOfRef(ref), Answers: w.answers, Bad: w.bad})
 	}
-	slices.SortFunc(out, func(a, b tally.Evidence) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b aggregation.Evidence) int { return cmp.Compare(a.Key, b.Key) })
 	return out
 }
--- a/daemon/control/rollouts.go
+++ b/daemon/control/rollouts.go
@@ -4,10 +4,10 @@
 	"errors"
 	"time"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/fault"
 	"ladderridge.example/core/rollout"
 	"ladderridge.example/core/table"
-	"ladderridge.example/core/tally"
 	"ladderridge.example/daemon/tablestore"
 )
 
@@ -30,7 +30,7 @@
 func newRollouts() *rollouts { return &rollouts{stages: map[table.Ref]stage{}} }
 
 // facts brings a version's stage up to date and returns what is known of it.
-func (r *rollouts) facts(v table.Version, total tally.Evidence, alarm string, now time.Time) rollout.Facts {
+func (r *rollouts) facts(v table.Version, total aggregation.Evidence, alarm string, now time.Time) rollout.Facts {
 	s, ok := r.stages[v.Ref]
 	if !ok || s.number != v.Stage || total.Answers < s.answers || total.Bad < s.bad {
 		s = stage{number: v.Stage, since: now, answers: total.Answers, bad: total.Bad}
@@ -49,7 +49,7 @@
 			continue
 		}
 		l.guard.of(v.Ref)
-		facts := l.rollouts.facts(v, pooled(tally.KeyOfRef(v.Ref)), l.guard.alarm(v.Ref), now)
+		facts := l.rollouts.facts(v, pooled(aggregation.KeyOfRef(v.Ref)), l.guard.alarm(v.Ref), now)
 		changed, note, ok := rollout.Apply(v, rollout.Next(facts, now))
 		if ok && l.node.Group.Rank() == 0 && !l.rollouts.busy {
 			l.rollouts.busy = true
--- a/daemon/control/shares.go
+++ b/daemon/control/shares.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/limit"
 	"ladderridge.example/core/table"
-	"ladderridge.example/core/tally"
 	"ladderridge.example/daemon/platform"
 )
 
@@ -20,14 +20,14 @@
 }
 
 // figure picks one figure of a demand.
-type figure func(tally.Demand) float64
+type figure func(aggregation.Demand) float64
 
-func requestsOf(d tally.Demand) float64 { return float64(d.Requests) / tally.RequestsUnit }
-func tokensOf(d tally.Demand) float64   { return float64(d.Tokens) }
-func inFlightOf(d tally.Demand) float64 { return float64(d.InFlight) }
+func requestsOf(d aggregation.Demand) float64 { return float64(d.Requests) / aggregation.RequestsUnit }
+func tokensOf(d aggregation.Demand) float64   { return float64(d.Tokens) }
+func inFlightOf(d aggregation.Demand) float64 { return float64(d.InFlight) }
 
-func (l *loop) share(org table.Organisation, totals tally.Totals, fresh bool) Share {
-	key := tally.KeyOf(org.Name)
+func (l *loop) share(org table.Organisation, totals aggregation.Totals, fresh bool) Share {
+	key := aggregation.KeyOf(org.Name)
 	own := l.node.OwnSums().Demand(key)
 	hall, others := totals.Own.Demand(key), totals.Others.Demand(key)
 	of := func(whole float64, pick figure) float64 {
--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -1,5 +1,5 @@
 // Package duties does what one daemon at a time does for all on the platform: it reports
-// usage and orders backend servers. Package duty decides who does it, usage and sizing what
+// usage and orders backend servers. Package duty decides who does it, usage and autoscaling what
 // is said; here are the calls to the store and the platform, and their answers.
 package duties
 
@@ -11,15 +11,15 @@
 
 	"github.com/phuslu/log"
 
+	"ladderridge.example/core/autoscaling"
 	"ladderridge.example/core/clock"
 	"ladderridge.example/core/duty"
 	"ladderridge.example/core/fault"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
-	"ladderridge.example/core/sizing"
 	"ladderridge.example/core/usage"
-	"ladderridge.example/daemon/knowledge"
-	"ladderridge.example/daemon/standstill"
+	"ladderridge.example/daemon/storesync"
+	"ladderridge.example/daemon/suspend"
 )
 
 // Kind says what sort of error a platform met.
@@ -50,9 +50,9 @@
 // Rows are the rows of the platform's store.
 type Rows interface {
 	// Read returns all rows of a topic.
-	Read(ctx context.Context, topic relay.Topic) (knowledge.Page, error)
+	Read(ctx context.Context, topic gossip.Topic) (storesync.Page, error)
 	// Swap sets a row if its version is still was, and returns its new version.
-	Swap(ctx context.Context, topic relay.Topic, key string, data []byte, was revision.Revision) (revision.Revision, error)
+	Swap(ctx context.Context, topic gossip.Topic, key string, data []byte, was revision.Revision) (revision.Revision, error)
 }
 
 // Signature says who calls.
@@ -67,7 +67,7 @@
 	// Report tells the usage of a window.
 	Report(ctx context.Context, by Signature, r usage.Report) error
 	// Order asks for a number of servers of a service.
-	Order(ctx context.Context, by Signature, service string, o sizing.Order) error
+	Order(ctx context.Context, by Signature, service string, o autoscaling.Order) error
 }
 
 // Settings are what the operator says of duties.
@@ -86,7 +86,7 @@
 
 // Knowledge is what is known of the platform.
 type Knowledge interface {
-	View() *knowledge.View
+	View() *storesync.View
 	// Reads reports whether this daemon reads the store for others.
 	Reads() bool
 }
@@ -101,7 +101,7 @@
 	Platform  Platform
 	Knowledge Knowledge
 	// StoodStill tells how long the VM has stood still; nil is never.
-	StoodStill standstill.Clock
+	StoodStill suspend.Clock
 	Log        log.Logger
 
 	// Reports, Orders and Failures count calls to the platform that were taken, and those
--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -11,15 +11,15 @@
 
 	"github.com/phuslu/log"
 
+	"ladderridge.example/core/autoscaling"
 	"ladderridge.example/core/duty"
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
 	"ladderridge.example/core/routemap"
-	"ladderridge.example/core/sizing"
 	"ladderridge.example/core/usage"
 	"ladderridge.example/daemon/duties"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/daemon/storesync"
 )
 
 const (
@@ -32,7 +32,7 @@
 type table struct {
 	mu      sync.Mutex
 	version uint64
-	rows    map[string]relay.Row
+	rows    map[string]gossip.Row
 	calls   int
 }
 
@@ -45,7 +45,7 @@
 	lossy bool
 }
 
-var errLost = &knowledge.Error{Op: "call store", Kind: knowledge.Away, Err: errors.New("no answer")}
+var errLost = &storesync.Error{Op: "call store", Kind: storesync.Away, Err: errors.New("no answer")}
 
 func (w *way) set(cut, lossy bool) {
 	w.mu.Lock()
@@ -60,14 +60,14 @@
 }
 
 // Read implements duties.Rows.
-func (w *way) Read(_ context.Context, topic relay.Topic) (knowledge.Page, error) {
-	if cut, _ := w.faults(); cut || topic != relay.Duties {
-		return knowledge.Page{}, errLost
+func (w *way) Read(_ context.Context, topic gossip.Topic) (storesync.Page, error) {
+	if cut, _ := w.faults(); cut || topic != gossip.Duties {
+		return storesync.Page{}, errLost
 	}
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
 	w.calls++
-	page := knowledge.Page{Version: revision.New(1, w.version)}
+	page := storesync.Page{Version: revision.New(1, w.version)}
 	for _, r := range w.rows {
 		page.Rows = append(page.Rows, r)
 	}
@@ -75,7 +75,7 @@
 }
 
 // Swap implements duties.Rows.
-func (w *way) Swap(_ context.Context, _ relay.Topic, key string, data []byte, was revision.Revision) (revision.Revision, error) {
+func (w *way) Swap(_ context.Context, _ gossip.Topic, key string, data []byte, was revision.Revision) (revision.Revision, error) {
 	cut, lossy := w.faults()
 	if cut {
 		return revision.Revision{}, errLost
@@ -84,10 +84,10 @@
 	defer w.table.mu.Unlock()
 	w.calls++
 	if w.rows[key].Version.Number != was.Number {
-		return revision.Revision{}, &knowledge.Error{Op: "swap", Kind: knowledge.Conflict}
+		return revision.Revision{}, &storesync.Error{Op: "swap", Kind: storesync.Conflict}
 	}
 	w.version++
-	w.rows[key] = relay.Row{Key: key, Data: data, Version: revision.New(1, w.version)}
+	w.rows[key] = gossip.Row{Key: key, Data: data, Version: revision.New(1, w.version)}
 	if lossy {
 		return revision.Revision{}, errLost
 	}
@@ -105,7 +105,7 @@
 	highest map[string]uint64
 	holders map[string]string
 	reports map[usage.Window][]usage.Count
-	orders  []sizing.Order
+	orders  []autoscaling.Order
 	// refused counts the calls that were refused, by their token.
 	refused map[uint64]int
 	// mute answers no call, and keeps the orders to be carried out later.
@@ -116,7 +116,7 @@
 
 type keptOrder struct {
 	by    duties.Signature
-	order sizing.Order
+	order autoscaling.Order
 }
 
 func newPlatform(t *testing.T) *platform {
@@ -160,7 +160,7 @@
 }
 
 // Order implements duties.Platform.
-func (p *platform) Order(_ context.Context, by duties.Signature, service string, o sizing.Order) error {
+func (p *platform) Order(_ context.Context, by duties.Signature, service string, o autoscaling.Order) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mute {
@@ -170,11 +170,11 @@
 	return p.carryOut(by, service, o)
 }
 
-func (p *platform) carryOut(by duties.Signature, service string, o sizing.Order) error {
+func (p *platform) carryOut(by duties.Signature, service string, o autoscaling.Order) error {
 	if err := p.admit(service+" "+o.Place.Hall, by); err != nil {
 		return err
 	}
-	if p.none[o.Place.Hall] && o.Place.Kind == sizing.Spot {
+	if p.none[o.Place.Hall] && o.Place.Kind == autoscaling.Spot {
 		return &duties.Error{Op: "order", Kind: duties.Forbidden}
 	}
 	p.orders = append(p.orders, o)
@@ -205,7 +205,7 @@
 }
 
 // newest is the count last ordered in a place, -1 for none.
-func (p *platform) newest(at sizing.Place) int {
+func (p *platform) newest(at autoscaling.Place) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, o := range slices.Backward(p.orders) {
@@ -228,12 +228,12 @@
 
 // known is what a daemon knows: it is as old as age says.
 type known struct {
-	view *knowledge.View
+	view *storesync.View
 	age  time.Duration
 }
 
 // View implements duties.Knowledge.
-func (k known) View() *knowledge.View {
+func (k known) View() *storesync.View {
 	v := *k.view
 	v.ConfigAt = time.Now().Add(-k.age)
 	return &v
@@ -243,8 +243,8 @@
 func (known) Reads() bool { return true }
 
 // view is a service in two halls with a number of servers in each.
-func view(each int) *knowledge.View {
-	terms := sizing.Terms{Least: 1, Most: 40, Boot: 4 * time.Second, SpotPrice: 0.2}
+func view(each int) *storesync.View {
+	terms := autoscaling.Terms{Least: 1, Most: 40, Boot: 4 * time.Second, SpotPrice: 0.2}
 	m := routemap.New(routemap.Parts{Number: 1, Services: []routemap.Service{{Name: "llm", Slots: 10, Sizes: terms}}})
 	var servers []*fleet.Server
 	for _, hall := range []string{"hall-a", "hall-b"} {
@@ -252,7 +252,7 @@
 			servers = append(servers, &fleet.Server{ID: hall + "-" + strconv.Itoa(i), Service: "llm", Hall: hall, Version: "v1", Load: fleet.NewLoad(fleet.NewHall())})
 		}
 	}
-	return &knowledge.View{Map: m, Servers: fleet.NewList(servers)}
+	return &storesync.View{Map: m, Servers: fleet.NewList(servers)}
 }
 
 // daemon is one leaseholder and its way to the store.
@@ -270,7 +270,7 @@
 
 func newSite(t *testing.T, daemons int, names ...duty.Name) *site {
 	t.Helper()
-	s := &site{store: &table{rows: map[string]relay.Row{}}, platform: newPlatform(t)}
+	s := &site{store: &table{rows: map[string]gossip.Row{}}, platform: newPlatform(t)}
 	for i := range daemons {
 		d := &daemon{Leaseholder: duties.New(), way: &way{table: s.store}}
 		d.Self, d.Start, d.Rows, d.Platform, d.Knowledge = "entry-"+strconv.Itoa(i), uint64(i+1), d.way, s.platform, known{view: view(4)}
--- a/daemon/duties/leaseholder_test.go
+++ b/daemon/duties/leaseholder_test.go
@@ -6,10 +6,10 @@
 	"testing/synctest"
 	"time"
 
+	"ladderridge.example/core/autoscaling"
 	"ladderridge.example/core/duty"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
-	"ladderridge.example/core/sizing"
 	"ladderridge.example/core/usage"
 )
 
@@ -127,7 +127,7 @@
 		s.start(t.Context())
 		time.Sleep(10 * time.Second)
 		for _, hall := range []string{"hall-a", "hall-b"} {
-			if n := s.platform.newest(sizing.Place{Hall: hall, Kind: sizing.Spot}); n != 4 {
+			if n := s.platform.newest(autoscaling.Place{Hall: hall, Kind: autoscaling.Spot}); n != 4 {
 				t.Errorf("%d spot servers are ordered in %s", n, hall)
 			}
 		}
@@ -163,10 +163,10 @@
 		if s.holder(duty.Sizes) == nil {
 			t.Error("nobody holds the duty")
 		}
-		if n := s.platform.newest(sizing.Place{Hall: "hall-b", Kind: sizing.Spot}); n < 4 {
+		if n := s.platform.newest(autoscaling.Place{Hall: "hall-b", Kind: autoscaling.Spot}); n < 4 {
 			t.Errorf("%d spot servers are ordered where there are some", n)
 		}
-		if n := s.platform.newest(sizing.Place{Hall: "hall-a", Kind: sizing.Regular}); n >= 0 {
+		if n := s.platform.newest(autoscaling.Place{Hall: "hall-a", Kind: autoscaling.Regular}); n >= 0 {
 			t.Errorf("%d dear servers are left in hall-a, and nothing has taken their place", n)
 		}
 	})
@@ -183,7 +183,7 @@
 		if s.holder(duty.Sizes) == nil || orders == 0 {
 			t.Fatalf("nobody holds the duty, or none was ordered before: %d", orders)
 		}
-		place := sizing.Place{Hall: "hall-a", Kind: sizing.Spot}
+		place := autoscaling.Place{Hall: "hall-a", Kind: autoscaling.Spot}
 		if n := s.platform.newest(place); n != 4 {
 			t.Errorf("%d are ordered by the next holder", n)
 		}
@@ -195,7 +195,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2, duty.Usage)
 		s.store.version = 1
-		s.store.rows["usage"] = relay.Row{Key: "usage", Data: []byte("{"), Version: revision.New(1, 1)}
+		s.store.rows["usage"] = gossip.Row{Key: "usage", Data: []byte("{"), Version: revision.New(1, 1)}
 		s.start(t.Context())
 		time.Sleep(10 * time.Second)
 		s.store.mu.Lock()
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -8,11 +8,11 @@
 	"strings"
 	"time"
 
+	"ladderridge.example/core/autoscaling"
 	"ladderridge.example/core/fault"
 	"ladderridge.example/core/fleet"
 	"ladderridge.example/core/routemap"
-	"ladderridge.example/core/sizing"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/daemon/storesync"
 )
 
 const (
@@ -35,15 +35,15 @@
 
 // serviceOrders is what was ordered for one service.
 type serviceOrders struct {
-	demand sizing.Demand
-	stands sizing.Stand
-	places map[sizing.Place]*placeOrders
+	demand autoscaling.Demand
+	stands autoscaling.Stand
+	places map[autoscaling.Place]*placeOrders
 	// planned is how many servers were last found to be needed.
 	planned int
 	toldAt  time.Time
 	endedAt time.Time
 	// due are orders that stand in the store and have not been taken yet.
-	due []sizing.Order
+	due []autoscaling.Order
 }
 
 // placeOrders is what was ordered in one place.
@@ -64,12 +64,12 @@
 
 func (w *ordering) service(name string) *serviceOrders {
 	if w.services[name] == nil {
-		w.services[name] = &serviceOrders{places: map[sizing.Place]*placeOrders{}}
+		w.services[name] = &serviceOrders{places: map[autoscaling.Place]*placeOrders{}}
 	}
 	return w.services[name]
 }
 
-func (o *serviceOrders) place(p sizing.Place) *placeOrders {
+func (o *serviceOrders) place(p autoscaling.Place) *placeOrders {
 	if o.places[p] == nil {
 		o.places[p] = &placeOrders{}
 	}
@@ -86,10 +86,10 @@
 
 // Ordered is one order as the store keeps it.
 type Ordered struct {
-	Service string      `json:"service"`
-	Hall    string      `json:"hall"`
-	Kind    sizing.Kind `json:"kind"`
-	Count   int         `json:"count"`
+	Service string           `json:"service"`
+	Hall    string           `json:"hall"`
+	Kind    autoscaling.Kind `json:"kind"`
+	Count   int              `json:"count"`
 }
 
 // ReadOrders reads what the store keeps of orders.
@@ -116,7 +116,7 @@
 		w.service(name).planned = n
 	}
 	for _, o := range left.Orders {
-		p := w.service(o.Service).place(sizing.Place{Hall: o.Hall, Kind: o.Kind})
+		p := w.service(o.Service).place(autoscaling.Place{Hall: o.Hall, Kind: o.Kind})
 		p.count, p.asked, p.at = o.Count, true, time.Now()
 	}
 }
@@ -174,7 +174,7 @@
 }
 
 // decide looks at each service whose servers are ordered.
-func (d *Leaseholder) decide(h *holding, w *ordering, v *knowledge.View, now time.Time) {
+func (d *Leaseholder) decide(h *holding, w *ordering, v *storesync.View, now time.Time) {
 	changed := false
 	for _, s := range v.Map.Services() {
 		if !s.Sizes.Ordered() {
@@ -183,7 +183,7 @@
 		service := w.service(s.Name)
 		in := service.input(s, v, now)
 		d.tellStands(s.Name, service, in, now)
-		service.due = sizing.Decide(in)
+		service.due = autoscaling.Decide(in)
 		for _, o := range service.due {
 			if o.Fewer {
 				service.endedAt = now
@@ -206,15 +206,15 @@
 const standsEvery = 5 * time.Second
 
 // tellStands logs how many servers stand and are needed: why there were so few at a time.
-func (d *Leaseholder) tellStands(name string, service *serviceOrders, in sizing.Input, now time.Time) {
+func (d *Leaseholder) tellStands(name string, service *serviceOrders, in autoscaling.Input, now time.Time) {
 	if now.Sub(service.toldAt) < standsEvery {
 		return
 	}
 	service.toldAt = now
 	var text []string
 	for _, hall := range in.Halls {
-		for _, kind := range []sizing.Kind{sizing.Regular, sizing.Spot} {
-			p := sizing.Place{Hall: hall, Kind: kind}
+		for _, kind := range []autoscaling.Kind{autoscaling.Regular, autoscaling.Spot} {
+			p := autoscaling.Place{Hall: hall, Kind: kind}
 			at := in.Places[p]
 			text = append(text, fmt.Sprintf("%s %s: %d of %d, %d warm, %d of another version", hall, kind, at.Serving, at.Ordered, at.Warm, at.Coming))
 		}
@@ -246,8 +246,8 @@
 }
 
 // input is what an order for the service is decided by.
-func (o *serviceOrders) input(s *routemap.Service, v *knowledge.View, now time.Time) sizing.Input {
-	in := sizing.Input{Now: now, Terms: s.Sizes, Slots: s.Slots, Emptied: map[string]bool{}, Places: map[sizing.Place]sizing.Standing{}}
+func (o *serviceOrders) input(s *routemap.Service, v *storesync.View, now time.Time) autoscaling.Input {
+	in := autoscaling.Input{Now: now, Terms: s.Sizes, Slots: s.Slots, Emptied: map[string]bool{}, Places: map[autoscaling.Place]autoscaling.Standing{}}
 	for hall := range v.Emptied {
 		in.Emptied[hall] = true
 	}
@@ -293,7 +293,7 @@
 }
 
 // stand adds what was ordered to what stands.
-func (o *serviceOrders) stand(in *sizing.Input, now time.Time) {
+func (o *serviceOrders) stand(in *autoscaling.Input, now time.Time) {
 	for place, p := range o.places {
 		at := in.Places[place]
 		p.most = max(p.most, at.Serving)
@@ -311,9 +311,9 @@
 }
 
 // placeOf is where a server stands.
-func placeOf(s *fleet.Server) sizing.Place {
+func placeOf(s *fleet.Server) autoscaling.Place {
 	if s.Spot {
-		return sizing.Place{Hall: s.Hall, Kind: sizing.Spot}
+		return autoscaling.Place{Hall: s.Hall, Kind: autoscaling.Spot}
 	}
-	return sizing.Place{Hall: s.Hall, Kind: sizing.Regular}
+	return autoscaling.Place{Hall: s.Hall, Kind: autoscaling.Regular}
 }
--- a/daemon/duties/rows.go
+++ b/daemon/duties/rows.go
@@ -6,14 +6,14 @@
 
 	"ladderridge.example/core/duty"
 	"ladderridge.example/core/fault"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/daemon/storesync"
 )
 
 // read reads a duty's row.
 func (d *Leaseholder) read(ctx context.Context, name duty.Name) duty.Event {
-	page, err := d.Rows.Read(ctx, relay.Duties)
+	page, err := d.Rows.Read(ctx, gossip.Duties)
 	if err != nil {
 		d.Log.Warn().Str("duty", string(name)).Err(err).Msg("duty: its row could not be read")
 		return duty.Unread{}
@@ -39,11 +39,11 @@
 		d.Log.Error().Str("duty", string(name)).Err(err).Msg("duty: its row cannot be encoded")
 		return duty.Unread{}
 	}
-	version, err := d.Rows.Swap(ctx, relay.Duties, string(name), data, o.Was)
+	version, err := d.Rows.Swap(ctx, gossip.Duties, string(name), data, o.Was)
 	switch {
 	case err == nil:
 		return duty.Written{Version: version}
-	case fault.Is(err, knowledge.Conflict):
+	case fault.Is(err, storesync.Conflict):
 		return duty.Conflict{}
 	default:
 		d.Log.Warn().Str("duty", string(name)).Stringer("was", o.Was).Err(err).Msg("duty: its row may not have been written")
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -15,20 +15,20 @@
 
 	"github.com/phuslu/log"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/attempt"
 	"ladderridge.example/core/bill"
 	"ladderridge.example/core/pin"
 	"ladderridge.example/core/quarantine"
 	"ladderridge.example/core/route"
 	"ladderridge.example/core/table"
-	"ladderridge.example/core/tally"
 	"ladderridge.example/daemon/backend"
 	"ladderridge.example/daemon/claims"
 	"ladderridge.example/daemon/control"
 	"ladderridge.example/daemon/pins"
 	"ladderridge.example/daemon/record"
 	"ladderridge.example/daemon/settings"
-	"ladderridge.example/daemon/unread"
+	"ladderridge.example/daemon/slowreader"
 	"ladderridge.example/daemon/wire"
 )
 
@@ -54,7 +54,7 @@
 	Tracer   *record.Tracer
 	Log      log.Logger
 	// unread lets callers go that do not read their answers.
-	unread *unread.Guard
+	unread *slowreader.Guard
 
 	// Observe, if set, is told of every request of an organisation.
 	Observe func(record.Record)
@@ -88,7 +88,7 @@
 
 // New returns a front that has served nothing yet.
 func New() *Front {
-	f := &Front{confinement: newConfinement(), limiter: newLimiter(), retries: newRetries(), waiting: newWaiting(), unread: &unread.Guard{}, start: strconv.FormatInt(time.Now().UnixMilli(), 36)}
+	f := &Front{confinement: newConfinement(), limiter: newLimiter(), retries: newRetries(), waiting: newWaiting(), unread: &slowreader.Guard{}, start: strconv.FormatInt(time.Now().UnixMilli(), 36)}
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
@@ -100,7 +100,7 @@
 }
 
 // Demands returns what organisations ask of this daemon.
-func (f *Front) Demands() []tally.Demand { return f.limiter.demands(time.Now()) }
+func (f *Front) Demands() []aggregation.Demand { return f.limiter.demands(time.Now()) }
 
 // Run serves callers until Stop is called. When ctx ends it breaks off what is
 // still under way.
--- a/daemon/front/limiter.go
+++ b/daemon/front/limiter.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/limit"
-	"ladderridge.example/core/tally"
 	"ladderridge.example/daemon/control"
 )
 
@@ -90,7 +90,7 @@
 
 // demands returns what organisations ask for, sorted by key; organisations
 // that have become idle are left out.
-func (l *limiter) demands(now time.Time) []tally.Demand {
+func (l *limiter) demands(now time.Time) []aggregation.Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	seconds := now.Sub(l.taken).Seconds()
@@ -98,7 +98,7 @@
 		seconds = 1
 	}
 	l.taken = now
-	out := make([]tally.Demand, 0, len(l.orgs))
+	out := make([]aggregation.Demand, 0, len(l.orgs))
 	for name, u := range l.orgs {
 		u.requestRate += smoothing * (u.offered/seconds - u.requestRate)
 		u.tokenRate += smoothing * (u.spent/seconds - u.tokenRate)
@@ -107,11 +107,11 @@
 			u.requestRate, u.tokenRate = 0, 0
 			continue
 		}
-		out = append(out, tally.Demand{
-			Key: tally.KeyOf(name), Requests: uint32(u.requestRate*tally.RequestsUnit + 0.5), Tokens: uint32(u.tokenRate + 0.5), InFlight: uint32(u.inFlight),
+		out = append(out, aggregation.Demand{
+			Key: aggregation.KeyOf(name), Requests: uint32(u.requestRate*aggregation.RequestsUnit + 0.5), Tokens: uint32(u.tokenRate + 0.5), InFlight: uint32(u.inFlight),
 		})
 	}
-	slices.SortFunc(out, func(a, b tally.Demand) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b aggregation.Demand) int { return cmp.Compare(a.Key, b.Key) })
 	return out
 }
 
--- a/daemon/front/quarantine.go
+++ b/daemon/front/quarantine.go
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/attempt"
 	"ladderridge.example/core/fault"
 	"ladderridge.example/core/quarantine"
 	"ladderridge.example/core/route"
-	"ladderridge.example/core/tally"
 	"ladderridge.example/daemon/backend"
 	"ladderridge.example/daemon/channel"
 )
@@ -28,15 +28,17 @@
 }
 
 // crashKey is the key of a request's crash count in the tally.
-func crashKey(f quarantine.Fingerprint) tally.Key { return tally.KeyOf("crash/" + f.String()) }
+func crashKey(f quarantine.Fingerprint) aggregation.Key {
+	return aggregation.KeyOf("crash/" + f.String())
+}
 
 // Crashes are the crash counts of requests that this daemon has found, for the tally.
-func (f *Front) Crashes() []tally.Evidence {
-	var out []tally.Evidence
+func (f *Front) Crashes() []aggregation.Evidence {
+	var out []aggregation.Evidence
 	for _, c := range f.confinement.ledger.Recent(time.Now()) {
-		out = append(out, tally.Evidence{Key: crashKey(c.Content), Answers: uint64(c.Crashes), Bad: uint64(c.Crashes)})
+		out = append(out, aggregation.Evidence{Key: crashKey(c.Content), Answers: uint64(c.Crashes), Bad: uint64(c.Crashes)})
 	}
-	slices.SortFunc(out, func(a, b tally.Evidence) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b aggregation.Evidence) int { return cmp.Compare(a.Key, b.Key) })
 	return out
 }
 
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -20,19 +20,19 @@
 	"ladderridge.example/core/retry"
 	"ladderridge.example/daemon/channel"
 	"ladderridge.example/daemon/duties"
-	"ladderridge.example/daemon/exchange"
-	"ladderridge.example/daemon/knowledge"
 	"ladderridge.example/daemon/logwriter"
 	"ladderridge.example/daemon/peer"
+	"ladderridge.example/daemon/proxy"
 	"ladderridge.example/daemon/settings"
-	"ladderridge.example/daemon/standstill"
+	"ladderridge.example/daemon/slowreader"
+	"ladderridge.example/daemon/storesync"
 	"ladderridge.example/daemon/supervise"
-	"ladderridge.example/daemon/unread"
+	"ladderridge.example/daemon/suspend"
 )
 
 // Engine serves the requests that a door has read.
 type Engine interface {
-	Serve(ctx context.Context, r *exchange.Request, sink exchange.Sink) exchange.Outcome
+	Serve(ctx context.Context, r *proxy.Request, sink proxy.Sink) proxy.Outcome
 }
 
 // Port is what a door is given.
@@ -47,9 +47,9 @@
 
 // Platform is an adapter to what the daemon runs on.
 type Platform struct {
-	Store   knowledge.Store
-	Decoder knowledge.Decoder
-	Dialect exchange.Dialect
+	Store   storesync.Store
+	Decoder storesync.Decoder
+	Dialect proxy.Dialect
 	// Door makes the handler of callers' requests.
 	Door func(Port) http.Handler
 	// Duties takes what one daemon does for all; nil is nothing. DutyNames are what that is.
@@ -76,14 +76,14 @@
 
 	log         log.Logger
 	logWriter   *logwriter.Writer
-	keeper      *knowledge.Keeper
+	keeper      *storesync.Keeper
 	leaseholder *duties.Leaseholder
 	peers       *peer.Transport
 	channels    *channel.Pool
-	engine      *exchange.Engine
+	engine      *proxy.Engine
 	reporter    *reporter
 	registry    *prometheus.Registry
-	unread      unread.Guard
+	unread      slowreader.Guard
 	callers     *server
 	readiness   *server
 	admin       *server
@@ -123,20 +123,20 @@
 	if err != nil {
 		return err
 	}
-	g.keeper = knowledge.New()
+	g.keeper = storesync.New()
 	keys.Trusted = g.keeper.PublicKey
 	g.peers = &peer.Transport{Addr: s.Peers, Keys: keys, Log: g.log, Deliver: func(in peer.Incoming) {
 		g.keeper.Received(in.From, in.Message)
 	}}
 	g.keeper.Store, g.keeper.Decoder, g.keeper.Peers, g.keeper.Log = g.Platform.Store, g.Platform.Decoder, sender{g.peers}, g.log
 	g.keeper.InForceWithin, g.keeper.SessionPause, g.keeper.FirstStart = s.InForceWithin, s.SessionPause, s.FirstStart
-	g.keeper.Self = knowledge.Member{ID: s.ID, Hall: s.Hall, Addr: s.PeerAddr(), Public: keys.Public(), Start: g.Start, Capacity: s.Capacity()}
+	g.keeper.Self = storesync.Member{ID: s.ID, Hall: s.Hall, Addr: s.PeerAddr(), Public: keys.Public(), Start: g.Start, Capacity: s.Capacity()}
 	g.channels = channel.NewPool()
 	g.channels.Listed = g.listed
 	g.reporter = newReporter(g.log)
-	g.engine = exchange.New()
+	g.engine = proxy.New()
 	g.engine.Knowledge, g.engine.Channels, g.engine.Dialect = g.keeper, g.channels, g.Platform.Dialect
-	g.keeper.StoodStill, g.engine.StoodStill = standstill.Total, standstill.Total
+	g.keeper.StoodStill, g.engine.StoodStill = suspend.Total, suspend.Total
 	g.engine.Hall, g.engine.Observer, g.engine.Noticed = s.Hall, g.reporter.report, g.reporter.noticed
 	g.engine.Limited, g.keeper.Limited = g.limited, g.reporter.limited
 	g.engine.Budget = &retry.Budget{Seed: g.Start}
@@ -161,7 +161,7 @@
 		return
 	}
 	g.leaseholder = duties.New()
-	g.leaseholder.Self, g.leaseholder.Start, g.leaseholder.Log, g.leaseholder.StoodStill = s.ID, g.Start, g.log, standstill.Total
+	g.leaseholder.Self, g.leaseholder.Start, g.leaseholder.Log, g.leaseholder.StoodStill = s.ID, g.Start, g.log, suspend.Total
 	g.leaseholder.Settings = duties.Settings{Names: g.Platform.DutyNames, Lease: s.DutyLease, Window: s.UsageWindow, Late: s.UsageLate, Rate: s.DutyRate}
 	g.leaseholder.Rows, g.leaseholder.Platform, g.leaseholder.Knowledge = g.Platform.DutyRows, g.Platform.Duties, g.keeper
 	g.leaseholder.Prepare()
@@ -171,13 +171,13 @@
 // sender carries the keeper's messages to other daemons.
 type sender struct{ peers *peer.Transport }
 
-// Send implements knowledge.Sender.
+// Send implements storesync.Sender.
 func (s sender) Send(id, addr string, m any) { s.peers.Send(id, addr, m) }
 
-// SendAll implements knowledge.Sender.
+// SendAll implements storesync.Sender.
 func (s sender) SendAll(to map[string]string, m any) { s.peers.SendAll(to, m) }
 
-// Forget implements knowledge.Sender.
+// Forget implements storesync.Sender.
 func (s sender) Forget(id string) { s.peers.Forget(id) }
 
 // bodyLimit is the longest body that callers may send now.
--- a/daemon/gateway/report.go
+++ b/daemon/gateway/report.go
@@ -13,7 +13,7 @@
 	"ladderridge.example/core/clock"
 	"ladderridge.example/core/fleet"
 	"ladderridge.example/core/notice"
-	"ladderridge.example/daemon/exchange"
+	"ladderridge.example/daemon/proxy"
 )
 
 // reporter logs and counts requests that have ended. Requests that went wrong
@@ -75,18 +75,18 @@
 }
 
 // outcomeNames are an outcome's name and reason.
-func outcomeNames(out exchange.Outcome) (name, reason string) {
+func outcomeNames(out proxy.Outcome) (name, reason string) {
 	switch out := out.(type) {
-	case exchange.Answered:
+	case proxy.Answered:
 		if out.Status >= 400 {
 			return "passed_failure", strconv.Itoa(out.Status)
 		}
 		return "answered", ""
-	case exchange.Refused:
+	case proxy.Refused:
 		return "refused", string(out.Reason)
-	case exchange.Failure:
+	case proxy.Failure:
 		return "failed", string(out.Reason)
-	case exchange.Broken:
+	case proxy.Broken:
 		return "broken", string(out.Reason)
 	default:
 		return "caller_gone", ""
@@ -94,7 +94,7 @@
 }
 
 // report takes a request that has ended.
-func (r *reporter) report(rep exchange.Report) {
+func (r *reporter) report(rep proxy.Report) {
 	name, reason := outcomeNames(rep.Outcome)
 	r.requests.WithLabelValues(rep.Route, name, reason).Inc()
 	r.duration.WithLabelValues(name).Observe(rep.Took.Seconds())
@@ -136,7 +136,7 @@
 }
 
 // countNotices counts what servers said of themselves in answers.
-func (r *reporter) countNotices(rep exchange.Report) {
+func (r *reporter) countNotices(rep proxy.Report) {
 	for _, t := range rep.Tries {
 		if t.Notice.Leaving {
 			r.notices.WithLabelValues(rep.Service, "leaving").Inc()
@@ -154,7 +154,7 @@
 }
 
 // line writes a request's line.
-func (r *reporter) line(rep exchange.Report, name, reason string) {
+func (r *reporter) line(rep proxy.Report, name, reason string) {
 	e := r.log.Info()
 	if name != "answered" && name != "caller_gone" {
 		e = r.log.Warn()
@@ -167,14 +167,14 @@
 	if len(rep.Tries) > 0 {
 		e = e.Str("tries", triesText(rep.Tries))
 	}
-	if refused, ok := rep.Outcome.(exchange.Refused); ok {
+	if refused, ok := rep.Outcome.(proxy.Refused); ok {
 		e = e.Int64("retry_after_ms", refused.RetryAfter.Milliseconds())
 	}
 	e.Msg("request: ended")
 }
 
 // triesText writes the attempts in one line.
-func triesText(tries []exchange.Try) string {
+func triesText(tries []proxy.Try) string {
 	var b strings.Builder
 	for i, t := range tries {
 		if i > 0 {
--- a/daemon/peer/acts_test.go
+++ b/daemon/peer/acts_test.go
@@ -9,7 +9,7 @@
 
 	_ "ladderridge.example/core/fixedseed"
 
-	"ladderridge.example/core/spread"
+	"ladderridge.example/core/replication"
 )
 
 // TestManyDaemonsActAsOne drives nodes with requests to bill, edits, kills,
@@ -95,7 +95,7 @@
 // check holds at any moment.
 func (w *world) check(t *rapid.T) {
 	for id, n := range w.nodes {
-		now := n.Store.Get(spread.Config).Number
+		now := n.Store.Get(replication.Config).Number
 		if w.lives[id] == w.life[id] && now < w.held[id] {
 			t.Fatalf("%s went back from generation %d to %d", id, w.held[id], now)
 		}
@@ -120,7 +120,7 @@
 			}
 			behind := 0
 			for other, m := range w.nodes {
-				if w.listed(other).Hall == h.Name && m.Store.Get(spread.Config).Number < h.Oldest {
+				if w.listed(other).Hall == h.Name && m.Store.Get(replication.Config).Number < h.Oldest {
 					behind++
 				}
 			}
@@ -160,7 +160,7 @@
 		if n.Ledger.Pending() > 0 {
 			t.Fatalf("%s still holds %d bills", id, n.Ledger.Pending())
 		}
-		if age := w.now.Sub(n.Store.ConfirmedAt(spread.Config)); age > 10*time.Second {
+		if age := w.now.Sub(n.Store.ConfirmedAt(replication.Config)); age > 10*time.Second {
 			t.Fatalf("%s confirmed its table %v ago", id, age)
 		}
 	}
--- a/daemon/peer/codec.go
+++ b/daemon/peer/codec.go
@@ -9,12 +9,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/node"
-	"ladderridge.example/core/relay"
 )
 
 // Message is what daemons say to each other: a message of package node or of
-// package relay.
+// package gossip.
 type Message any
 
 // tag says which type of message follows it on the wire.
@@ -76,11 +76,11 @@
 		t = tagCopiesHeld
 	case node.Release:
 		t = tagRelease
-	case relay.Ask:
+	case gossip.Ask:
 		t = tagAsk
-	case relay.Tell:
+	case gossip.Tell:
 		t = tagTell
-	case relay.Evidence:
+	case gossip.Evidence:
 		t = tagEvidence
 	default:
 		return nil, &Error{Op: "encode message", Kind: BadMessage, Err: fmt.Errorf("%T is no message", m)}
@@ -152,9 +152,9 @@
 	tagCopies:      decode[node.Copies],
 	tagCopiesHeld:  decode[node.CopiesHeld],
 	tagRelease:     decode[node.Release],
-	tagAsk:         decode[relay.Ask],
-	tagTell:        decode[relay.Tell],
-	tagEvidence:    decode[relay.Evidence],
+	tagAsk:         decode[gossip.Ask],
+	tagTell:        decode[gossip.Tell],
+	tagEvidence:    decode[gossip.Evidence],
 }
 
 func decode[M any](body []byte) (Message, error) {
--- a/daemon/peer/codec_test.go
+++ b/daemon/peer/codec_test.go
@@ -9,14 +9,14 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/bill"
 	"ladderridge.example/core/canary"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/member"
 	"ladderridge.example/core/node"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/replication"
 	"ladderridge.example/core/revision"
-	"ladderridge.example/core/spread"
-	"ladderridge.example/core/tally"
 	"ladderridge.example/daemon/peer"
 )
 
@@ -24,23 +24,23 @@
 var messages = []peer.Message{
 	node.Heartbeat{
 		Incarnation: 7, Hall: "h", Addr: "127.0.0.1:1", Ask: true, Turn: 3,
-		Offers:  []spread.Offer{{Topic: spread.VMs, Number: 4, Sum: 5, AgeMS: 6}},
+		Offers:  []replication.Offer{{Topic: replication.VMs, Number: 4, Sum: 5, AgeMS: 6}},
 		Updates: []member.Update{{ID: "a", Incarnation: 2, State: member.Down}},
 		Leaving: []node.LeavingServer{{ID: "e", AgeMS: 1}},
 	},
-	node.Fetch{Topic: spread.Config},
-	node.Deliver{Document: spread.NewDocument(spread.Config, 9, []byte("table")), AgeMS: 8},
-	node.TallyUp{Sums: tally.Sums{Daemons: 2, Set: 5, Oldest: 1, Demands: []tally.Demand{{Key: 1, Requests: 2, Tokens: 3, InFlight: 4}}}},
-	node.TallyDown{Totals: tally.Totals{FreshOthers: 1, Halls: []tally.Status{{Name: "h", Members: 3, Complete: true, Round: 4}}}},
-	node.TallyAcross{Hall: tally.Hall{Status: tally.Status{Name: "h", Members: 3}, Sums: tally.Sums{Evidence: []tally.Evidence{{Key: 1, Answers: 2, Bad: 1}}}}},
+	node.Fetch{Topic: replication.Config},
+	node.Deliver{Document: replication.NewDocument(replication.Config, 9, []byte("table")), AgeMS: 8},
+	node.TallyUp{Sums: aggregation.Sums{Daemons: 2, Set: 5, Oldest: 1, Demands: []aggregation.Demand{{Key: 1, Requests: 2, Tokens: 3, InFlight: 4}}}},
+	node.TallyDown{Totals: aggregation.Totals{FreshOthers: 1, Halls: []aggregation.Status{{Name: "h", Members: 3, Complete: true, Round: 4}}}},
+	node.TallyAcross{Hall: aggregation.Hall{Status: aggregation.Status{Name: "h", Members: 3}, Sums: aggregation.Sums{Evidence: []aggregation.Evidence{{Key: 1, Answers: 2, Bad: 1}}}}},
 	node.Copies{Bills: []bill.Bill{{Key: "k", Organisation: "o", Tokens: 3, Cost: 4}}, Adopt: true},
 	node.CopiesHeld{Keys: []string{"k"}},
 	node.Release{Keys: []string{"k", "l"}},
-	relay.Ask{Nonce: 7, Have: []relay.Have{{Topic: relay.Servers, Version: revision.New(1, 3), Sum: 9}}, LimitSum: 3, Limits: []relay.Limit{{ID: "a", Born: 4, Rate: 1.6, AskedMS: 5, HeardMS: 6}}},
-	relay.Tell{Nonce: 7, Known: []relay.Known{{Topic: relay.Servers, Version: revision.New(2, 4), AgeMS: 5, Sum: 1, Base: 2, Rows: []relay.Row{{Key: "k", Data: []byte("row"), Version: revision.New(2, 4)}}, Removed: []string{"gone"}}}},
+	gossip.Ask{Nonce: 7, Have: []gossip.Have{{Topic: gossip.Servers, Version: revision.New(1, 3), Sum: 9}}, LimitSum: 3, Limits: []gossip.Limit{{ID: "a", Born: 4, Rate: 1.6, AskedMS: 5, HeardMS: 6}}},
+	gossip.Tell{Nonce: 7, Known: []gossip.Known{{Topic: gossip.Servers, Version: revision.New(2, 4), AgeMS: 5, Sum: 1, Base: 2, Rows: []gossip.Row{{Key: "k", Data: []byte("row"), Version: revision.New(2, 4)}}, Removed: []string{"gone"}}}},
 	// Long enough to be compressed.
-	relay.Tell{Known: []relay.Known{{Topic: relay.Operator, Whole: true, Rows: []relay.Row{{Key: "k", Data: bytes.Repeat([]byte("row "), 1000)}}}}},
-	relay.Evidence{Hall: "h", Start: 1, Sequence: 2, Counts: []relay.Count{{Service: "s", Version: "v", Route: "r", Answers: 3, Failed: 2, First: canary.Paces{1, 2}, Between: canary.Paces{10: 1}}}, OldInFlight: map[string]int{"s": 4}, Withdrawn: []string{"s@v"}},
+	gossip.Tell{Known: []gossip.Known{{Topic: gossip.Operator, Whole: true, Rows: []gossip.Row{{Key: "k", Data: bytes.Repeat([]byte("row "), 1000)}}}}},
+	gossip.Evidence{Hall: "h", Start: 1, Sequence: 2, Counts: []gossip.Count{{Service: "s", Version: "v", Route: "r", Answers: 3, Failed: 2, First: canary.Paces{1, 2}, Between: canary.Paces{10: 1}}}, OldInFlight: map[string]int{"s": 4}, Withdrawn: []string{"s@v"}},
 }
 
 func TestMessagesReadBackAsThemselves(t *testing.T) {
--- a/daemon/peer/core_measure_test.go
+++ b/daemon/peer/core_measure_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/bill"
 	"ladderridge.example/core/node"
-	"ladderridge.example/core/tally"
 )
 
 func figure(name string, value float64, unit string) {
@@ -30,16 +30,16 @@
 
 // loadOf gives every daemon the figures of a number of organisations and
 // versions.
-func loadOf(orgs, versions int) tally.Sums {
-	var s tally.Sums
+func loadOf(orgs, versions int) aggregation.Sums {
+	var s aggregation.Sums
 	for i := range orgs {
-		s.Demands = append(s.Demands, tally.Demand{Key: tally.KeyOf(fmt.Sprint("org", i)), Requests: 35, Tokens: 700, InFlight: 9})
+		s.Demands = append(s.Demands, aggregation.Demand{Key: aggregation.KeyOf(fmt.Sprint("org", i)), Requests: 35, Tokens: 700, InFlight: 9})
 	}
 	for i := range versions {
-		s.Evidence = append(s.Evidence, tally.Evidence{Key: tally.KeyOf(fmt.Sprint("ver", i)), Answers: 100_000, Bad: 900})
+		s.Evidence = append(s.Evidence, aggregation.Evidence{Key: aggregation.KeyOf(fmt.Sprint("ver", i)), Answers: 100_000, Bad: 900})
 	}
-	slices.SortFunc(s.Demands, func(a, b tally.Demand) int { return int(int64(a.Key) - int64(b.Key)) })
-	slices.SortFunc(s.Evidence, func(a, b tally.Evidence) int { return int(int64(a.Key) - int64(b.Key)) })
+	slices.SortFunc(s.Demands, func(a, b aggregation.Demand) int { return int(int64(a.Key) - int64(b.Key)) })
+	slices.SortFunc(s.Evidence, func(a, b aggregation.Evidence) int { return int(int64(a.Key) - int64(b.Key)) })
 	return s
 }
 
@@ -50,7 +50,7 @@
 	for _, n := range []int{50, 100, 200, 400, 800} {
 		l := newLinks(1)
 		own := loadOf(10, 10)
-		l.own = func(string) tally.Sums { return own }
+		l.own = func(string) aggregation.Sums { return own }
 		l.addAll(n, 4)
 		l.platform.generation = 1
 		l.run(15 * time.Second)
@@ -86,7 +86,7 @@
 	for _, n := range []int{0, 10, 50, 200} {
 		l := newLinks(1)
 		own := loadOf(n, n)
-		l.own = func(string) tally.Sums { return own }
+		l.own = func(string) aggregation.Sums { return own }
 		l.addAll(100, 4)
 		l.platform.generation = 1
 		l.run(15 * time.Second)
--- a/daemon/peer/links_test.go
+++ b/daemon/peer/links_test.go
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/bill"
 	"ladderridge.example/core/member"
 	"ladderridge.example/core/node"
-	"ladderridge.example/core/spread"
-	"ladderridge.example/core/tally"
+	"ladderridge.example/core/replication"
 	"ladderridge.example/daemon/peer"
 )
 
@@ -89,7 +89,7 @@
 	loss     float64
 	cut      map[[2]string]bool
 	platform fakePlatform
-	own      func(id string) tally.Sums
+	own      func(id string) aggregation.Sums
 	safe     map[string]bool
 	messages int
 	bytes    int
@@ -102,7 +102,7 @@
 		now: time.UnixMilli(1_800_000_000_000), rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node.Node{},
 		life: map[string]int{}, frozen: map[string]bool{}, held: map[string][]delivery{}, cut: map[[2]string]bool{},
 		platform: fakePlatform{bills: map[string]int{}, cutHalls: map[string]bool{}}, safe: map[string]bool{}, byDaemon: map[string]int{},
-		own: func(string) tally.Sums { return tally.Sums{} },
+		own: func(string) aggregation.Sums { return aggregation.Sums{} },
 	}
 }
 
@@ -192,7 +192,7 @@
 	case node.BillSafe:
 		l.safe[o.Key] = true
 	case node.Changed:
-		if o.Document.Topic == spread.VMs {
+		if o.Document.Topic == replication.VMs {
 			l.feed(id, node.VMsKnown{Entries: l.platform.list, Halls: l.halls})
 		}
 	}
@@ -227,9 +227,9 @@
 		done.Failed, done.After = true, time.Second
 	case l.platformFails(id):
 		done.Failed = true
-	case o.Topic == spread.Config:
+	case o.Topic == replication.Config:
 		done.Number = l.platform.generation
-	case o.Topic == spread.VMs:
+	case o.Topic == replication.VMs:
 		done.Number = l.platform.listNumber
 	}
 	if !done.Failed && done.Number > o.Have {
@@ -309,7 +309,7 @@
 		if l.frozen[id] {
 			continue
 		}
-		g := n.Store.Get(spread.Config).Number
+		g := n.Store.Get(replication.Config).Number
 		low, high = min(low, g), max(high, g)
 	}
 	return low, high
--- a/daemon/peer/pause_test.go
+++ b/daemon/peer/pause_test.go
@@ -6,7 +6,7 @@
 
 	"ladderridge.example/core/member"
 	"ladderridge.example/core/node"
-	"ladderridge.example/core/spread"
+	"ladderridge.example/core/replication"
 )
 
 // TestPausedDaemonDoubtsItsTable freezes a daemon while the table is edited.
@@ -33,12 +33,12 @@
 				l.loss, l.platform.down = 0, false
 			}
 			l.run(time.Millisecond)
-			holds := n.Store.Get(spread.Config).Number
+			holds := n.Store.Get(replication.Config).Number
 			if holds < 2 && !n.Doubt(l.now) && l.now.Sub(n.LastEvent()) < time.Second {
 				t.Fatalf("seed %d: after a pause the daemon trusts generation %d", seed, holds)
 			}
 		}
-		if n.Doubt(l.now) || n.Store.Get(spread.Config).Number != 2 {
+		if n.Doubt(l.now) || n.Store.Get(replication.Config).Number != 2 {
 			t.Fatalf("seed %d: the daemon still doubts, or missed the edit", seed)
 		}
 	}
@@ -58,7 +58,7 @@
 	if n.Doubt(l.now) {
 		t.Error("a daemon that was cut off, but never paused, doubts its table")
 	}
-	if age := l.now.Sub(n.Store.ConfirmedAt(spread.Config)); age < 28*time.Second {
+	if age := l.now.Sub(n.Store.ConfirmedAt(replication.Config)); age < 28*time.Second {
 		t.Errorf("cut off for 30 s, its table was confirmed %v ago", age)
 	}
 }
@@ -111,7 +111,7 @@
 	l.kill("entry-017")
 	l.start("entry-017")
 	l.run(10 * time.Second)
-	if got := l.nodes["entry-017"].Store.Get(spread.Config).Number; got != 1 {
+	if got := l.nodes["entry-017"].Store.Get(replication.Config).Number; got != 1 {
 		t.Errorf("started while the platform is down, the daemon holds generation %d, want 1", got)
 	}
 }
@@ -184,20 +184,20 @@
 func TestDaemonWhoseVMStoodStillDoubtsItsTable(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	n := node.New(member.Listed{ID: "entry-1", Hall: "h"}, 1, now)
-	n.Handle(node.ReadDone{Topic: spread.Config, Number: 1, Data: []byte("table"), At: now}, now)
+	n.Handle(node.ReadDone{Topic: replication.Config, Number: 1, Data: []byte("table"), At: now}, now)
 	now = now.Add(100 * time.Millisecond)
 	if n.Doubt(now) {
 		t.Fatal("in doubt before")
 	}
 	n.Handle(node.StoodStill{For: 20 * time.Second}, now)
-	if age := now.Sub(n.Store.ConfirmedAt(spread.Config)); !n.Doubt(now) || age < 20*time.Second {
+	if age := now.Sub(n.Store.ConfirmedAt(replication.Config)); !n.Doubt(now) || age < 20*time.Second {
 		t.Errorf("after the standstill: in doubt %v, confirmed %v ago", n.Doubt(now), age)
 	}
-	n.Handle(node.ReadDone{Topic: spread.Config, Number: 1, At: now.Add(-time.Millisecond)}, now.Add(time.Second))
+	n.Handle(node.ReadDone{Topic: replication.Config, Number: 1, At: now.Add(-time.Millisecond)}, now.Add(time.Second))
 	if !n.Doubt(now.Add(time.Second)) {
 		t.Error("a read from before confirms the table")
 	}
-	n.Handle(node.ReadDone{Topic: spread.Config, Number: 2, Data: []byte("newer"), At: now.Add(time.Second)}, now.Add(2*time.Second))
+	n.Handle(node.ReadDone{Topic: replication.Config, Number: 2, Data: []byte("newer"), At: now.Add(time.Second)}, now.Add(2*time.Second))
 	if n.Doubt(now.Add(2 * time.Second)) {
 		t.Error("still in doubt")
 	}
--- a/daemon/peer/shares_measure_test.go
+++ b/daemon/peer/shares_measure_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"ladderridge.example/core/aggregation"
 	"ladderridge.example/core/limit"
-	"ladderridge.example/core/tally"
 )
 
 // The limit that 40 daemons in 4 data halls share, in tenths of requests a
@@ -27,8 +27,8 @@
 func newShared(demand func(l *links, id string) uint32) *shared {
 	s := &shared{links: newLinks(1)}
 	s.demand = func(id string) uint32 { return demand(s.links, id) }
-	s.own = func(id string) tally.Sums {
-		return tally.Sums{Demands: []tally.Demand{{Key: 1, Requests: s.demand(id)}}}
+	s.own = func(id string) aggregation.Sums {
+		return aggregation.Sums{Demands: []aggregation.Demand{{Key: 1, Requests: s.demand(id)}}}
 	}
 	s.addAll(sharesDaemons, sharesHalls)
 	s.platform.generation = 1
--- a/daemon/exchange/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -1,4 +1,4 @@
-package exchange
+package proxy
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	attempts "ladderridge.example/core/attempt"
 	"ladderridge.example/core/fault"
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/prompts"
+	"ladderridge.example/core/prefixcache"
 	"ladderridge.example/core/quarantine"
 	"ladderridge.example/daemon/channel"
 )
@@ -51,7 +51,7 @@
 	relative float64
 	// prompt is what the model is to read, shared how much of it other requests share
 	// and this daemon had not sent to the server, in pieces.
-	prompt prompts.Prompt
+	prompt prefixcache.Prompt
 	shared float64
 	// weight is how much of the server's work the attempt is.
 	weight float64
@@ -64,7 +64,7 @@
 // request, or else one that has.
 func (j *job) choose(now time.Time) (*fleet.Server, bool) {
 	j.look()
-	j.prompt, j.piece = prompts.For(j.model(), j.request.Prompt), j.pieceWork()
+	j.prompt, j.piece = prefixcache.For(j.model(), j.request.Prompt), j.pieceWork()
 	if len(j.failed) > 0 {
 		if s, ok := j.chooseBut(slices.Concat(j.avoid, j.failed), now); ok {
 			return s, true
--- a/daemon/exchange/engine.go
+++ b/daemon/proxy/engine.go
@@ -1,4 +1,4 @@
-package exchange
+package proxy
 
 import (
 	"context"
@@ -8,23 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 
 	attempts "ladderridge.example/core/attempt"
+	"ladderridge.example/core/cascade"
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/ladder"
+	"ladderridge.example/core/latency"
 	"ladderridge.example/core/notice"
-	"ladderridge.example/core/pace"
-	"ladderridge.example/core/prompts"
+	"ladderridge.example/core/prefixcache"
 	"ladderridge.example/core/quarantine"
 	"ladderridge.example/core/retry"
 	"ladderridge.example/core/routemap"
 	"ladderridge.example/daemon/channel"
-	"ladderridge.example/daemon/knowledge"
-	"ladderridge.example/daemon/standstill"
+	"ladderridge.example/daemon/storesync"
+	"ladderridge.example/daemon/suspend"
 )
 
 // Knowledge is what the engine needs to know.
 type Knowledge interface {
-	View() *knowledge.View
-	Observe(f knowledge.Fact)
+	View() *storesync.View
+	Observe(f storesync.Fact)
 	// Ran notes which version serves a session.
 	Ran(service string, session uint64, version string)
 	// ServerEnded counts a server that has ended against what was under way there.
@@ -42,7 +42,7 @@
 	// Hall is this daemon's data hall.
 	Hall string
 	// StoodStill tells how long the VM has stood still; nil is never.
-	StoodStill standstill.Clock
+	StoodStill suspend.Clock
 	// Observer is told of each request that has ended; nil is nobody.
 	Observer func(Report)
 	// Began is told of each request of an organisation that a server has begun to run; nil is
@@ -71,9 +71,9 @@
 	keyAge    atomic.Int64
 	keyAgeCut atomic.Int64
 	// paces are what the first parts of answers take.
-	paces *byKind[pace.Estimate]
+	paces *byKind[latency.Estimate]
 	// settled are what answers of versions take that are not in roll-out.
-	settled *byKind[pace.Reference]
+	settled *byKind[latency.Reference]
 	// runs are the requests at servers.
 	runs *quarantine.Runs
 }
@@ -95,7 +95,7 @@
 
 // New returns an engine that has served nothing yet.
 func New() *Engine {
-	return &Engine{paces: newByKind[pace.Estimate](), settled: newByKind[pace.Reference](), runs: quarantine.NewRuns()}
+	return &Engine{paces: newByKind[latency.Estimate](), settled: newByKind[latency.Reference](), runs: quarantine.NewRuns()}
 }
 
 // Report is what became of a request and why, for logs and metrics.
@@ -167,7 +167,7 @@
 	// left reports whether the caller has gone.
 	left func() bool
 
-	view   *knowledge.View
+	view   *storesync.View
 	route  *routemap.Route
 	holder *routemap.Organisation
 	// accepted is the configuration under which the key passed.
@@ -179,10 +179,10 @@
 	// long the VM had stood still when it came.
 	end   time.Time
 	stood time.Duration
-	step  ladder.Step
+	step  cascade.Step
 	// prompt is what the model of the step is to read, piece how much of a server's
 	// work a piece of it is. Each choice of a server renews them.
-	prompt prompts.Prompt
+	prompt prefixcache.Prompt
 	piece  float64
 	// avoid are servers that declined the request or broke off, failed those
 	// that answered that they failed or were busy: they are taken if there is no
@@ -276,7 +276,7 @@
 		if j.request.Model != AnyModel {
 			return Refused{Reason: WrongModel}
 		}
-		j.step = ladder.Start(len(route.Ladder))
+		j.step = cascade.Start(len(route.Ladder))
 	}
 	j.service = route.Pick(xxhash.Sum64String(j.request.ID))
 	j.report.Service, j.report.Session = j.service, j.request.session()
--- a/daemon/exchange/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -1,4 +1,4 @@
-package exchange_test
+package proxy_test
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 	"github.com/google/go-cmp/cmp"
 
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/prompts"
+	"ladderridge.example/core/prefixcache"
 	"ladderridge.example/core/quarantine"
 	"ladderridge.example/core/retry"
 	"ladderridge.example/core/routemap"
-	"ladderridge.example/daemon/exchange"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/daemon/proxy"
+	"ladderridge.example/daemon/storesync"
 )
 
 // parts is a configuration with one route of each kind.
@@ -45,8 +45,8 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(200, "the answer", "Proof: p")))
-		got := b.ask(t.Context(), exchange.Request{ID: "r1", Path: "/once/x", Target: "/once/x?q=%20", Key: "k", Body: []byte("in"), Wait: time.Second})
-		if got.status != 200 || got.body.String() != "the answer" || got.header.Get("Proof") != "p" || got.outcome != (exchange.Answered{Status: 200}) {
+		got := b.ask(t.Context(), proxy.Request{ID: "r1", Path: "/once/x", Target: "/once/x?q=%20", Key: "k", Body: []byte("in"), Wait: time.Second})
+		if got.status != 200 || got.body.String() != "the answer" || got.header.Get("Proof") != "p" || got.outcome != (proxy.Answered{Status: 200}) {
 			t.Errorf("%d %q %v", got.status, got.body.String(), got.outcome)
 		}
 		a := b.seen()[0]
@@ -60,25 +60,25 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		s := b.server("a", whole(200, "x"))
-		if got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/once/x", Key: "k"}); got.outcome.(exchange.Refused).Reason != exchange.NotReady {
+		if got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k"}); got.outcome.(proxy.Refused).Reason != proxy.NotReady {
 			t.Errorf("without a configuration: %v", got.outcome)
 		}
 		b.known.set(routemap.New(parts(1, "k")), s)
-		for want, r := range map[exchange.Reason]exchange.Request{
-			exchange.NoRoute:    {Path: "/other/"},
-			exchange.NoKey:      {Path: "/once/x"},
-			exchange.WrongKey:   {Path: "/once/x", Key: "other"},
-			exchange.WrongModel: {Path: "/ladder/x", Key: "k", Model: "large"},
+		for want, r := range map[proxy.Reason]proxy.Request{
+			proxy.NoRoute:    {Path: "/other/"},
+			proxy.NoKey:      {Path: "/once/x"},
+			proxy.WrongKey:   {Path: "/once/x", Key: "other"},
+			proxy.WrongModel: {Path: "/ladder/x", Key: "k", Model: "large"},
 		} {
 			r.ID = "r"
-			if got := b.ask(t.Context(), r); got.outcome.(exchange.Refused).Reason != want {
+			if got := b.ask(t.Context(), r); got.outcome.(proxy.Refused).Reason != want {
 				t.Errorf("want %q: %v", want, got.outcome)
 			}
 		}
 		// Nothing has confirmed the configuration since: keys no longer pass.
 		time.Sleep(4*time.Second + time.Millisecond)
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/once/x", Key: "k"})
-		if out := got.outcome.(exchange.Refused); out.Reason != exchange.Stale || out.RetryAfter <= 0 {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k"})
+		if out := got.outcome.(proxy.Refused); out.Reason != proxy.Stale || out.RetryAfter <= 0 {
 			t.Errorf("with an old configuration: %v", got.outcome)
 		}
 		if len(b.seen()) > 0 {
@@ -92,8 +92,8 @@
 		b := newBench(t)
 		lose := func(net.Conn, arrival) bool { return false }
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", lose), b.server("b", lose))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
-		if got.outcome != (exchange.Failure{Reason: exchange.Failed}) {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
+		if got.outcome != (proxy.Failure{Reason: proxy.Failed}) {
 			t.Errorf("the outcome is %v", got.outcome)
 		}
 		if len(b.seen()) != 1 {
@@ -108,13 +108,13 @@
 		full := whole(503, "", "Declined: 1")
 		servers := []*fleet.Server{b.server("a", full), b.server("b", full), b.server("c", whole(200, "ok"))}
 		b.known.set(routemap.New(parts(1, "k")), servers...)
-		if got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second}); got.body.String() != "ok" {
+		if got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second}); got.body.String() != "ok" {
 			t.Errorf("%v", got.outcome)
 		}
 		b.scripts["c"] = full
 		b.known.set(routemap.New(parts(2, "k")), servers[:2]...)
-		got := b.ask(t.Context(), exchange.Request{ID: "r2", Path: "/once/x", Key: "k", Wait: time.Second})
-		if out, ok := got.outcome.(exchange.Refused); !ok || out.Reason != exchange.Full || out.RetryAfter <= 0 || got.took > 0 {
+		got := b.ask(t.Context(), proxy.Request{ID: "r2", Path: "/once/x", Key: "k", Wait: time.Second})
+		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.Full || out.RetryAfter <= 0 || got.took > 0 {
 			t.Errorf("with all servers full: %v after %v", got.outcome, got.took)
 		}
 	})
@@ -137,7 +137,7 @@
 					return whole(200, "ok")(c, a)
 				}
 				b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s))
-				got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Method: http.MethodGet, Key: "k", Wait: time.Second})
+				got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Method: http.MethodGet, Key: "k", Wait: time.Second})
 				if got.body.String() != "ok" || len(b.seen()) != 2 {
 					t.Errorf("%v, sent %d times", got.outcome, len(b.seen()))
 				}
@@ -150,7 +150,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(500, "failure", "Proof: p")))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
 		if got.status != 500 || got.body.String() != "failure" || got.header.Get("Proof") != "p" {
 			t.Errorf("%d %q", got.status, got.body.String())
 		}
@@ -161,8 +161,8 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", silent))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/once/x", Key: "k", Wait: 300 * time.Millisecond})
-		if got.outcome != (exchange.Failure{Reason: exchange.Late}) || got.took != 300*time.Millisecond {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: 300 * time.Millisecond})
+		if got.outcome != (proxy.Failure{Reason: proxy.Late}) || got.took != 300*time.Millisecond {
 			t.Errorf("%v after %v", got.outcome, got.took)
 		}
 	})
@@ -178,8 +178,8 @@
 			return events(3, 4, true, "Proof: second")(c, a)
 		}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
-		if got.outcome != (exchange.Answered{Status: 200}) || got.header.Get("Proof") != "first" {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
+		if got.outcome != (proxy.Answered{Status: 200}) || got.header.Get("Proof") != "first" {
 			t.Errorf("%v with the head %v", got.outcome, got.header)
 		}
 		if diff := cmp.Diff([]string{"1", "2", "3", "4"}, ids(got.body.String())); diff != "" {
@@ -217,8 +217,8 @@
 		}
 		servers = []*fleet.Server{b.server("a", s), b.server("b", s)}
 		b.known.set(routemap.New(parts(1, "k")), servers...)
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
-		if got.outcome != (exchange.Answered{Status: 200}) || len(ids(got.body.String())) != 3 {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
+		if got.outcome != (proxy.Answered{Status: 200}) || len(ids(got.body.String())) != 3 {
 			t.Errorf("%v with the events %v", got.outcome, ids(got.body.String()))
 		}
 	})
@@ -229,8 +229,8 @@
 		b := newBench(t)
 		s := events(1, 2, false)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s), b.server("c", s))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
-		if _, ok := got.outcome.(exchange.Broken); !ok {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
+		if _, ok := got.outcome.(proxy.Broken); !ok {
 			t.Errorf("the outcome is %v", got.outcome)
 		}
 		if diff := cmp.Diff([]string{"1", "2"}, ids(got.body.String())); diff != "" {
@@ -250,8 +250,8 @@
 			return events(2, 2, true)(c, a)
 		}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
-		if got.outcome != (exchange.Answered{Status: 200}) || got.took >= 4*time.Second {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
+		if got.outcome != (proxy.Answered{Status: 200}) || got.took >= 4*time.Second {
 			t.Errorf("%v after %v", got.outcome, got.took)
 		}
 	})
@@ -267,7 +267,7 @@
 			return events(1, 2, true, "Confidence: 20")(c, a)
 		}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: exchange.AnyModel, Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
 		if len(ids(got.body.String())) != 2 {
 			t.Errorf("%v: the caller has the events %v", got.outcome, ids(got.body.String()))
 		}
@@ -299,7 +299,7 @@
 		}
 		b.known.set(routemap.New(parts(1, "k")), first, second)
 		ask := func() {
-			b.ask(t.Context(), exchange.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: exchange.AnyModel, Wait: time.Second})
+			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
 		}
 		for range 20 {
 			ask()
@@ -330,7 +330,7 @@
 			b.known.set(routemap.New(parts(1, "k")), servers...)
 			before := len(b.seen())
 			for range requests {
-				b.ask(t.Context(), exchange.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: exchange.AnyModel, Wait: time.Second})
+				b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
 			}
 			return len(b.seen()) - before - requests
 		}
@@ -352,8 +352,8 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", events(1, 1, true, "Confidence: 90")))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: exchange.AnyModel, Wait: time.Second})
-		if len(b.seen()) != 1 || got.outcome != (exchange.Answered{Status: 200}) {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+		if len(b.seen()) != 1 || got.outcome != (proxy.Answered{Status: 200}) {
 			t.Errorf("%v after %d attempts", got.outcome, len(b.seen()))
 		}
 	})
@@ -365,8 +365,8 @@
 		b := newBench(t)
 		b.engine.Budget = &retry.Budget{Window: 10 * time.Second}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", events(1, 1, true, "Confidence: 10")))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: exchange.AnyModel, Wait: time.Second})
-		if got.outcome != (exchange.Answered{Status: 200}) || len(b.seen()) != 1 {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+		if got.outcome != (proxy.Answered{Status: 200}) || len(b.seen()) != 1 {
 			t.Errorf("%v after %d attempts", got.outcome, len(b.seen()))
 		}
 	})
@@ -378,7 +378,7 @@
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", events(1, 1, true, "Confidence: 90")))
 		for range 20 {
-			b.ask(t.Context(), exchange.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: exchange.AnyModel, Wait: time.Second})
+			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
 		}
 		time.Sleep(2 * time.Second)
 		before := b.engine.Repeats()[0].Left
@@ -400,9 +400,9 @@
 		}))
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		got := b.ask(ctx, exchange.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
+		got := b.ask(ctx, proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
 		<-left
-		if got.outcome != (exchange.Gone{}) || got.took != 100*time.Millisecond {
+		if got.outcome != (proxy.Gone{}) || got.took != 100*time.Millisecond {
 			t.Errorf("%v after %v", got.outcome, got.took)
 		}
 	})
@@ -420,8 +420,8 @@
 			_, err := io.WriteString(c, "0\r\n\r\n")
 			return err == nil
 		}))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
-		if got.outcome != (exchange.Answered{Status: 200}) || len(b.seen()) != 1 {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
+		if got.outcome != (proxy.Answered{Status: 200}) || len(b.seen()) != 1 {
 			t.Errorf("%v after %d attempts", got.outcome, len(b.seen()))
 		}
 	})
@@ -434,13 +434,13 @@
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(200, "ok")))
 		b.engine.EndAt(time.Now().Add(1500 * time.Millisecond))
-		ask := func(wait time.Duration) exchange.Outcome {
-			return b.ask(t.Context(), exchange.Request{ID: "r", Path: "/once/x", Key: "k", Wait: wait}).outcome
+		ask := func(wait time.Duration) proxy.Outcome {
+			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: wait}).outcome
 		}
-		if out := ask(time.Second); out != (exchange.Answered{Status: 200}) {
+		if out := ask(time.Second); out != (proxy.Answered{Status: 200}) {
 			t.Errorf("a short one: %v", out)
 		}
-		if out, ok := ask(9 * time.Second).(exchange.Refused); !ok || out.Reason != exchange.Leaving || out.RetryAfter <= 0 {
+		if out, ok := ask(9 * time.Second).(proxy.Refused); !ok || out.Reason != proxy.Leaving || out.RetryAfter <= 0 {
 			t.Errorf("one that may outlast the daemon: %v", out)
 		}
 		if len(b.seen()) != 1 {
@@ -455,26 +455,26 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(200, "ok")))
-		ask := func(key string) exchange.Outcome {
-			return b.ask(t.Context(), exchange.Request{ID: "r", Path: "/once/x", Key: key, Wait: time.Second}).outcome
+		ask := func(key string) proxy.Outcome {
+			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: key, Wait: time.Second}).outcome
 		}
 		b.engine.SetKeyAge(4*time.Second, 20*time.Second)
-		if out := ask("other"); out != (exchange.Refused{Reason: exchange.WrongKey}) {
+		if out := ask("other"); out != (proxy.Refused{Reason: proxy.WrongKey}) {
 			t.Errorf("a wrong key: %v", out)
 		}
 		time.Sleep(10 * time.Second)
-		if out := ask("k"); out != (exchange.Answered{Status: 200}) {
+		if out := ask("k"); out != (proxy.Answered{Status: 200}) {
 			t.Errorf("a known key in a cut: %v", out)
 		}
-		if out, ok := ask("other").(exchange.Refused); !ok || out.Reason != exchange.Stale || out.RetryAfter <= 0 {
+		if out, ok := ask("other").(proxy.Refused); !ok || out.Reason != proxy.Stale || out.RetryAfter <= 0 {
 			t.Errorf("an unknown key in a cut: %v", out)
 		}
 		time.Sleep(12 * time.Second)
-		if out, ok := ask("k").(exchange.Refused); !ok || out.Reason != exchange.Stale {
+		if out, ok := ask("k").(proxy.Refused); !ok || out.Reason != proxy.Stale {
 			t.Errorf("a known key after too long: %v", out)
 		}
 		b.engine.SetKeyAge(4*time.Second, 0)
-		if out, ok := ask("k").(exchange.Refused); !ok || out.Reason != exchange.Stale {
+		if out, ok := ask("k").(proxy.Refused); !ok || out.Reason != proxy.Stale {
 			t.Errorf("where keys may not outlive the store: %v", out)
 		}
 	})
@@ -495,7 +495,7 @@
 			return whole(200, "ok")(c, a)
 		}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
 		if got.body.String() != "ok" {
 			t.Errorf("%v", got.outcome)
 		}
@@ -512,8 +512,8 @@
 			time.Sleep(first)
 			return paced(6, between)(c, a)
 		}))
-		ask := func() knowledge.Fact {
-			b.ask(t.Context(), exchange.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
+		ask := func() storesync.Fact {
+			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
 			return b.known.last()
 		}
 		for range 20 {
@@ -542,13 +542,13 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", paced(4, time.Second)))
-		go b.ask(t.Context(), exchange.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
+		go b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
 		time.Sleep(500 * time.Millisecond)
-		if told := b.known.told(); len(told) != 1 || told[0].Stage != knowledge.Begun {
+		if told := b.known.told(); len(told) != 1 || told[0].Stage != storesync.Begun {
 			t.Errorf("told so far is %+v", told)
 		}
 		time.Sleep(6 * time.Second)
-		if told := b.known.told(); len(told) != 2 || told[1].Stage != knowledge.Over || told[1].First != 0 {
+		if told := b.known.told(); len(told) != 2 || told[1].Stage != storesync.Over || told[1].First != 0 {
 			t.Errorf("told is %+v", told)
 		}
 	})
@@ -564,9 +564,9 @@
 			time.Sleep(10*time.Millisecond + time.Duration(tokens)*5*time.Microsecond)
 			return paced(6, 5*time.Millisecond)(c, a)
 		}))
-		ask := func(tokens int) knowledge.Fact {
-			prompt := []prompts.Part{{ID: "shared", Tokens: 4000}, {ID: fmt.Sprint(tokens), Tokens: tokens}}
-			b.ask(t.Context(), exchange.Request{ID: fmt.Sprint(tokens), Path: "/slow/x", Key: "k", Wait: 9 * time.Second, Prompt: prompt})
+		ask := func(tokens int) storesync.Fact {
+			prompt := []prefixcache.Part{{ID: "shared", Tokens: 4000}, {ID: fmt.Sprint(tokens), Tokens: tokens}}
+			b.ask(t.Context(), proxy.Request{ID: fmt.Sprint(tokens), Path: "/slow/x", Key: "k", Wait: 9 * time.Second, Prompt: prompt})
 			return b.known.last()
 		}
 		for i := range 40 {
@@ -590,15 +590,15 @@
 			time.Sleep(first)
 			return paced(6, time.Millisecond)(c, a)
 		}))
-		ask := func() knowledge.Fact {
-			b.ask(t.Context(), exchange.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: time.Second})
+		ask := func() storesync.Fact {
+			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: time.Second})
 			return b.known.last()
 		}
 		for range 20 {
 			ask()
 		}
 		first = 3 * time.Second
-		if f := ask(); f.Stage != knowledge.NotAwaited || f.First < 8 {
+		if f := ask(); f.Stage != storesync.NotAwaited || f.First < 8 {
 			t.Errorf("it counts as %+v", f)
 		}
 		// The server ends as well.
@@ -612,16 +612,16 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", func(net.Conn, arrival) bool { return false }))
-		b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
 		b.known.set(routemap.New(parts(2, "k")), b.server("b", events(1, 2, false)))
-		b.ask(t.Context(), exchange.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
+		b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
 		// The first part of the stream came, at once: that is all that is told of it.
-		if told := b.known.facts; len(told) != 1 || told[0].Stage != knowledge.Begun || told[0].Failed || told[0].First > 2 {
+		if told := b.known.facts; len(told) != 1 || told[0].Stage != storesync.Begun || told[0].Failed || told[0].First > 2 {
 			t.Errorf("they were told as %+v", told)
 		}
 		b.known.facts = nil
 		b.known.set(routemap.New(parts(3, "k")), b.server("c", whole(500, "")))
-		b.ask(t.Context(), exchange.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
+		b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
 		if len(b.known.facts) == 0 || !b.known.facts[0].Failed {
 			t.Errorf("a failure was told as %+v", b.known.facts)
 		}
@@ -639,7 +639,7 @@
 			sound.Load.Begin(1)
 		}
 		b.known.set(routemap.New(parts(1, "k")), grey, sound)
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
 		if got.body.String() != "ok" || b.seen()[0].server != "a" {
 			t.Errorf("%v at %+v", got.outcome, b.seen())
 		}
@@ -657,7 +657,7 @@
 		}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s))
 		ask := func(wait time.Duration) *told {
-			return b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Wait: wait})
+			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: wait})
 		}
 		for range 20 {
 			ask(time.Second)
@@ -685,9 +685,9 @@
 			b.known.set(routemap.New(parts(1, "k")), server)
 			for range 5 {
 				ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-				got := b.ask(ctx, exchange.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
+				got := b.ask(ctx, proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
 				cancel()
-				if got.outcome != (exchange.Gone{}) {
+				if got.outcome != (proxy.Gone{}) {
 					t.Errorf("%s: %v", name, got.outcome)
 				}
 			}
@@ -705,7 +705,7 @@
 		b := newBench(t)
 		s := b.server("a", whole(200, "ok"))
 		time.AfterFunc(100*time.Millisecond, func() { b.known.set(routemap.New(parts(1, "k")), s) })
-		if got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second}); got.body.String() != "ok" {
+		if got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second}); got.body.String() != "ok" {
 			t.Errorf("%v after %v", got.outcome, got.took)
 		}
 	})
@@ -714,9 +714,9 @@
 func TestRequestAtTheStartIsNotHeldLong(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
-		refused, ok := got.outcome.(exchange.Refused)
-		if !ok || refused.Reason != exchange.NotReady || refused.RetryAfter == 0 || got.took > 150*time.Millisecond {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
+		refused, ok := got.outcome.(proxy.Refused)
+		if !ok || refused.Reason != proxy.NotReady || refused.RetryAfter == 0 || got.took > 150*time.Millisecond {
 			t.Errorf("%v after %v", got.outcome, got.took)
 		}
 	})
@@ -742,7 +742,7 @@
 			home.Load.Begin(1)
 		}
 		b.known.set(routemap.New(parts(1, "k")), append(all, home)...)
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
 		if seen := b.seen(); got.body.String() != "ok" || len(seen) != 2 {
 			t.Errorf("%v after %d attempts", got.outcome, len(seen))
 		}
@@ -757,7 +757,7 @@
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(200, "x")))
 		for id, body := range map[string]string{"r1": "in", "r2": "in", "r3": "other"} {
-			b.ask(t.Context(), exchange.Request{ID: id, Path: "/again/x", Key: "k", Body: []byte(body)})
+			b.ask(t.Context(), proxy.Request{ID: id, Path: "/again/x", Key: "k", Body: []byte(body)})
 		}
 		content := map[string]quarantine.Fingerprint{}
 		for _, r := range b.reports {
@@ -785,7 +785,7 @@
 		}
 		b.known.set(routemap.New(parts(1, "k")), servers...)
 		ask := func(id string) *told {
-			return b.ask(t.Context(), exchange.Request{ID: id, Path: "/ladder/x", Key: "k", Model: exchange.AnyModel, Body: []byte("deadly"), Wait: 2 * time.Second})
+			return b.ask(t.Context(), proxy.Request{ID: id, Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Body: []byte("deadly"), Wait: 2 * time.Second})
 		}
 		for n := 0; b.ended.Load() < 3; n++ {
 			ask("r" + strconv.Itoa(n))
@@ -793,8 +793,8 @@
 		}
 		arrived := len(b.seen())
 		got := ask("once more")
-		out, refused := got.outcome.(exchange.Refused)
-		if !refused || out.Reason != exchange.Quarantined || out.RetryAfter < 9*time.Minute || got.took > 0 || len(b.seen()) > arrived {
+		out, refused := got.outcome.(proxy.Refused)
+		if !refused || out.Reason != proxy.Quarantined || out.RetryAfter < 9*time.Minute || got.took > 0 || len(b.seen()) > arrived {
 			t.Errorf("after %d servers: %#v after %v, %d arrivals", b.ended.Load(), got.outcome, got.took, len(b.seen())-arrived)
 		}
 		if cases := b.known.ledger.Cases(time.Now()); len(cases) != 1 || int64(cases[0].Crashes) != b.ended.Load() {
@@ -802,7 +802,7 @@
 		}
 		// Others of the organisation are served.
 		b.server("f", events(1, 3, true, "Confidence: 99"))
-		if got := b.ask(t.Context(), exchange.Request{ID: "r3", Path: "/ladder/x", Key: "k", Model: exchange.AnyModel, Body: []byte("other"), Wait: 2 * time.Second}); got.status != 200 {
+		if got := b.ask(t.Context(), proxy.Request{ID: "r3", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Body: []byte("other"), Wait: 2 * time.Second}); got.status != 200 {
 			t.Errorf("another request: %#v", got.outcome)
 		}
 	})
@@ -818,8 +818,8 @@
 		}
 		b.known.set(routemap.New(parts(1, "k")), servers...)
 		for n := range 5 {
-			got := b.ask(t.Context(), exchange.Request{ID: strconv.Itoa(n), Path: "/again/x", Key: "k", Body: []byte("in"), Wait: time.Second})
-			if _, refused := got.outcome.(exchange.Refused); refused {
+			got := b.ask(t.Context(), proxy.Request{ID: strconv.Itoa(n), Path: "/again/x", Key: "k", Body: []byte("in"), Wait: time.Second})
+			if _, refused := got.outcome.(proxy.Refused); refused {
 				t.Errorf("request %d: %#v", n, got.outcome)
 			}
 			time.Sleep(time.Second)
@@ -832,7 +832,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", silent))
-		go b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Wait: time.Second})
+		go b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Wait: time.Second})
 		synctest.Wait()
 		b.known.set(routemap.New(parts(1, "k")))
 		b.end("a")
@@ -849,7 +849,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", b.mortal("deadly", 20*time.Millisecond, events(1, 1, false))))
-		r := exchange.Request{ID: "r", Path: "/stream/x", Key: "k", Body: []byte("deadly"), Wait: time.Second}
+		r := proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Body: []byte("deadly"), Wait: time.Second}
 		content := quarantine.Content{Method: http.MethodPost, Host: "h", Target: "/stream/x", Organisation: "org", Body: r.Body}.Fingerprint()
 		b.known.ServerEnded("x", []quarantine.Fingerprint{content})
 		b.known.ServerEnded("y", []quarantine.Fingerprint{content})
@@ -873,7 +873,7 @@
 		b.known.set(routemap.New(parts(1, "k")), first)
 		done := make(chan *told, 1)
 		go func() {
-			done <- b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Wait: 2 * time.Second})
+			done <- b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Wait: 2 * time.Second})
 		}()
 		time.Sleep(100 * time.Millisecond)
 		again := b.server("a", whole(200, "x"))
@@ -900,7 +900,7 @@
 				return false
 			}
 			b.known.set(routemap.New(parts(1, "k")), b.server("a", suspended), b.server("b", suspended))
-			b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Wait: time.Second})
+			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Wait: time.Second})
 			seen := b.seen()
 			if len(seen) != want {
 				t.Fatalf("stood still for %v: it reached %d servers", still, len(seen))
@@ -922,8 +922,8 @@
 		b.known.set(routemap.New(p), b.server("a", whole(200, "x")))
 		b.known.view.StoodStill = func() time.Duration { return time.Duration(stood.Load()) }
 		stood.Store(int64(3 * time.Second))
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/once/x"})
-		if out, ok := got.outcome.(exchange.Refused); !ok || out.Reason != exchange.Stale || out.RetryAfter <= 0 || len(b.seen()) > 0 {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x"})
+		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.Stale || out.RetryAfter <= 0 || len(b.seen()) > 0 {
 			t.Errorf("%#v", got.outcome)
 		}
 	})
--- a/daemon/exchange/events.go
+++ b/daemon/proxy/events.go
@@ -1,4 +1,4 @@
-package exchange
+package proxy
 
 import (
 	"bufio"
--- a/daemon/exchange/halls_test.go
+++ b/daemon/proxy/halls_test.go
@@ -1,4 +1,4 @@
-package exchange_test
+package proxy_test
 
 import (
 	"net"
@@ -7,8 +7,8 @@
 
 	"ladderridge.example/core/fleet"
 	"ladderridge.example/core/routemap"
-	"ladderridge.example/daemon/exchange"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/daemon/proxy"
+	"ladderridge.example/daemon/storesync"
 )
 
 // inHalls gives servers their halls.
@@ -20,7 +20,7 @@
 }
 
 // look replaces what is known of halls.
-func (b *bench) look(change func(v *knowledge.View)) {
+func (b *bench) look(change func(v *storesync.View)) {
 	b.known.mu.Lock()
 	defer b.known.mu.Unlock()
 	v := *b.known.view
@@ -34,9 +34,9 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), inHalls("emptied", b.server("a", whole(200, "ok")), b.server("b", whole(200, "ok")))...)
-		b.look(func(v *knowledge.View) { v.Servers = v.Servers.WithEmptied(map[string]bool{"emptied": true}) })
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
-		if out, ok := got.outcome.(exchange.Refused); !ok || out.Reason != exchange.NoServer || out.RetryAfter <= 0 {
+		b.look(func(v *storesync.View) { v.Servers = v.Servers.WithEmptied(map[string]bool{"emptied": true}) })
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
+		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.NoServer || out.RetryAfter <= 0 {
 			t.Errorf("the outcome is %v", got.outcome)
 		}
 		if len(b.seen()) > 0 || got.took > 10*time.Millisecond {
@@ -50,14 +50,14 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		empty := func(net.Conn, arrival) bool {
-			b.look(func(v *knowledge.View) { v.Servers = v.Servers.WithEmptied(map[string]bool{"emptied": true}) })
+			b.look(func(v *storesync.View) { v.Servers = v.Servers.WithEmptied(map[string]bool{"emptied": true}) })
 			return false
 		}
 		near := inHalls("emptied", b.server("a", empty), b.server("b", empty))
 		far := inHalls("away", b.server("c", whole(200, "ok")))
 		b.engine.Hall = "emptied"
 		b.known.set(routemap.New(parts(1, "k")), append(near, far...)...)
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
 		if seen := b.seen(); got.body.String() != "ok" || len(seen) != 2 || seen[1].server != "c" {
 			t.Errorf("%v after %v", got.outcome, seen)
 		}
@@ -78,19 +78,19 @@
 		reset := func(net.Conn, arrival) bool { return false }
 		south := inHalls("south-a", b.server("a", whole(200, "ok")))
 		north := inHalls("north-a", b.server("b", reset), b.server("c", whole(200, "ok")))
-		regions := func(v *knowledge.View) { v.Regions = map[string]string{"south-a": "south", "north-a": "north"} }
+		regions := func(v *storesync.View) { v.Regions = map[string]string{"south-a": "south", "north-a": "north"} }
 		b.known.set(routemap.New(p), append(south, north...)...)
 		b.look(regions)
 		for range 20 {
-			got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+			got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
 			if got.body.String() != "ok" {
 				t.Fatalf("the outcome is %v", got.outcome)
 			}
 		}
 		b.known.set(routemap.New(p), south...)
 		b.look(regions)
-		got := b.ask(t.Context(), exchange.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
-		if out, ok := got.outcome.(exchange.Refused); !ok || out.Reason != exchange.NoServer {
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.NoServer {
 			t.Errorf("without a server at home the outcome is %v", got.outcome)
 		}
 		for _, a := range b.seen() {
--- a/daemon/exchange/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -1,4 +1,4 @@
-package exchange_test
+package proxy_test
 
 import (
 	"bufio"
@@ -24,14 +24,14 @@
 	"ladderridge.example/core/retry"
 	"ladderridge.example/core/routemap"
 	"ladderridge.example/daemon/channel"
-	"ladderridge.example/daemon/exchange"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/daemon/proxy"
+	"ladderridge.example/daemon/storesync"
 )
 
 // dialect is a small one: headers of the tests' own.
 type dialect struct{}
 
-func (dialect) Compose(a exchange.Attempt) http.Header {
+func (dialect) Compose(a proxy.Attempt) http.Header {
 	h := http.Header{"Id": {a.Request.ID}, "Server": {a.Server.ID}, "Model": {a.Model}, "Organisation": {a.Organisation}}
 	if a.After >= 0 {
 		h.Set("After", strconv.FormatInt(a.After, 10))
@@ -44,8 +44,8 @@
 
 func (dialect) Belongs(id string, h http.Header) bool { return h.Get("Id") == "" || h.Get("Id") == id }
 
-func (dialect) Read(_ int, h http.Header) exchange.Head {
-	head := exchange.Head{NotRun: h.Get("Declined") != ""}
+func (dialect) Read(_ int, h http.Header) proxy.Head {
+	head := proxy.Head{NotRun: h.Get("Declined") != ""}
 	if n, err := strconv.Atoi(h.Get("Confidence")); err == nil {
 		head.Confidence, head.Confident = n, true
 	}
@@ -59,36 +59,36 @@
 // known is a fixed knowledge that tests replace.
 type known struct {
 	mu    sync.Mutex
-	view  *knowledge.View
-	facts []knowledge.Fact
+	view  *storesync.View
+	facts []storesync.Fact
 	// ledger has the crash counts of requests.
 	ledger *quarantine.Ledger
 }
 
-func (k *known) View() *knowledge.View {
+func (k *known) View() *storesync.View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.view
 }
 
-func (k *known) Observe(f knowledge.Fact) {
+func (k *known) Observe(f storesync.Fact) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.facts = append(k.facts, f)
 }
 
 // told are the facts so far.
-func (k *known) told() []knowledge.Fact {
+func (k *known) told() []storesync.Fact {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.facts)
 }
 
 // last is what was told of the last answer: a stream's two facts are put together.
-func (k *known) last() knowledge.Fact {
+func (k *known) last() storesync.Fact {
 	all := k.told()
 	f := all[len(all)-1]
-	if f.Stage == knowledge.Over {
+	if f.Stage == storesync.Over {
 		f.First = all[len(all)-2].First
 	}
 	return f
@@ -107,7 +107,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	k.view = &knowledge.View{Map: m, Servers: fleet.NewList(servers), ConfigAt: now, ServersAt: now, Daemons: 1, Quarantine: k.ledger}
+	k.view = &storesync.View{Map: m, Servers: fleet.NewList(servers), ConfigAt: now, ServersAt: now, Daemons: 1, Quarantine: k.ledger}
 	k.view.Sharers = quota.Daemons{Self: "d", ByHall: map[string][]string{"h": {"d"}}}
 }
 
@@ -125,7 +125,7 @@
 // bench is an engine with servers that live in pipes.
 type bench struct {
 	t      *testing.T
-	engine *exchange.Engine
+	engine *proxy.Engine
 	known  *known
 	mu     sync.Mutex
 	// scripts are the servers by address.
@@ -135,12 +135,12 @@
 	// ended is how many servers have ended.
 	ended    atomic.Int64
 	arrivals []arrival
-	reports  []exchange.Report
+	reports  []proxy.Report
 }
 
 func newBench(t *testing.T) *bench {
 	t.Helper()
-	b := &bench{t: t, known: &known{view: &knowledge.View{}, ledger: quarantine.NewLedger()}, scripts: map[string]script{}, conns: map[string][]net.Conn{}}
+	b := &bench{t: t, known: &known{view: &storesync.View{}, ledger: quarantine.NewLedger()}, scripts: map[string]script{}, conns: map[string][]net.Conn{}}
 	pool := channel.NewPool()
 	pool.Dial = b.dial
 	t.Cleanup(func() {
@@ -148,11 +148,11 @@
 		synctest.Wait()
 		pool.Sweep(func(string) bool { return false })
 	})
-	b.engine = exchange.New()
+	b.engine = proxy.New()
 	b.engine.Knowledge, b.engine.Channels, b.engine.Dialect = b.known, pool, dialect{}
 	b.engine.Budget = &retry.Budget{Ratio: 2, Window: 10 * time.Second, Slack: 800}
 	b.engine.SetKeyAge(4*time.Second, 0)
-	b.engine.Observer = func(r exchange.Report) { b.reports = append(b.reports, r) }
+	b.engine.Observer = func(r proxy.Report) { b.reports = append(b.reports, r) }
 	return b
 }
 
@@ -241,7 +241,7 @@
 	header  http.Header
 	body    bytes.Buffer
 	length  int64
-	outcome exchange.Outcome
+	outcome proxy.Outcome
 	took    time.Duration
 }
 
@@ -254,7 +254,7 @@
 func (t *told) Flush() error { return nil }
 
 // ask sends a request through the engine.
-func (b *bench) ask(ctx context.Context, r exchange.Request) *told {
+func (b *bench) ask(ctx context.Context, r proxy.Request) *told {
 	r.Arrived = time.Now()
 	if r.Method == "" {
 		r.Method = http.MethodPost
--- a/daemon/exchange/held_test.go
+++ b/daemon/proxy/held_test.go
@@ -1,4 +1,4 @@
-package exchange_test
+package proxy_test
 
 import (
 	"net/http"
@@ -8,7 +8,7 @@
 	"time"
 
 	"ladderridge.example/core/routemap"
-	"ladderridge.example/daemon/exchange"
+	"ladderridge.example/daemon/proxy"
 )
 
 // reader is a caller that takes its answer only when it is let.
@@ -17,7 +17,7 @@
 	let <-chan struct{}
 }
 
-// Write implements exchange.Sink.
+// Write implements proxy.Sink.
 func (r *reader) Write(p []byte) (int, error) {
 	<-r.let
 	return r.told.Write(p)
@@ -34,11 +34,11 @@
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(http.StatusOK, body)))
 		let := make(chan struct{})
 		readers := make([]*reader, callers)
-		ended := make(chan exchange.Outcome, callers)
+		ended := make(chan proxy.Outcome, callers)
 		for i := range readers {
 			readers[i] = &reader{let: let}
 			go func() {
-				r := exchange.Request{ID: "r" + strconv.Itoa(i), Method: http.MethodGet, Path: "/again/x", Target: "/again/x", Host: "h", Key: "k", Wait: time.Second, Arrived: time.Now(), After: -1}
+				r := proxy.Request{ID: "r" + strconv.Itoa(i), Method: http.MethodGet, Path: "/again/x", Target: "/again/x", Host: "h", Key: "k", Wait: time.Second, Arrived: time.Now(), After: -1}
 				ended <- b.engine.Serve(t.Context(), &r, readers[i])
 			}()
 		}
@@ -48,7 +48,7 @@
 		}
 		close(let)
 		for range callers {
-			if out := <-ended; out != (exchange.Answered{Status: http.StatusOK}) {
+			if out := <-ended; out != (proxy.Answered{Status: http.StatusOK}) {
 				t.Errorf("%v", out)
 			}
 		}
--- a/daemon/exchange/observe.go
+++ b/daemon/proxy/observe.go
@@ -1,11 +1,11 @@
-package exchange
+package proxy
 
 import (
 	"time"
 
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/pace"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/core/latency"
+	"ladderridge.example/daemon/storesync"
 )
 
 // observe tells what an answer says about the version that gave it. A broken
@@ -21,14 +21,14 @@
 // away, while other callers meet the same version.
 func (j *job) observeBegun(a *attempt) {
 	f := j.fact(a)
-	f.First, f.Stage = a.first, knowledge.Begun
+	f.First, f.Stage = a.first, storesync.Begun
 	j.engine.Knowledge.Observe(f)
 }
 
 // observeOver tells of the rest of a stream.
 func (j *job) observeOver(a *attempt, between float64) {
 	f := j.fact(a)
-	f.Between, f.Stage = between, knowledge.Over
+	f.Between, f.Stage = between, storesync.Over
 	j.engine.Knowledge.Observe(f)
 }
 
@@ -37,13 +37,13 @@
 func (j *job) observeEnded(a *attempt) {
 	least := j.engine.settled.of(j.like(a)).Relative(a.features(), time.Since(a.sent))
 	f := j.fact(a)
-	f.First, f.Stage = least, knowledge.NotAwaited
+	f.First, f.Stage = least, storesync.NotAwaited
 	j.engine.Knowledge.Observe(f)
 }
 
 // fact says whose answer an attempt's is.
-func (j *job) fact(a *attempt) knowledge.Fact {
-	return knowledge.Fact{Service: j.service, Version: a.server.Version, Route: j.route.Name, Server: a.server.Incarnation().String()}
+func (j *job) fact(a *attempt) storesync.Fact {
+	return storesync.Fact{Service: j.service, Version: a.server.Version, Route: j.route.Name, Server: a.server.Incarnation().String()}
 }
 
 // like names what times of an attempt are compared with: those of the same model,
@@ -56,8 +56,8 @@
 }
 
 // features are what an attempt's time depends on.
-func (a *attempt) features() pace.Features {
-	return pace.Features{Own: pieces(a.prompt.Own()), Shared: a.shared, Load: float64(a.server.Load.Requests())}
+func (a *attempt) features() latency.Features {
+	return latency.Features{Own: pieces(a.prompt.Own()), Shared: a.shared, Load: float64(a.server.Load.Requests())}
 }
 
 // pieces is how many pieces a server reads some tokens in.
@@ -79,7 +79,7 @@
 	f := a.features()
 	relative := j.engine.settled.of(kind).Relative(f, took)
 	if !j.view.InRollout(j.service, a.server.Version) {
-		j.engine.settled.learn(kind, func(r pace.Reference) pace.Reference { return r.With(f, took) })
+		j.engine.settled.learn(kind, func(r latency.Reference) latency.Reference { return r.With(f, took) })
 	}
 	return relative
 }
--- a/daemon/exchange/pace.go
+++ b/daemon/proxy/pace.go
@@ -1,9 +1,9 @@
-package exchange
+package proxy
 
 import (
 	"sync"
 
-	"ladderridge.example/core/pace"
+	"ladderridge.example/core/latency"
 )
 
 // byKind keeps what was learnt of answers by their kind. It is safe for concurrent
@@ -30,11 +30,11 @@
 }
 
 // typical are the features by which models are compared.
-var typical = pace.Features{Own: 4, Load: 4}
+var typical = latency.Features{Own: 4, Load: 4}
 
 // factor is how many times longer one reference takes than another, 1 if that is not
 // known.
-func factor(one, than pace.Reference) float64 {
+func factor(one, than latency.Reference) float64 {
 	long, short := one.Expected(typical), than.Expected(typical)
 	if long <= 0 || short <= 0 {
 		return 1
--- a/daemon/exchange/repeats.go
+++ b/daemon/proxy/repeats.go
@@ -1,20 +1,20 @@
-package exchange
+package proxy
 
 import (
 	"time"
 
 	"ladderridge.example/core/retry"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/daemon/storesync"
 )
 
 // spendRepeat takes a repeat of a service from the budget if it has one left.
-func (e *Engine) spendRepeat(service string, v *knowledge.View) bool {
+func (e *Engine) spendRepeat(service string, v *storesync.View) bool {
 	return e.Budget.Spend(service, e.sharers(v), e.budgetTime())
 }
 
 // sharers is how many daemons share the budget's slack, this one included; 0 is no share. A
 // daemon that is about to end leaves its share to the one that starts in its place.
-func (e *Engine) sharers(v *knowledge.View) int {
+func (e *Engine) sharers(v *storesync.View) int {
 	if e.ends.Load() != nil {
 		return 0
 	}
--- a/daemon/exchange/request.go
+++ b/daemon/proxy/request.go
@@ -1,9 +1,9 @@
-// Package exchange serves requests of the routed services: it decides on the
+// Package proxy serves requests of the routed services: it decides on the
 // service, version, model and server, sends, tries again where that is allowed,
 // asks a larger model where a smaller one was not sure, takes broken streams up
 // and settles what the caller is told. It knows no protocol: a door turns bytes
 // into a Request and an Outcome into bytes.
-package exchange
+package proxy
 
 import (
 	"net/http"
@@ -13,7 +13,7 @@
 
 	"ladderridge.example/core/fleet"
 	"ladderridge.example/core/notice"
-	"ladderridge.example/core/prompts"
+	"ladderridge.example/core/prefixcache"
 	"ladderridge.example/core/quarantine"
 )
 
@@ -42,7 +42,7 @@
 	// Session is the caller's name for what belongs together, or "".
 	Session string
 	// Prompt has the parts in order; the last one is the request's own.
-	Prompt []prompts.Part
+	Prompt []prefixcache.Part
 	// After is the last event of a stream that the caller has, or -1.
 	After int64
 }
@@ -76,16 +76,16 @@
 }
 
 // size is the length of the prompt in pieces.
-func (r *Request) size() float64 { return pieces(prompts.Tokens(r.Prompt)) }
+func (r *Request) size() float64 { return pieces(prefixcache.Tokens(r.Prompt)) }
 
 // shared are the parts of the prompt that other requests may share: all but the
 // last one.
-func (r *Request) shared() []prompts.Part { return r.Prompt[:max(0, len(r.Prompt)-1)] }
+func (r *Request) shared() []prefixcache.Part { return r.Prompt[:max(0, len(r.Prompt)-1)] }
 
 // sharesLittle reports whether what other requests share of the prompt is read in
 // less than one step of a model server.
 func (r *Request) sharesLittle() bool {
-	return prompts.Tokens(r.shared()) < fleet.PieceTokens
+	return prefixcache.Tokens(r.shared()) < fleet.PieceTokens
 }
 
 // Attempt is one request to one server, for a dialect to put into headers.
--- a/daemon/exchange/stream.go
+++ b/daemon/proxy/stream.go
@@ -1,4 +1,4 @@
-package exchange
+package proxy
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"io"
 	"time"
 
-	"ladderridge.example/core/ladder"
-	"ladderridge.example/core/pace"
+	"ladderridge.example/core/cascade"
+	"ladderridge.example/core/latency"
 )
 
 // stream passes on the events of an answer, or drops it for a larger model's.
@@ -61,9 +61,9 @@
 
 // mayEscalate reports whether an answer is dropped for one of a larger model, and by
 // what it was weighed.
-func (j *job) mayEscalate(ctx context.Context, a *attempt) (ladder.Step, ladder.Load, bool) {
+func (j *job) mayEscalate(ctx context.Context, a *attempt) (cascade.Step, cascade.Load, bool) {
 	if j.begun || len(j.route.Ladder) == 0 || j.made.Ran >= j.route.Attempts || ctx.Err() != nil {
-		return j.step, ladder.Load{}, false
+		return j.step, cascade.Load{}, false
 	}
 	now := time.Now()
 	load := j.load(a, now)
@@ -80,7 +80,7 @@
 
 // reserve chooses the server of a larger model's run before a smaller one's answer is dropped:
 // where none has room, that answer is all there is.
-func (j *job) reserve(a *attempt, next ladder.Step, now time.Time) (ok bool) {
+func (j *job) reserve(a *attempt, next cascade.Step, now time.Time) (ok bool) {
 	step, failed := j.step, j.failed
 	j.step = next
 	if j.engine.paces.of(a.kind).Relative(j.request.size(), now.Sub(a.sent)) >= busyFactor {
@@ -95,13 +95,13 @@
 }
 
 // load is how busy servers are, for deciding on a larger model.
-func (j *job) load(a *attempt, now time.Time) ladder.Load {
+func (j *job) load(a *attempt, now time.Time) cascade.Load {
 	objective := j.route.Objective
 	larger := j.engine.paces.of(j.kind(j.route.Ladder[j.step.Up().Index]))
-	l := ladder.Load{InTime: larger.Within(j.request.size(), j.request.Arrived.Add(objective).Sub(now), now)}
+	l := cascade.Load{InTime: larger.Within(j.request.size(), j.request.Arrived.Add(objective).Sub(now), now)}
 	if objective > 0 {
 		usual := j.engine.paces.of(j.kind(j.model())).Mean(now)
-		l.Waited = ladder.Waited(now.Sub(a.sent), usual, objective)
+		l.Waited = cascade.Waited(now.Sub(a.sent), usual, objective)
 		l.Delay = j.delays(a, objective)
 	}
 	return l
@@ -110,7 +110,7 @@
 // delays is how long a larger model's run holds up the requests that are at the
 // server, together, in terms of an objective.
 func (j *job) delays(a *attempt, objective time.Duration) float64 {
-	run := pace.Features{Own: pieces(a.prompt.Own()), Load: 1}
+	run := latency.Features{Own: pieces(a.prompt.Own()), Load: 1}
 	larger := j.service + "/" + j.route.Ladder[j.step.Up().Index]
 	return a.features().Load * j.engine.settled.of(larger).Expected(run) / objective.Seconds()
 }
--- a/daemon/exchange/whole.go
+++ b/daemon/proxy/whole.go
@@ -1,4 +1,4 @@
-package exchange
+package proxy
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"ladderridge.example/core/pace"
+	"ladderridge.example/core/latency"
 )
 
 // maxWhole bounds an answer that is held until it is whole, in bytes. A longer
@@ -107,7 +107,7 @@
 func (j *job) learn(a *attempt, took time.Duration) {
 	a.relative = j.engine.paces.of(a.kind).Relative(j.request.size(), took)
 	a.server.Load.Answered(a.relative)
-	j.engine.paces.learn(a.kind, func(e pace.Estimate) pace.Estimate { return e.With(j.request.size(), took, time.Now()) })
+	j.engine.paces.learn(a.kind, func(e latency.Estimate) latency.Estimate { return e.With(j.request.size(), took, time.Now()) })
 	a.first = j.compare(a, j.like(a), took)
 }
 
--- a/daemon/unread/unread.go
+++ b/daemon/slowreader/slowreader.go
@@ -1,9 +1,9 @@
-// Package unread bounds how long callers may leave their answers unread.
+// Package slowreader bounds how long callers may leave their answers unread.
 //
 // A caller that reads slowly is waited for: nothing more is read from its server than it takes.
 // One that has stopped to read would keep its request, its connection and a place at a server
 // for as long as its machine answers to the network.
-package unread
+package slowreader
 
 import (
 	"errors"
--- a/daemon/unread/unread_test.go
+++ b/daemon/slowreader/slowreader_test.go
@@ -1,4 +1,4 @@
-package unread_test
+package slowreader_test
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 
 	"github.com/phuslu/log"
 
-	"ladderridge.example/daemon/unread"
+	"ladderridge.example/daemon/slowreader"
 )
 
 // pipes is a listener of connections in memory.
@@ -58,7 +58,7 @@
 const answerBytes = 1 << 20
 
 // serve runs a server whose handler writes an answer in parts, and notes when it ended.
-func serve(t *testing.T, guard *unread.Guard, ended chan<- error) *pipes {
+func serve(t *testing.T, guard *slowreader.Guard, ended chan<- error) *pipes {
 	t.Helper()
 	p := newPipes()
 	s := &http.Server{Handler: guard.Wrap(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -85,7 +85,7 @@
 func TestCallerThatStopsReadingIsLetGo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
-		guard := &unread.Guard{Log: log.Logger{Level: log.PanicLevel}}
+		guard := &slowreader.Guard{Log: log.Logger{Level: log.PanicLevel}}
 		p := serve(t, guard, ended)
 		began := time.Now()
 		c := p.call(t)
@@ -93,7 +93,7 @@
 		if err := <-ended; err == nil {
 			t.Error("the answer was taken by nobody")
 		}
-		if took := time.Since(began); took < unread.Longest || took > 2*unread.Longest {
+		if took := time.Since(began); took < slowreader.Longest || took > 2*slowreader.Longest {
 			t.Errorf("it was let go after %v", took)
 		}
 		if guard.Gone.Load() != 1 {
@@ -105,7 +105,7 @@
 func TestCallerThatReadsSlowlyGetsAllOfItsAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
-		guard := &unread.Guard{Log: log.Logger{Level: log.PanicLevel}}
+		guard := &slowreader.Guard{Log: log.Logger{Level: log.PanicLevel}}
 		p := serve(t, guard, ended)
 		c := p.call(t)
 		defer func() { _ = c.Close() }()
@@ -130,7 +130,7 @@
 func TestNextRequestOfAConnectionHasItsOwnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan error, 3)
-		p := serve(t, &unread.Guard{Log: log.Logger{Level: log.PanicLevel}}, ended)
+		p := serve(t, &slowreader.Guard{Log: log.Logger{Level: log.PanicLevel}}, ended)
 		c := p.call(t)
 		defer func() { _ = c.Close() }()
 		r := bufio.NewReader(c)
@@ -144,7 +144,7 @@
 			}
 			_ = resp.Body.Close()
 			// Longer than the last answer's time to be read.
-			time.Sleep(2 * unread.Longest)
+			time.Sleep(2 * slowreader.Longest)
 			if _, err := io.WriteString(c, "GET /answer HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 				t.Fatal(err)
 			}
--- a/daemon/knowledge/changes.go
+++ b/daemon/storesync/changes.go
@@ -1,11 +1,11 @@
-package knowledge
+package storesync
 
 import (
 	"maps"
 	"time"
 
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 )
 
 // The list of servers by what has changed. Of thousands of servers a few change at a time, and
@@ -18,7 +18,7 @@
 // serversChanged makes the list of servers anew, by what has changed if that is little and
 // stands by itself.
 func (k *Keeper) serversChanged(now time.Time) {
-	t := k.topics[relay.Servers]
+	t := k.topics[gossip.Servers]
 	v := k.view.Load()
 	if !t.known || v.Servers == nil || len(k.lapsed) > 0 || k.hidden || len(t.fresh) > len(t.rows)/fewPart {
 		k.readServers(now)
@@ -95,14 +95,14 @@
 
 // entryNow is what a key's row says now; without a row it is empty.
 func (k *Keeper) entryNow(key string, now time.Time) serverEntry {
-	row, there := k.topics[relay.Servers].rows[key]
+	row, there := k.topics[gossip.Servers].rows[key]
 	if !there {
 		delete(k.entries, key)
 		return serverEntry{}
 	}
 	e := k.decode(row, now)
 	if e.err != nil {
-		k.malformed(relay.Servers, row, e.err)
+		k.malformed(gossip.Servers, row, e.err)
 	}
 	return e
 }
--- a/daemon/knowledge/drive.go
+++ b/daemon/storesync/drive.go
@@ -1,4 +1,4 @@
-package knowledge
+package storesync
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"time"
 
 	"ladderridge.example/core/canary"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
 )
 
@@ -104,10 +104,10 @@
 }
 
 // broadcast sends a message to the likely readers of other halls.
-func (k *Keeper) broadcast(m relay.Tell) { k.broadcastWith(Member{}, m) }
+func (k *Keeper) broadcast(m gossip.Tell) { k.broadcastWith(Member{}, m) }
 
 // broadcastWith sends it to them and another daemon, unless that is this one or none.
-func (k *Keeper) broadcastWith(more Member, m relay.Tell) {
+func (k *Keeper) broadcastWith(more Member, m gossip.Tell) {
 	to := map[string]string{}
 	for _, other := range append(k.readersOfOtherHalls(), more) {
 		to[other.ID] = other.Addr
@@ -302,7 +302,7 @@
 		return
 	}
 	k.rollouts.busy[service] = now
-	t := k.topics[relay.Progress]
+	t := k.topics[gossip.Progress]
 	was := revision.New(t.version.Era, 0)
 	if known, there := t.rows[row.Key]; there {
 		was = known.Version
@@ -312,7 +312,7 @@
 		ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 		defer cancel()
 		k.Calls.Add(1)
-		err := k.Store.Write(ctx, relay.Progress, row.Key, row.Data, was)
+		err := k.Store.Write(ctx, gossip.Progress, row.Key, row.Data, was)
 		k.deliver(ctx, wrote{service: service, err: err})
 	}()
 }
--- a/daemon/knowledge/era.go
+++ b/daemon/storesync/era.go
@@ -1,4 +1,4 @@
-package knowledge
+package storesync
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"ladderridge.example/core/canary"
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
 )
 
@@ -40,7 +40,7 @@
 }
 
 // superseded reports whether a row was known as it is, and has changed or gone since.
-func (t *topicState) superseded(row relay.Row) bool {
+func (t *topicState) superseded(row gossip.Row) bool {
 	sum := row.Sum()
 	return slices.ContainsFunc(t.before[row.Key], func(c content) bool { return c.number == row.Version.Number && c.sum == sum })
 }
@@ -48,12 +48,12 @@
 // reconcile returns all rows as they are known once the store, which may have returned from a
 // copy, has some: a row that is in the copy as it was before is held as it is known, with the
 // version that the store has, and so is one that the copy lacks.
-func (t *topicState) reconcile(rows []relay.Row, version revision.Revision, now time.Time) []relay.Row {
+func (t *topicState) reconcile(rows []gossip.Row, version revision.Revision, now time.Time) []gossip.Row {
 	returns := t.known && version.Era > t.version.Era
 	if t.returnedAt.IsZero() || now.Sub(t.returnedAt) > copyAge && len(t.held) == 0 {
 		return rows
 	}
-	out := make([]relay.Row, 0, len(rows))
+	out := make([]gossip.Row, 0, len(rows))
 	there := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		there[row.Key] = true
@@ -81,7 +81,7 @@
 }
 
 // noteHeld notes that another daemon holds rows that the store has lost.
-func (t *topicState) noteHeld(known relay.Known, now time.Time) {
+func (t *topicState) noteHeld(known gossip.Known, now time.Time) {
 	if known.Held > 0 {
 		t.returnedAt = now
 	}
@@ -89,12 +89,12 @@
 
 // takeHeld takes what another daemon of the same era holds that the store has lost, if this one has
 // read it from the copy. What the store has taken since the other one read it stands.
-func (t *topicState) takeHeld(known relay.Known, now time.Time) (gone []string, newer bool) {
+func (t *topicState) takeHeld(known gossip.Known, now time.Time) (gone []string, newer bool) {
 	if known.Version.Era != t.version.Era || known.Held <= uint64(len(t.held)) || !known.Whole && known.Base != t.sum {
 		return nil, false
 	}
 	t.returnedAt = now
-	var lost []relay.Row
+	var lost []gossip.Row
 	for _, row := range known.Rows {
 		was, has := t.rows[row.Key]
 		if has && was.Sum() != row.Sum() && !was.Version.After(known.Version) || !has && row.Version.Number == 0 {
@@ -110,7 +110,7 @@
 }
 
 // lacks are the keys of rows that another daemon does not have.
-func (t *topicState) lacks(known relay.Known) []string {
+func (t *topicState) lacks(known gossip.Known) []string {
 	if !known.Whole {
 		return slices.DeleteFunc(slices.Clone(known.Removed), func(key string) bool { _, has := t.rows[key]; return !has })
 	}
@@ -145,7 +145,7 @@
 }
 
 // noteEra notes that the store has returned from a copy, if a topic's new version shows it.
-func (k *Keeper) noteEra(topic relay.Topic, version revision.Revision, now time.Time) {
+func (k *Keeper) noteEra(topic gossip.Topic, version revision.Revision, now time.Time) {
 	t := k.topics[topic]
 	if !t.known || version.Era <= t.version.Era {
 		return
@@ -153,7 +153,7 @@
 	t.returnedAt = now
 	k.Log.Warn().Str("topic", string(topic)).Stringer("version", version).Stringer("was", t.version).Msg("knowledge: the store has returned from a copy: what it has lost is held until it is written again")
 	k.Returns.Add(1)
-	if topic == relay.Members && now.Sub(k.startedAt) < copyAge {
+	if topic == gossip.Members && now.Sub(k.startedAt) < copyAge {
 		// The copy may be older than this daemon's entry.
 		select {
 		case k.republish <- struct{}{}:
@@ -166,7 +166,7 @@
 func (k *Keeper) afterReturn(ctx context.Context, now time.Time) {
 	for topic, t := range k.topics {
 		t.forget(now)
-		if topic == relay.Progress {
+		if topic == gossip.Progress {
 			continue
 		}
 		if keys := t.overdue(now); len(keys) > 0 {
@@ -174,22 +174,22 @@
 			k.learned(topic, t.set(nil, keys, now), true, now)
 		}
 	}
-	progress := k.topics[relay.Progress]
-	behind := progress.known && progress.version.Era < k.topics[relay.Operator].version.Era
+	progress := k.topics[gossip.Progress]
+	behind := progress.known && progress.version.Era < k.topics[gossip.Operator].version.Era
 	k.progressLost.Store(behind || len(progress.held) > 0)
 	k.restoreProgress(ctx, now)
 }
 
 // restoreProgress has the states of roll-outs written again that the store has lost.
 func (k *Keeper) restoreProgress(ctx context.Context, now time.Time) {
-	t := k.topics[relay.Progress]
+	t := k.topics[gossip.Progress]
 	if !k.reading.Load() {
 		return
 	}
 	for key, since := range t.held {
 		service, p, err := k.Decoder.Progress(t.rows[key])
 		if err != nil {
-			k.malformed(relay.Progress, t.rows[key], err)
+			k.malformed(gossip.Progress, t.rows[key], err)
 			delete(t.held, key)
 			continue
 		}
--- a/daemon/knowledge/era_test.go
+++ b/daemon/storesync/era_test.go
@@ -1,4 +1,4 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"bytes"
@@ -9,12 +9,12 @@
 
 	"ladderridge.example/core/canary"
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/relay"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/core/gossip"
+	"ladderridge.example/daemon/storesync"
 )
 
 // leaving reports whether a daemon knows that a server takes nothing new.
-func leaving(k *knowledge.Keeper, id string) bool {
+func leaving(k *storesync.Keeper, id string) bool {
 	for _, s := range k.View().Servers.Service("s") {
 		if s.ID == id {
 			return !s.Open(time.Now())
@@ -36,7 +36,7 @@
 }
 
 // numbers are the configurations in force.
-func numbers(daemons []*knowledge.Keeper) []uint64 {
+func numbers(daemons []*storesync.Keeper) []uint64 {
 	var out []uint64
 	for _, k := range daemons {
 		out = append(out, k.View().Map.Number)
@@ -53,7 +53,7 @@
 				s := newSystem(t)
 				s.config(1, "k")
 				for _, id := range []string{"a", "b", "c"} {
-					s.rows.set(relay.Servers, id, "v1@h1#100")
+					s.rows.set(gossip.Servers, id, "v1@h1#100")
 				}
 				daemons := halls(s, 1)
 				pass(4 * time.Second)
@@ -61,11 +61,11 @@
 				for n := range uint64(8) {
 					s.config(2+n, "k", "k2")
 				}
-				s.rows.set(relay.Servers, "a", "v1@h1#100")
+				s.rows.set(gossip.Servers, "a", "v1@h1#100")
 				pass(3 * time.Second)
 				s.drill(copied, away)
 				s.config(20, "k3")
-				s.rows.set(relay.Servers, "b", "v2@h1#200")
+				s.rows.set(gossip.Servers, "b", "v2@h1#200")
 				pass(2 * time.Second)
 				for i, k := range daemons {
 					if n := k.View().Map.Number; n != 20 {
@@ -90,18 +90,18 @@
 		s := newSystem(t)
 		s.config(1, "k", "revoked")
 		for _, id := range []string{"a", "gone", "leaves"} {
-			s.rows.set(relay.Servers, id, "v1@h1#100")
+			s.rows.set(gossip.Servers, id, "v1@h1#100")
 		}
-		s.rows.set(relay.Servers, "there", "v1@h2#100")
-		s.decode = func(string) knowledge.Decoder { return drainDecoder{} }
+		s.rows.set(gossip.Servers, "there", "v1@h2#100")
+		s.decode = func(string) storesync.Decoder { return drainDecoder{} }
 		daemons := halls(s, 1)
 		pass(4 * time.Second)
 		copied := s.rows.copied()
 		s.config(5, "k")
-		s.rows.set(relay.Servers, "leaves", "v1@h1#100!")
-		s.rows.set(relay.Servers, "gone", "")
-		s.rows.set(relay.Operator, "empty/h2", "{}")
-		s.rows.set(relay.Servers, "new", "v1@h1#100")
+		s.rows.set(gossip.Servers, "leaves", "v1@h1#100!")
+		s.rows.set(gossip.Servers, "gone", "")
+		s.rows.set(gossip.Operator, "empty/h2", "{}")
+		s.rows.set(gossip.Servers, "new", "v1@h1#100")
 		pass(2 * time.Second)
 		s.drill(copied, 100*time.Millisecond)
 		check := func(when string) {
@@ -122,15 +122,15 @@
 			check(fmt.Sprint(n*100, " ms after the return"))
 		}
 		s.config(5, "k")
-		s.rows.set(relay.Operator, "empty/h2", "{}")
-		s.rows.set(relay.Servers, "leaves", "v1@h1#100!")
-		s.rows.set(relay.Servers, "gone", "")
-		s.rows.set(relay.Servers, "new", "v1@h1#100")
+		s.rows.set(gossip.Operator, "empty/h2", "{}")
+		s.rows.set(gossip.Servers, "leaves", "v1@h1#100!")
+		s.rows.set(gossip.Servers, "gone", "")
+		s.rows.set(gossip.Servers, "new", "v1@h1#100")
 		pass(10 * time.Second)
 		check("after all is written again")
 		// What comes then is news.
-		s.rows.set(relay.Servers, "leaves", "v1@h1#300")
-		s.rows.set(relay.Operator, "empty/h2", "")
+		s.rows.set(gossip.Servers, "leaves", "v1@h1#300")
+		s.rows.set(gossip.Operator, "empty/h2", "")
 		pass(2 * time.Second)
 		for i, k := range daemons {
 			if leaving(k, "leaves") || !k.View().Emptied["h2"].IsZero() {
@@ -148,15 +148,15 @@
 			inBubble(t, func(t *testing.T) {
 				s := newSystem(t)
 				s.config(1, "k")
-				s.rows.set(relay.Servers, "gone", "v1@h1#100")
-				s.rows.set(relay.Servers, "leaves", "v1@h1#100")
-				s.decode = func(string) knowledge.Decoder { return drainDecoder{} }
+				s.rows.set(gossip.Servers, "gone", "v1@h1#100")
+				s.rows.set(gossip.Servers, "leaves", "v1@h1#100")
+				s.decode = func(string) storesync.Decoder { return drainDecoder{} }
 				halls(s, 1)
 				pass(4 * time.Second)
 				copied := s.rows.copied()
 				s.config(5, "k")
-				s.rows.set(relay.Servers, "leaves", "v1@h1#100!")
-				s.rows.set(relay.Servers, "gone", "")
+				s.rows.set(gossip.Servers, "leaves", "v1@h1#100!")
+				s.rows.set(gossip.Servers, "gone", "")
 				pass(2 * time.Second)
 				s.drill(copied, 100*time.Millisecond)
 				pass(after)
@@ -176,7 +176,7 @@
 // drainDecoder reads servers with ! at the end as leaving.
 type drainDecoder struct{ decoder }
 
-func (d drainDecoder) Server(row relay.Row) (fleet.Server, error) {
+func (d drainDecoder) Server(row gossip.Row) (fleet.Server, error) {
 	data, leaves := bytes.CutSuffix(row.Data, []byte("!"))
 	row.Data = data
 	s, err := d.decoder.Server(row)
@@ -189,11 +189,11 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "a", "v1#100")
-		daemons := []*knowledge.Keeper{s.daemon("d"), s.daemon("e")}
+		s.rows.set(gossip.Servers, "a", "v1#100")
+		daemons := []*storesync.Keeper{s.daemon("d"), s.daemon("e")}
 		pass(4 * time.Second)
 		copied := s.rows.copied()
-		s.rows.set(relay.Servers, "b", "v1#100")
+		s.rows.set(gossip.Servers, "b", "v1#100")
 		pass(2 * time.Second)
 		s.drill(copied, 0)
 		pass(time.Second)
@@ -221,7 +221,7 @@
 				copied := s.rows.copied()
 				if name == "running" {
 					s.rows.mu.Lock()
-					delete(copied.tables[relay.Progress], "s")
+					delete(copied.tables[gossip.Progress], "s")
 					s.rows.mu.Unlock()
 				}
 				pass(before)
@@ -247,17 +247,17 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "old", "v1")
+		s.rows.set(gossip.Servers, "old", "v1")
 		daemons := halls(s, 1)
 		pass(4 * time.Second)
 		copied := s.rows.copied()
 		s.config(2, "k")
 		order := `{"Version":"v2","Seconds":20}`
-		s.rows.set(relay.Operator, "order/s", order)
+		s.rows.set(gossip.Operator, "order/s", order)
 		pass(3 * time.Second)
 		before := s.progress()
 		s.drill(copied, 100*time.Millisecond)
-		s.rows.set(relay.Operator, "order/s", order)
+		s.rows.set(gossip.Operator, "order/s", order)
 		s.config(2, "k")
 		pass(4 * time.Second)
 		got := s.progress()
@@ -278,7 +278,7 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "a", "v1")
+		s.rows.set(gossip.Servers, "a", "v1")
 		first := s.daemon("d")
 		pass(3 * time.Second)
 		copied := s.rows.copied()
@@ -286,8 +286,8 @@
 		pass(3 * time.Second)
 		s.drill(copied, 100*time.Millisecond)
 		pass(8 * time.Second)
-		if s.rows.get(relay.Members, "e") == "" || first.View().Daemons != 2 || second.View().Daemons != 2 {
-			t.Errorf("the daemons know %d and %d, the store has the second one: %v", first.View().Daemons, second.View().Daemons, s.rows.get(relay.Members, "e") != "")
+		if s.rows.get(gossip.Members, "e") == "" || first.View().Daemons != 2 || second.View().Daemons != 2 {
+			t.Errorf("the daemons know %d and %d, the store has the second one: %v", first.View().Daemons, second.View().Daemons, s.rows.get(gossip.Members, "e") != "")
 		}
 	})
 }
@@ -306,9 +306,9 @@
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 3))
 	s := newSystem(t)
-	s.decode = func(string) knowledge.Decoder { return drainDecoder{} }
+	s.decode = func(string) storesync.Decoder { return drainDecoder{} }
 	s.config(1, "k")
-	s.rows.set(relay.Servers, "a", "v1@h1#100")
+	s.rows.set(gossip.Servers, "a", "v1@h1#100")
 	daemons := halls(s, 1)
 	pass(4 * time.Second)
 	number, gone := uint64(1), false
@@ -334,7 +334,7 @@
 			time.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
 			s.config(number, "k")
 			if gone {
-				s.rows.set(relay.Servers, "a", "v1@h1#100!")
+				s.rows.set(gossip.Servers, "a", "v1@h1#100!")
 			}
 		case 2, 3:
 			number += 1 + random.Uint64N(3)
@@ -348,7 +348,7 @@
 		}
 		if random.IntN(12) == 0 {
 			gone = true
-			s.rows.set(relay.Servers, "a", "v1@h1#100!")
+			s.rows.set(gossip.Servers, "a", "v1@h1#100!")
 		}
 		time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
 		look()
--- a/daemon/knowledge/evidence_test.go
+++ b/daemon/storesync/evidence_test.go
@@ -1,11 +1,11 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"testing"
 	"time"
 
 	"ladderridge.example/core/canary"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/daemon/storesync"
 )
 
 // Daemons that stop in turn took with them what they had seen of a version: two seconds later
@@ -59,7 +59,7 @@
 		}
 		fail(reader, 2)
 		pass(2 * time.Second)
-		for i, k := range []*knowledge.Keeper{a, b} {
+		for i, k := range []*storesync.Keeper{a, b} {
 			if k == reader {
 				s.stops[i]()
 			}
@@ -84,8 +84,8 @@
 		see := func(n int, factor float64) {
 			for i := range n {
 				k, usual := keepers[i%len(keepers)], usualTime(i)
-				k.Observe(knowledge.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
-				k.Observe(knowledge.Fact{Service: "s", Version: "v2", Route: "r", First: factor * usual, Server: "new"})
+				k.Observe(storesync.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
+				k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", First: factor * usual, Server: "new"})
 			}
 		}
 		see(60, 1)
--- a/daemon/knowledge/follow.go
+++ b/daemon/storesync/follow.go
@@ -1,4 +1,4 @@
-package knowledge
+package storesync
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"ladderridge.example/core/clock"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
 )
 
@@ -59,7 +59,7 @@
 
 // follower keeps one topic up to date from the store.
 type follower struct {
-	topic relay.Topic
+	topic gossip.Topic
 	// hold is how long the store holds a call, gather how long changes are
 	// gathered after one.
 	hold   time.Duration
@@ -117,11 +117,11 @@
 			clock.Wait(ctx, tickEvery)
 			continue
 		}
-		if k.leavesReading.Load() && (known || f.topic != relay.Members) {
+		if k.leavesReading.Load() && (known || f.topic != gossip.Members) {
 			clock.Wait(ctx, tickEvery)
 			continue
 		}
-		if f.topic != relay.Operator && k.away.Load() {
+		if f.topic != gossip.Operator && k.away.Load() {
 			hold = time.Millisecond
 			clock.Wait(ctx, tickEvery/2)
 			continue
--- a/daemon/knowledge/growth_test.go
+++ b/daemon/storesync/growth_test.go
@@ -1,4 +1,4 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"strconv"
@@ -7,8 +7,8 @@
 	"time"
 
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/relay"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/core/gossip"
+	"ladderridge.example/daemon/storesync"
 )
 
 // countingDecoder counts the servers' rows that are decoded.
@@ -17,7 +17,7 @@
 	decoded *atomic.Int64
 }
 
-func (d countingDecoder) Server(row relay.Row) (fleet.Server, error) {
+func (d countingDecoder) Server(row gossip.Row) (fleet.Server, error) {
 	d.decoded.Add(1)
 	return d.decoder.Server(row)
 }
@@ -30,17 +30,17 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		for i := range servers {
-			s.rows.set(relay.Servers, "i-"+strconv.Itoa(i), "v1@h")
+			s.rows.set(gossip.Servers, "i-"+strconv.Itoa(i), "v1@h")
 		}
 		decoded := map[string]*atomic.Int64{"a": {}, "b": {}}
-		s.decode = func(id string) knowledge.Decoder { return countingDecoder{decoded: decoded[id]} }
+		s.decode = func(id string) storesync.Decoder { return countingDecoder{decoded: decoded[id]} }
 		_, told := s.daemon("a"), s.daemon("b")
 		pass(3 * time.Second)
 		for _, n := range decoded {
 			n.Store(0)
 		}
 		for i := range changes {
-			s.rows.set(relay.Servers, "i-"+strconv.Itoa(i), "v2@h")
+			s.rows.set(gossip.Servers, "i-"+strconv.Itoa(i), "v2@h")
 			pass(time.Second)
 		}
 		for id, n := range decoded {
@@ -60,7 +60,7 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		for i := range 50 {
-			s.rows.set(relay.Servers, "i-"+strconv.Itoa(i), "v1@h")
+			s.rows.set(gossip.Servers, "i-"+strconv.Itoa(i), "v1@h")
 		}
 		long, told := s.daemon("a"), s.daemon("b")
 		pass(2 * time.Second)
@@ -80,7 +80,7 @@
 			case 5:
 				data += "@2s#" + strconv.Itoa(1000+i)
 			}
-			s.rows.set(relay.Servers, key, data)
+			s.rows.set(gossip.Servers, key, data)
 			if i%3 == 0 {
 				pass(700 * time.Millisecond)
 			}
--- a/daemon/knowledge/halls_test.go
+++ b/daemon/storesync/halls_test.go
@@ -1,4 +1,4 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"encoding/json"
@@ -7,12 +7,12 @@
 	"time"
 
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/relay"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/core/gossip"
+	"ladderridge.example/daemon/storesync"
 )
 
 // usedHalls are the halls to which a daemon would send requests.
-func usedHalls(k *knowledge.Keeper) map[string]bool {
+func usedHalls(k *storesync.Keeper) map[string]bool {
 	out := map[string]bool{}
 	for i := range uint64(50) {
 		if s, ok := k.View().Servers.Choose(fleet.Want{Service: "s", Affinity: i + 1}, time.Now()); ok {
@@ -23,16 +23,16 @@
 }
 
 // inTwoHalls is a system with servers in the halls "a" and "b" and daemons in "a".
-func inTwoHalls(t *testing.T, daemons int) (*system, []*knowledge.Keeper) {
+func inTwoHalls(t *testing.T, daemons int) (*system, []*storesync.Keeper) {
 	t.Helper()
 	s := newSystem(t)
 	s.config(1, "k")
 	for _, hall := range []string{"a", "b"} {
 		for i := range 3 {
-			s.rows.set(relay.Servers, fmt.Sprintf("%s%d", hall, i), "v1@"+hall)
+			s.rows.set(gossip.Servers, fmt.Sprintf("%s%d", hall, i), "v1@"+hall)
 		}
 	}
-	var keepers []*knowledge.Keeper
+	var keepers []*storesync.Keeper
 	for i := range daemons {
 		keepers = append(keepers, s.daemonIn(fmt.Sprintf("d%d", i), "a"))
 	}
@@ -50,7 +50,7 @@
 			s.turnAway(id, id == "d3")
 		}
 		pass(4 * time.Second)
-		s.rows.set(relay.Operator, "empty/b", "{}")
+		s.rows.set(gossip.Operator, "empty/b", "{}")
 		pass(time.Second)
 		keepers = append(keepers, s.daemonIn("late", "a"))
 		pass(time.Second)
@@ -62,14 +62,14 @@
 				t.Errorf("daemon %d knows it for %v", i, age)
 			}
 		}
-		s.rows.set(relay.Operator, "empty/a", "{}")
+		s.rows.set(gossip.Operator, "empty/a", "{}")
 		pass(time.Second)
 		for i, k := range keepers {
 			if used := usedHalls(k); len(used) > 0 {
 				t.Errorf("with both emptied daemon %d uses %v", i, used)
 			}
 		}
-		s.rows.set(relay.Operator, "empty/b", "")
+		s.rows.set(gossip.Operator, "empty/b", "")
 		pass(time.Second)
 		for i, k := range keepers {
 			if used := usedHalls(k); used["a"] || !used["b"] {
@@ -88,7 +88,7 @@
 		s.mesh.holding["d0"] = true
 		s.mesh.mu.Unlock()
 		s.turnAway("d0", true)
-		s.rows.set(relay.Operator, "empty/b", "{}")
+		s.rows.set(gossip.Operator, "empty/b", "{}")
 		pass(6 * time.Second)
 		if !usedHalls(keepers[0])["b"] {
 			t.Fatal("the daemon that is cut off is not")
@@ -98,7 +98,7 @@
 		s.mesh.mu.Unlock()
 		s.takeBack("d0")
 		pass(1500 * time.Millisecond)
-		s.rows.set(relay.Servers, "b9", "v1@b")
+		s.rows.set(gossip.Servers, "b9", "v1@b")
 		pass(time.Second)
 		for i, k := range keepers {
 			if usedHalls(k)["b"] {
@@ -115,12 +115,12 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.rows.set(relay.Operator, "config", string(data))
+	s.rows.set(gossip.Operator, "config", string(data))
 }
 
 // shares adds up what all daemons may send to a cold server in a second, and counts
 // those that take it for cold.
-func shares(keepers []*knowledge.Keeper, id string) (sum, cold int) {
+func shares(keepers []*storesync.Keeper, id string) (sum, cold int) {
 	for _, k := range keepers {
 		s := server(k, id)
 		if s == nil {
@@ -140,10 +140,10 @@
 		const bears = 24
 		s, keepers := inTwoHalls(t, 40)
 		s.coldConfig(2)
-		s.rows.set(relay.Operator, "empty/b", "{}")
+		s.rows.set(gossip.Operator, "empty/b", "{}")
 		pass(2 * time.Second)
-		s.rows.set(relay.Operator, "empty/b", "")
-		s.rows.set(relay.Servers, "a9", "v1@a@2500ms")
+		s.rows.set(gossip.Operator, "empty/b", "")
+		s.rows.set(gossip.Servers, "a9", "v1@a@2500ms")
 		pass(700 * time.Millisecond)
 		for _, id := range []string{"b0", "b1", "a9"} {
 			if sum, cold := shares(keepers, id); cold != len(keepers) || sum > bears || sum < bears/2 {
@@ -158,7 +158,7 @@
 		if _, cold := shares(keepers, "a9"); cold != 0 {
 			t.Errorf("%d daemons still take it for cold", cold)
 		}
-		s.rows.set(relay.Servers, "a9", "v1@a@1s")
+		s.rows.set(gossip.Servers, "a9", "v1@a@1s")
 		pass(700 * time.Millisecond)
 		if sum, cold := shares(keepers, "a9"); cold != len(keepers) || sum > bears {
 			t.Errorf("%d daemons take it for cold again and may send %d", cold, sum)
@@ -171,7 +171,7 @@
 	inBubble(t, func(t *testing.T) {
 		s, keepers := inTwoHalls(t, 2)
 		s.coldConfig(2)
-		s.rows.set(relay.Servers, "a9", "v1@a@24h")
+		s.rows.set(gossip.Servers, "a9", "v1@a@24h")
 		pass(time.Second)
 		if _, cold := shares(keepers, "a9"); cold != 2 {
 			t.Fatal("it does not count as cold at all")
--- a/daemon/knowledge/harness_test.go
+++ b/daemon/storesync/harness_test.go
@@ -1,4 +1,4 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"context"
@@ -20,10 +20,10 @@
 	"ladderridge.example/core/canary"
 	"ladderridge.example/core/clock"
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
 	"ladderridge.example/core/routemap"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/daemon/storesync"
 )
 
 // rows is a store in memory with faults. All keepers of a test share it.
@@ -32,7 +32,7 @@
 	version uint64
 	// era counts the returns from a copy.
 	era     uint64
-	tables  map[relay.Topic]map[string]relay.Row
+	tables  map[gossip.Topic]map[string]gossip.Row
 	removed []removal
 	changed chan struct{}
 	began   time.Time
@@ -42,46 +42,46 @@
 }
 
 type removal struct {
-	topic   relay.Topic
+	topic   gossip.Topic
 	key     string
 	version uint64
 }
 
 func newRows() *rows {
-	return &rows{era: 1, tables: map[relay.Topic]map[string]relay.Row{}, changed: make(chan struct{}), began: time.Now()}
+	return &rows{era: 1, tables: map[gossip.Topic]map[string]gossip.Row{}, changed: make(chan struct{}), began: time.Now()}
 }
 
 // set writes a row, or removes it if data is empty.
-func (s *rows) set(topic relay.Topic, key, data string) {
+func (s *rows) set(topic gossip.Topic, key, data string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(topic, key, data)
 }
 
-func (s *rows) put(topic relay.Topic, key, data string) {
+func (s *rows) put(topic gossip.Topic, key, data string) {
 	s.version++
 	if s.tables[topic] == nil {
-		s.tables[topic] = map[string]relay.Row{}
+		s.tables[topic] = map[string]gossip.Row{}
 	}
 	if data == "" {
 		delete(s.tables[topic], key)
 		s.removed = append(s.removed, removal{topic, key, s.version})
 	} else {
-		s.tables[topic][key] = relay.Row{Key: key, Data: []byte(data), Version: revision.New(s.era, s.version)}
+		s.tables[topic][key] = gossip.Row{Key: key, Data: []byte(data), Version: revision.New(s.era, s.version)}
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *rows) get(topic relay.Topic, key string) string {
+func (s *rows) get(topic gossip.Topic, key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return string(s.tables[topic][key].Data)
 }
 
 // since returns what has changed after a version.
-func (s *rows) since(topic relay.Topic, after uint64) knowledge.Page {
-	p := knowledge.Page{Version: revision.New(s.era, s.version), ClockMS: 1000 + uint64(time.Since(s.began).Milliseconds())}
+func (s *rows) since(topic gossip.Topic, after uint64) storesync.Page {
+	p := storesync.Page{Version: revision.New(s.era, s.version), ClockMS: 1000 + uint64(time.Since(s.began).Milliseconds())}
 	for _, row := range s.tables[topic] {
 		if row.Version.Number > after {
 			// The store knows rows by number alone.
@@ -101,7 +101,7 @@
 // state is a copy of the rows at a moment.
 type state struct {
 	version uint64
-	tables  map[relay.Topic]map[string]relay.Row
+	tables  map[gossip.Topic]map[string]gossip.Row
 	removed []removal
 }
 
@@ -109,7 +109,7 @@
 func (s *rows) copied() state {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := state{version: s.version, tables: map[relay.Topic]map[string]relay.Row{}, removed: slices.Clone(s.removed)}
+	out := state{version: s.version, tables: map[gossip.Topic]map[string]gossip.Row{}, removed: slices.Clone(s.removed)}
 	for topic, of := range s.tables {
 		out.tables[topic] = maps.Clone(of)
 	}
@@ -121,7 +121,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era++
-	s.version, s.removed, s.tables = from.version, slices.Clone(from.removed), map[relay.Topic]map[string]relay.Row{}
+	s.version, s.removed, s.tables = from.version, slices.Clone(from.removed), map[gossip.Topic]map[string]gossip.Row{}
 	for topic, of := range from.tables {
 		s.tables[topic] = maps.Clone(of)
 	}
@@ -167,7 +167,7 @@
 // swallow waits until the caller gives up.
 func swallow(ctx context.Context) error {
 	<-ctx.Done()
-	return &knowledge.Error{Op: "call", Kind: knowledge.Away, Err: ctx.Err()}
+	return &storesync.Error{Op: "call", Kind: storesync.Away, Err: ctx.Err()}
 }
 
 func (l *link) state() (error, time.Duration, bool) { //nolint:revive,staticcheck // The error is a state here.
@@ -176,15 +176,15 @@
 	return l.down, l.hold, l.loseWrites
 }
 
-var errDown = &knowledge.Error{Op: "call", Kind: knowledge.Away, Err: errors.New("down")}
+var errDown = &storesync.Error{Op: "call", Kind: storesync.Away, Err: errors.New("down")}
 
-func (l *link) Read(ctx context.Context, topic relay.Topic) (knowledge.Page, error) {
+func (l *link) Read(ctx context.Context, topic gossip.Topic) (storesync.Page, error) {
 	if l.isSilent() {
-		return knowledge.Page{}, swallow(ctx)
+		return storesync.Page{}, swallow(ctx)
 	}
 	down, hold, _ := l.state()
 	if down != nil {
-		return knowledge.Page{}, down
+		return storesync.Page{}, down
 	}
 	l.rows.mu.Lock()
 	l.reads++
@@ -195,25 +195,25 @@
 	return p, nil
 }
 
-func (l *link) Follow(ctx context.Context, topic relay.Topic, after revision.Revision, wait time.Duration) (knowledge.Page, error) {
+func (l *link) Follow(ctx context.Context, topic gossip.Topic, after revision.Revision, wait time.Duration) (storesync.Page, error) {
 	timeout := clock.After(wait)
 	for {
 		down, hold, _ := l.state()
 		if down != nil {
-			return knowledge.Page{}, down
+			return storesync.Page{}, down
 		}
 		l.rows.mu.Lock()
 		p, changed := l.since(topic, after.Number), l.changed
 		lost, other := after.Number < l.forgotten, after.Era != l.era
 		l.rows.mu.Unlock()
 		if l.isSilent() {
-			return knowledge.Page{}, swallow(ctx)
+			return storesync.Page{}, swallow(ctx)
 		}
 		if other {
-			return knowledge.Page{}, &knowledge.Error{Op: "follow", Kind: knowledge.EraChanged}
+			return storesync.Page{}, &storesync.Error{Op: "follow", Kind: storesync.EraChanged}
 		}
 		if lost {
-			return knowledge.Page{}, &knowledge.Error{Op: "follow", Kind: knowledge.HistoryLost}
+			return storesync.Page{}, &storesync.Error{Op: "follow", Kind: storesync.HistoryLost}
 		}
 		if len(p.Rows)+len(p.Removed) > 0 {
 			time.Sleep(hold)
@@ -225,12 +225,12 @@
 			time.Sleep(hold)
 			return p, nil
 		case <-ctx.Done():
-			return knowledge.Page{}, &knowledge.Error{Op: "follow", Kind: knowledge.Away, Err: ctx.Err()}
+			return storesync.Page{}, &storesync.Error{Op: "follow", Kind: storesync.Away, Err: ctx.Err()}
 		}
 	}
 }
 
-func (l *link) Write(_ context.Context, topic relay.Topic, key string, data []byte, was revision.Revision) error {
+func (l *link) Write(_ context.Context, topic gossip.Topic, key string, data []byte, was revision.Revision) error {
 	down, _, lose := l.state()
 	if down != nil {
 		return down
@@ -238,19 +238,19 @@
 	l.rows.mu.Lock()
 	defer l.rows.mu.Unlock()
 	if l.tables[topic][key].Version.Number != was.Number {
-		return &knowledge.Error{Op: "write", Kind: knowledge.Conflict}
+		return &storesync.Error{Op: "write", Kind: storesync.Conflict}
 	}
 	l.put(topic, key, string(data))
 	if lose {
 		return errDown
 	}
 	if was.Era != l.era {
-		return &knowledge.Error{Op: "write", Kind: knowledge.EraChanged}
+		return &storesync.Error{Op: "write", Kind: storesync.EraChanged}
 	}
 	return nil
 }
 
-func (l *link) Put(_ context.Context, topic relay.Topic, key string, data []byte) error {
+func (l *link) Put(_ context.Context, topic gossip.Topic, key string, data []byte) error {
 	down, _, _ := l.state()
 	if down != nil {
 		return down
@@ -275,14 +275,14 @@
 	Seconds int
 }
 
-func (decoder) Operator(row relay.Row) (knowledge.Operator, error) {
+func (decoder) Operator(row gossip.Row) (storesync.Operator, error) {
 	if service, ok := strings.CutPrefix(row.Key, "order/"); ok {
 		var o orderRow
 		err := json.Unmarshal(row.Data, &o)
-		return knowledge.Order{Order: canary.Order{Service: service, Version: o.Version, Within: time.Duration(o.Seconds) * time.Second, Number: row.Version}}, err
+		return storesync.Order{Order: canary.Order{Service: service, Version: o.Version, Within: time.Duration(o.Seconds) * time.Second, Number: row.Version}}, err
 	}
 	if hall, ok := strings.CutPrefix(row.Key, "empty/"); ok {
-		return knowledge.Emptied{Hall: hall}, nil
+		return storesync.Emptied{Hall: hall}, nil
 	}
 	var c configRow
 	if err := json.Unmarshal(row.Data, &c); err != nil {
@@ -292,13 +292,13 @@
 	if c.Cold > 0 {
 		parts.Services = []routemap.Service{{Name: "s", ColdFor: time.Duration(c.Cold) * time.Second, ColdRate: 13}}
 	}
-	return knowledge.Config{Map: routemap.New(parts)}, nil
+	return storesync.Config{Map: routemap.New(parts)}, nil
 }
 
 // Server reads VERSION, VERSION@HALL or VERSION@HALL@COLD, a duration, with #BORN behind it
 // if the server tells its start. Its address is its id, or what comes behind = there. A row
 // that begins with ! does not decode.
-func (decoder) Server(row relay.Row) (fleet.Server, error) {
+func (decoder) Server(row gossip.Row) (fleet.Server, error) {
 	s := fleet.Server{ID: row.Key, Service: "s", Addr: row.Key}
 	if _, addr, ok := strings.Cut(row.Key, "="); ok {
 		s.Addr = addr
@@ -325,21 +325,21 @@
 	return s, nil
 }
 
-func (decoder) Progress(row relay.Row) (string, canary.Progress, error) {
+func (decoder) Progress(row gossip.Row) (string, canary.Progress, error) {
 	var p canary.Progress
 	err := json.Unmarshal(row.Data, &p)
 	return row.Key, p, err
 }
 
-func (decoder) WriteProgress(service string, p canary.Progress) (relay.Row, error) {
+func (decoder) WriteProgress(service string, p canary.Progress) (gossip.Row, error) {
 	data, err := json.Marshal(p)
-	return relay.Row{Key: service, Data: data}, err
+	return gossip.Row{Key: service, Data: data}, err
 }
 
 // mesh carries messages between the keepers of a test at once.
 type mesh struct {
 	mu      sync.Mutex
-	keepers map[string]*knowledge.Keeper
+	keepers map[string]*storesync.Keeper
 	// sessions counts the sessions in all messages.
 	sessions int
 	// held are messages to a daemon that are kept back.
@@ -357,7 +357,7 @@
 func (s sender) Send(id, _ string, m any) {
 	s.mesh.mu.Lock()
 	defer s.mesh.mu.Unlock()
-	if tell, ok := m.(relay.Tell); ok {
+	if tell, ok := m.(gossip.Tell); ok {
 		s.mesh.sessions += len(tell.Sessions)
 	}
 	k := s.mesh.keepers[id]
@@ -389,7 +389,7 @@
 	// firstStart tells the daemons that are started that all start for the first time.
 	firstStart bool
 	// decode returns the decoder of a daemon; nil is that of all tests.
-	decode func(id string) knowledge.Decoder
+	decode func(id string) storesync.Decoder
 	// stops end the daemons.
 	stops []context.CancelFunc
 }
@@ -420,26 +420,26 @@
 func newSystem(t *testing.T) *system {
 	t.Helper()
 	return &system{t: t, rows: newRows(), links: map[string]*link{}, mesh: &mesh{
-		keepers: map[string]*knowledge.Keeper{}, holding: map[string]bool{}, held: map[string][]func(){}, gone: map[string]bool{},
+		keepers: map[string]*storesync.Keeper{}, holding: map[string]bool{}, held: map[string][]func(){}, gone: map[string]bool{},
 	}}
 }
 
 // daemon starts one.
-func (s *system) daemon(id string) *knowledge.Keeper {
+func (s *system) daemon(id string) *storesync.Keeper {
 	s.t.Helper()
 	return s.daemonIn(id, "h")
 }
 
 // daemonIn starts one in a hall.
-func (s *system) daemonIn(id, hall string) *knowledge.Keeper {
+func (s *system) daemonIn(id, hall string) *storesync.Keeper {
 	s.t.Helper()
-	k := knowledge.New()
+	k := storesync.New()
 	l := &link{rows: s.rows}
 	k.Store, k.Decoder, k.Peers = l, decoder{}, sender{s.mesh, id}
 	if s.decode != nil {
 		k.Decoder = s.decode(id)
 	}
-	k.Self = knowledge.Member{ID: id, Hall: hall, Addr: id, Public: make([]byte, 32), Start: 1}
+	k.Self = storesync.Member{ID: id, Hall: hall, Addr: id, Public: make([]byte, 32), Start: 1}
 	k.Log = log.Logger{Level: log.PanicLevel}
 	k.ColdOverage, k.ColdSlack = 1.5, 5
 	k.FirstStart, k.Seed = s.firstStart, xxhash.Sum64String(id)
@@ -467,7 +467,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.rows.set(relay.Operator, "config", string(data))
+	s.rows.set(gossip.Operator, "config", string(data))
 }
 
 // inBubble runs a test on the clock of a bubble.
@@ -483,7 +483,7 @@
 }
 
 // servers are the ids of the servers that a daemon uses.
-func servers(k *knowledge.Keeper) []string {
+func servers(k *storesync.Keeper) []string {
 	out := []string{}
 	for _, s := range k.View().Servers.Service("s") {
 		out = append(out, s.ID)
