--- a/daemon/knowledge/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -1,8 +1,8 @@
-// Package knowledge keeps what a daemon knows of the platform's store: the
+// Package storesync keeps what a daemon knows of the platform's store: the
 // configuration, the backend servers and the roll-outs, each with its age. Each
 // daemon follows the store; one that the store turns away is kept going by the
 // others. One goroutine owns the state and publishes immutable views.
-package knowledge
+package storesync
 
 import (
 	"context"
@@ -16,13 +16,13 @@
 
 	"ladderridge.example/core/canary"
 	"ladderridge.example/core/clock"
-	"ladderridge.example/core/crowd"
 	"ladderridge.example/core/fleet"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/notice"
 	"ladderridge.example/core/quarantine"
-	"ladderridge.example/core/relay"
 	"ladderridge.example/core/revision"
-	"ladderridge.example/daemon/standstill"
+	"ladderridge.example/core/serverload"
+	"ladderridge.example/daemon/suspend"
 )
 
 // The rhythm of the keeper.
@@ -66,7 +66,7 @@
 	// Regions are the regions of the data halls.
 	Regions map[string]string
 	// StoodStill tells how long the VM has stood still; nil is never.
-	StoodStill standstill.Clock
+	StoodStill suspend.Clock
 	// ColdOverage and ColdSlack are what a cold server bears beyond the rate that its
 	// service names: a factor, and some requests more.
 	ColdOverage float64
@@ -138,9 +138,9 @@
 	// listeners are the daemons that this one reads for, by when they last
 	// asked.
 	listeners map[string]time.Time
-	topics    map[relay.Topic]*topicState
+	topics    map[gossip.Topic]*topicState
 	// toldSums are the sums of the topics at the last news.
-	toldSums map[relay.Topic]uint64
+	toldSums map[gossip.Topic]uint64
 	loads    map[fleet.Incarnation]*fleet.Load
 	// entries are the servers' rows as they were decoded, by key; atAddress is how many of the
 	// listed servers have an address.
@@ -180,7 +180,7 @@
 	// board is what is known of the work at servers, workAskedAt when this daemon last
 	// told its own with a question, workAbroadAt when other halls were last told of this
 	// one's.
-	board        *crowd.Board
+	board        *serverload.Board
 	workAskedAt  time.Time
 	workAbroadAt time.Time
 	// usageAt is when other readers were last told of usage.
@@ -207,7 +207,7 @@
 
 // paged is an answer of the store.
 type paged struct {
-	topic relay.Topic
+	topic gossip.Topic
 	page  Page
 	whole bool
 	at    time.Time
@@ -240,25 +240,25 @@
 func New() *Keeper {
 	k := &Keeper{
 		events: make(chan event, eventBacklog), republish: make(chan struct{}, 1), left: map[fleet.Incarnation]uint64{},
-		topics: map[relay.Topic]*topicState{}, loads: map[fleet.Incarnation]*fleet.Load{}, unlisted: map[fleet.Incarnation]unlisted{}, halls: map[string]*fleet.Hall{},
+		topics: map[gossip.Topic]*topicState{}, loads: map[fleet.Incarnation]*fleet.Load{}, unlisted: map[fleet.Incarnation]unlisted{}, halls: map[string]*fleet.Hall{},
 		emptied: map[string]time.Time{}, returned: map[string]time.Time{}, coldUntil: map[fleet.Incarnation]time.Time{}, coldRows: map[fleet.Incarnation]revision.Revision{}, lapsed: map[string]time.Time{},
-		firstSeen: map[string]time.Time{}, asked: map[uint64]time.Time{}, listeners: map[string]time.Time{}, toldSums: map[relay.Topic]uint64{}, readers: newReaders(),
-		bad: map[string]uint64{}, rollouts: newRollouts(), sessions: newSessions(), board: crowd.NewBoard(), limits: newLimits(),
+		firstSeen: map[string]time.Time{}, asked: map[uint64]time.Time{}, listeners: map[string]time.Time{}, toldSums: map[gossip.Topic]uint64{}, readers: newReaders(),
+		bad: map[string]uint64{}, rollouts: newRollouts(), sessions: newSessions(), board: serverload.NewBoard(), limits: newLimits(),
 		entries: map[string]serverEntry{}, starts: map[string]int64{}, ledger: quarantine.NewLedger(), confine: map[quarantine.Fingerprint]confined{},
 	}
-	for _, t := range []relay.Topic{relay.Operator, relay.Servers, relay.Progress, relay.Members} {
+	for _, t := range []gossip.Topic{gossip.Operator, gossip.Servers, gossip.Progress, gossip.Members} {
 		k.topics[t] = newTopicState()
 	}
-	k.topics[relay.Servers].takeFresh()
+	k.topics[gossip.Servers].takeFresh()
 	k.view.Store(&View{sessions: k.sessions, Quarantine: k.ledger})
 	k.members.Store(&map[string]Member{})
 	k.reading.Store(true)
 	// The first one is about the configuration; Run sets its hold.
 	k.followers = []*follower{
-		{topic: relay.Operator, gather: gather, wanted: k.reading.Load},
-		{topic: relay.Servers, hold: followLong, gather: gatherLong, wanted: k.reading.Load},
-		{topic: relay.Members, hold: followLong, gather: gatherLong, delay: membersDelay, wanted: k.reading.Load},
-		{topic: relay.Progress, hold: followLong, gather: gather, wanted: func() bool { return k.reading.Load() && (k.rollouts.open.Load() || k.progressLost.Load()) }},
+		{topic: gossip.Operator, gather: gather, wanted: k.reading.Load},
+		{topic: gossip.Servers, hold: followLong, gather: gatherLong, wanted: k.reading.Load},
+		{topic: gossip.Members, hold: followLong, gather: gatherLong, delay: membersDelay, wanted: k.reading.Load},
+		{topic: gossip.Progress, hold: followLong, gather: gather, wanted: func() bool { return k.reading.Load() && (k.rollouts.open.Load() || k.progressLost.Load()) }},
 	}
 	k.run = func(ctx context.Context) error { return k.loop(ctx) }
 	return k
@@ -362,7 +362,7 @@
 		k.failed(e, t, now)
 		return
 	}
-	if e.topic == relay.Operator {
+	if e.topic == gossip.Operator {
 		k.away.Store(false)
 		k.answeredAt = e.at
 		if k.readers.met && now.Sub(t.confirmed) > k.readers.usefulAge {
@@ -396,7 +396,7 @@
 		k.Log.Info().Str("topic", string(e.topic)).Stringer("version", t.version).Msg("knowledge: the store has forgotten its history: all rows are read again")
 		return
 	}
-	if e.topic == relay.Operator {
+	if e.topic == gossip.Operator {
 		k.interruptOthers(now)
 	}
 	if t.away.IsZero() {
@@ -411,7 +411,7 @@
 func (k *Keeper) interruptOthers(now time.Time) {
 	k.away.Store(true)
 	for _, f := range k.followers {
-		if f.topic == relay.Operator {
+		if f.topic == gossip.Operator {
 			continue
 		}
 		f.interrupt()
@@ -422,8 +422,8 @@
 }
 
 // learned works out what changed rows mean.
-func (k *Keeper) learned(topic relay.Topic, gone []string, newer bool, now time.Time) {
-	if topic == relay.Servers {
+func (k *Keeper) learned(topic gossip.Topic, gone []string, newer bool, now time.Time) {
+	if topic == gossip.Servers {
 		k.lapse(gone, now)
 	}
 	if !newer {
@@ -431,13 +431,13 @@
 		return
 	}
 	switch topic {
-	case relay.Operator:
+	case gossip.Operator:
 		k.readOperator(now)
-	case relay.Servers:
+	case gossip.Servers:
 		k.serversChanged(now)
-	case relay.Progress:
+	case gossip.Progress:
 		k.readProgress(now)
-	case relay.Members:
+	case gossip.Members:
 		k.readMembers(now)
 		k.chill(now)
 	}
@@ -447,7 +447,7 @@
 // lapse notes servers whose entries are gone. While the store was away entries
 // lapse of servers that live: they have a while from its return to come back.
 func (k *Keeper) lapse(gone []string, now time.Time) {
-	t := k.topics[relay.Servers]
+	t := k.topics[gossip.Servers]
 	until := t.returned.Add(lapseWait)
 	if !t.away.IsZero() {
 		until = now.Add(lapseWait)
@@ -462,8 +462,8 @@
 // refresh publishes a view with the present state.
 func (k *Keeper) refresh() {
 	v := *k.view.Load()
-	v.ConfigAt = k.topics[relay.Operator].confirmed
-	v.ServersAt = k.topics[relay.Servers].confirmed
+	v.ConfigAt = k.topics[gossip.Operator].confirmed
+	v.ServersAt = k.topics[gossip.Servers].confirmed
 	v.Daemons = k.daemons()
 	v.Stood, v.WokeAt = k.stood, k.wokeAt
 	v.rollouts, v.withdrawn, v.aside, v.firstSeen = k.rollouts.snapshot(), k.rollouts.withdrawnCopy(), maps.Clone(k.rollouts.aside), k.firstSeen
--- a/daemon/knowledge/keeper_test.go
+++ b/daemon/storesync/keeper_test.go
@@ -1,4 +1,4 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"ladderridge.example/core/relay"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/core/gossip"
+	"ladderridge.example/daemon/storesync"
 )
 
 func TestConfigurationIsInForceAtOnceAndOnlyForward(t *testing.T) {
@@ -19,13 +19,13 @@
 			t.Fatal("ready without a configuration")
 		}
 		s.config(3, "k")
-		s.rows.set(relay.Servers, "x", "v1")
+		s.rows.set(gossip.Servers, "x", "v1")
 		pass(0)
 		if v := k.View(); !v.Ready() || v.Map.Number != 3 {
 			t.Fatal("the configuration is not in force")
 		}
 		s.config(2, "old")
-		s.rows.set(relay.Operator, "config", "no configuration")
+		s.rows.set(gossip.Operator, "config", "no configuration")
 		pass(5 * time.Second)
 		if v := k.View(); v.Map.Number != 3 {
 			t.Errorf("configuration %d is in force", v.Map.Number)
@@ -57,13 +57,13 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "x", "v1")
-		s.rows.set(relay.Servers, "y", "v1")
+		s.rows.set(gossip.Servers, "x", "v1")
+		s.rows.set(gossip.Servers, "y", "v1")
 		k := s.daemon("a")
 		pass(time.Second)
 		// A change that no call tells, since its history is gone.
 		s.rows.mu.Lock()
-		delete(s.rows.tables[relay.Servers], "y")
+		delete(s.rows.tables[gossip.Servers], "y")
 		s.rows.version++
 		s.rows.forgotten = s.rows.version
 		close(s.rows.changed)
@@ -133,20 +133,20 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		for _, id := range []string{"x", "y", "z"} {
-			s.rows.set(relay.Servers, id, "v1")
+			s.rows.set(gossip.Servers, id, "v1")
 		}
 		k := s.daemon("a")
 		pass(time.Second)
 		s.links["a"].fail(errDown)
 		pass(5 * time.Second)
-		s.rows.set(relay.Servers, "x", "")
-		s.rows.set(relay.Servers, "y", "")
+		s.rows.set(gossip.Servers, "x", "")
+		s.rows.set(gossip.Servers, "y", "")
 		s.links["a"].fail(nil)
 		pass(1200 * time.Millisecond)
 		if diff := cmp.Diff([]string{"x", "y", "z"}, servers(k)); diff != "" {
 			t.Errorf("just after the return: %s", diff)
 		}
-		s.rows.set(relay.Servers, "x", "v1")
+		s.rows.set(gossip.Servers, "x", "v1")
 		pass(3 * time.Second)
 		if diff := cmp.Diff([]string{"x", "z"}, servers(k)); diff != "" {
 			t.Errorf("two seconds after the return: %s", diff)
@@ -160,8 +160,8 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "x", "v1")
-		s.rows.set(relay.Servers, "y", "v1")
+		s.rows.set(gossip.Servers, "x", "v1")
+		s.rows.set(gossip.Servers, "y", "v1")
 		k := s.daemon("a")
 		pass(time.Second)
 		s.links["a"].fail(errDown)
@@ -169,7 +169,7 @@
 		s.links["a"].fail(nil)
 		// The next call comes within a second and a half.
 		pass(2500 * time.Millisecond)
-		s.rows.set(relay.Servers, "x", "")
+		s.rows.set(gossip.Servers, "x", "")
 		pass(1500 * time.Millisecond)
 		if diff := cmp.Diff([]string{"y"}, servers(k)); diff != "" {
 			t.Error(diff)
@@ -181,11 +181,11 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "x", "v1")
-		s.rows.set(relay.Servers, "y", "v1")
+		s.rows.set(gossip.Servers, "x", "v1")
+		s.rows.set(gossip.Servers, "y", "v1")
 		k := s.daemon("a")
 		pass(5 * time.Second)
-		s.rows.set(relay.Servers, "x", "")
+		s.rows.set(gossip.Servers, "x", "")
 		pass(200 * time.Millisecond)
 		if diff := cmp.Diff([]string{"y"}, servers(k)); diff != "" {
 			t.Error(diff)
@@ -213,7 +213,7 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		ids := []string{"a", "b", "c", "d", "e", "f"}
-		keepers := map[string]*knowledge.Keeper{}
+		keepers := map[string]*storesync.Keeper{}
 		for _, id := range ids {
 			keepers[id] = s.daemon(id)
 		}
@@ -261,7 +261,7 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		ids := []string{"a", "b", "c", "d"}
-		keepers := map[string]*knowledge.Keeper{}
+		keepers := map[string]*storesync.Keeper{}
 		for _, id := range ids {
 			keepers[id] = s.daemon(id)
 		}
@@ -288,7 +288,7 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		ids := []string{"a", "b", "c", "d"}
-		keepers := map[string]*knowledge.Keeper{}
+		keepers := map[string]*storesync.Keeper{}
 		for _, id := range ids {
 			keepers[id] = s.daemon(id)
 		}
--- a/daemon/knowledge/limits.go
+++ b/daemon/storesync/limits.go
@@ -1,4 +1,4 @@
-package knowledge
+package storesync
 
 import (
 	"maps"
@@ -9,9 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"ladderridge.example/core/fleet"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/notice"
 	"ladderridge.example/core/quota"
-	"ladderridge.example/core/relay"
 )
 
 // The limits that servers name, as daemons tell them each other: most daemons of a large fleet
@@ -122,23 +122,23 @@
 }
 
 // list is what is known of limits, the latest first, for a message.
-func (l *limits) list(now time.Time) []relay.Limit {
-	var out []relay.Limit
+func (l *limits) list(now time.Time) []gossip.Limit {
+	var out []gossip.Limit
 	for _, s := range l.known {
 		is := s.Load.Notices.Kept().Limit
 		if is.Heard.IsZero() || is.Rate == 0 && now.Sub(is.Heard) > endedFor {
 			continue
 		}
-		out = append(out, relay.Limit{ID: s.ID, Born: s.Born, Rate: is.Rate, AskedMS: ageMS(now, is.Asked), HeardMS: ageMS(now, is.Heard)})
+		out = append(out, gossip.Limit{ID: s.ID, Born: s.Born, Rate: is.Rate, AskedMS: ageMS(now, is.Asked), HeardMS: ageMS(now, is.Heard)})
 	}
-	slices.SortFunc(out, func(a, b relay.Limit) int { return int(a.HeardMS) - int(b.HeardMS) })
+	slices.SortFunc(out, func(a, b gossip.Limit) int { return int(a.HeardMS) - int(b.HeardMS) })
 	return out[:min(len(out), limitsAtOnce)]
 }
 
 func ageMS(now, at time.Time) uint64 { return uint64(max(0, now.Sub(at).Milliseconds())) }
 
 // askLimits puts limits into a question.
-func (k *Keeper) askLimits(ask *relay.Ask, now time.Time) {
+func (k *Keeper) askLimits(ask *gossip.Ask, now time.Time) {
 	ask.LimitSum = k.limits.sum()
 	if k.limits.differs || k.limits.news && !k.reading.Load() {
 		ask.Limits = k.limits.list(now)
@@ -146,7 +146,7 @@
 }
 
 // askedLimits takes the limits of a question, and returns those for the answer.
-func (k *Keeper) askedLimits(from string, m relay.Ask, now time.Time) []relay.Limit {
+func (k *Keeper) askedLimits(from string, m gossip.Ask, now time.Time) []gossip.Limit {
 	k.hearLimits(from, m.Limits, now)
 	if k.limits.sum() == m.LimitSum {
 		return nil
@@ -155,7 +155,7 @@
 }
 
 // toldLimits takes the limits that another daemon tells.
-func (k *Keeper) toldLimits(from string, m relay.Tell, now time.Time) {
+func (k *Keeper) toldLimits(from string, m gossip.Tell, now time.Time) {
 	k.hearLimits(from, m.Limits, now)
 	if m.Nonce == 0 {
 		return
@@ -167,7 +167,7 @@
 }
 
 // hearLimits takes limits that another daemon has heard.
-func (k *Keeper) hearLimits(from string, told []relay.Limit, now time.Time) {
+func (k *Keeper) hearLimits(from string, told []gossip.Limit, now time.Time) {
 	for _, l := range told {
 		e, ok := k.entries[l.ID]
 		if !ok || e.server == nil || e.server.Born != l.Born || math.IsNaN(l.Rate) || l.Rate < 0 {
@@ -201,7 +201,7 @@
 	if !k.limits.news && !again {
 		return
 	}
-	tell := relay.Tell{Limits: k.limits.list(now)}
+	tell := gossip.Tell{Limits: k.limits.list(now)}
 	if to := k.hallAudience(now); k.limits.news && len(to) > 0 {
 		k.Peers.SendAll(to, tell)
 	}
--- a/daemon/knowledge/limits_test.go
+++ b/daemon/storesync/limits_test.go
@@ -1,16 +1,16 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"testing"
 	"time"
 
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/notice"
-	"ladderridge.example/core/relay"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/daemon/storesync"
 )
 
 // says has a request of a daemon hear what its one server says of its limit; 0 is none.
-func says(t *testing.T, k *knowledge.Keeper, rate float64) {
+func says(t *testing.T, k *storesync.Keeper, rate float64) {
 	t.Helper()
 	s, now := only(t, k), time.Now()
 	was, is := s.Load.Notices.HearLimit(notice.Limit{Rate: rate, Lifted: rate == 0}, now.Add(-10*time.Millisecond), now, "")
@@ -21,7 +21,7 @@
 }
 
 // limits are those that daemons keep for their one server.
-func limits(t *testing.T, daemons []*knowledge.Keeper) map[float64]int {
+func limits(t *testing.T, daemons []*storesync.Keeper) map[float64]int {
 	t.Helper()
 	out := map[float64]int{}
 	for _, k := range daemons {
@@ -40,7 +40,7 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "a", "v1@h1#100")
+		s.rows.set(gossip.Servers, "a", "v1@h1#100")
 		daemons := halls(s, 1)
 		pass(4 * time.Second)
 		for _, step := range []struct {
@@ -61,7 +61,7 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "a", "v1@h1#100")
+		s.rows.set(gossip.Servers, "a", "v1@h1#100")
 		daemons := halls(s, 1)
 		pass(4 * time.Second)
 		says(t, daemons[0], 2)
@@ -88,18 +88,18 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "a", "v1#100")
+		s.rows.set(gossip.Servers, "a", "v1#100")
 		k := s.daemon("d")
 		pass(2 * time.Second)
 		says(t, k, 1)
-		s.rows.set(relay.Servers, "a", "")
+		s.rows.set(gossip.Servers, "a", "")
 		pass(5 * time.Second)
-		s.rows.set(relay.Servers, "a", "v1#100")
+		s.rows.set(gossip.Servers, "a", "v1#100")
 		pass(time.Second)
 		if q, ok := only(t, k).Load.Quota(); !ok || q.Rate == 0 {
 			t.Errorf("the limit is forgotten with its entry: %+v", q)
 		}
-		s.rows.set(relay.Servers, "a", "v1#200")
+		s.rows.set(gossip.Servers, "a", "v1#200")
 		pass(time.Second)
 		if _, ok := only(t, k).Load.Quota(); ok {
 			t.Error("a later start is held to the limit of an earlier one")
--- a/daemon/knowledge/members.go
+++ b/daemon/storesync/members.go
@@ -1,4 +1,4 @@
-package knowledge
+package storesync
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"ladderridge.example/core/clock"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 )
 
 // Member is a daemon's entry in the list of daemons.
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	k.Calls.Add(1)
-	if err := k.Store.Put(ctx, relay.Members, k.Self.ID, data); err != nil {
+	if err := k.Store.Put(ctx, gossip.Members, k.Self.ID, data); err != nil {
 		k.Log.Warn().Err(err).Msg("knowledge: this daemon's entry could not be written: it is written again")
 		return false
 	}
@@ -65,7 +65,7 @@
 // readMembers takes the list of daemons, and the requests in quarantine.
 func (k *Keeper) readMembers(now time.Time) {
 	members := map[string]Member{}
-	for _, row := range k.topics[relay.Members].rows {
+	for _, row := range k.topics[gossip.Members].rows {
 		if strings.HasPrefix(row.Key, quarantinePrefix) {
 			k.readQuarantine(row, now)
 			continue
@@ -76,7 +76,7 @@
 			err = errNoMember
 		}
 		if err != nil {
-			k.malformed(relay.Members, row, err)
+			k.malformed(gossip.Members, row, err)
 			continue
 		}
 		members[m.ID] = m
@@ -91,7 +91,7 @@
 
 // daemons is how many daemons there are, this one included; 0 while their list is not known.
 func (k *Keeper) daemons() int {
-	if !k.topics[relay.Members].known {
+	if !k.topics[gossip.Members].known {
 		return 0
 	}
 	members := *k.members.Load()
--- a/daemon/knowledge/notices.go
+++ b/daemon/storesync/notices.go
@@ -1,4 +1,4 @@
-package knowledge
+package storesync
 
 import (
 	"maps"
--- a/daemon/knowledge/notices_test.go
+++ b/daemon/storesync/notices_test.go
@@ -1,11 +1,11 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"testing"
 	"time"
 
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/notice"
-	"ladderridge.example/core/relay"
 )
 
 // What a server said of itself was bound to its entry: one that another writer spoiled, or
@@ -15,25 +15,25 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "a", "v1#100")
+		s.rows.set(gossip.Servers, "a", "v1#100")
 		k := s.daemon("d")
 		pass(2 * time.Second)
 		before := only(t, k)
 		before.Load.Notices.Hear(notice.Notice{Leaving: true}, time.Now())
-		s.rows.set(relay.Servers, "a", "")
+		s.rows.set(gossip.Servers, "a", "")
 		pass(5 * time.Second)
 		if got := only(t, k); got != nil {
 			t.Fatalf("still listed: %+v", got.Incarnation())
 		}
 		// An answer that was under way tells more.
 		before.Load.Notices.Hear(notice.Notice{Rest: time.Minute}, time.Now())
-		s.rows.set(relay.Servers, "a", "v1#100")
+		s.rows.set(gossip.Servers, "a", "v1#100")
 		pass(time.Second)
 		after := only(t, k)
 		if after == nil || after == before || after.Usable() || !after.Load.Notices.Kept().Resting(time.Now()) {
 			t.Errorf("what the server said is forgotten with its entry")
 		}
-		s.rows.set(relay.Servers, "a", "v1#200")
+		s.rows.set(gossip.Servers, "a", "v1#200")
 		pass(time.Second)
 		if got := only(t, k); got == nil || !got.Open(time.Now()) {
 			t.Error("a later start is held to what an earlier one said")
--- a/daemon/knowledge/peers.go
+++ b/daemon/storesync/peers.go
@@ -1,9 +1,9 @@
-package knowledge
+package storesync
 
 import (
 	"time"
 
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
 )
 
@@ -12,7 +12,7 @@
 const askedFor = time.Second
 
 // relayed are the topics that daemons tell each other.
-var relayed = []relay.Topic{relay.Operator, relay.Servers, relay.Progress, relay.Members}
+var relayed = []gossip.Topic{gossip.Operator, gossip.Servers, gossip.Progress, gossip.Members}
 
 // askReader asks the daemon that reads for this one, and reads itself if there
 // is none.
@@ -26,7 +26,7 @@
 		k.Log.Warn().Str("reader", id).Msg("knowledge: the reader of this hall does not answer")
 	}
 	k.settleReading(now)
-	due := k.readers.due(now.Sub(k.topics[relay.Operator].confirmed), now)
+	due := k.readers.due(now.Sub(k.topics[gossip.Operator].confirmed), now)
 	if len(due) == 0 {
 		return
 	}
@@ -49,7 +49,7 @@
 	if !k.knowsAll() {
 		return
 	}
-	age := now.Sub(k.topics[relay.Operator].confirmed)
+	age := now.Sub(k.topics[gossip.Operator].confirmed)
 	reads := k.readers.mayRead(age, now)
 	k.bystander.Store(k.readers.bystander(now))
 	reader, ok := k.readers.reader()
@@ -79,7 +79,7 @@
 	if !k.leavesReading.Load() {
 		return
 	}
-	first := k.topics[relay.Members].known && k.readers.first()
+	first := k.topics[gossip.Members].known && k.readers.first()
 	if first || !k.reading.Load() || now.Sub(k.startedAt) >= firstStartPatience {
 		k.leavesReading.Store(false)
 	}
@@ -88,7 +88,7 @@
 // knowsAll reports whether the rows of the topics that every daemon needs have
 // been read once.
 func (k *Keeper) knowsAll() bool {
-	return k.topics[relay.Operator].known && k.topics[relay.Servers].known && k.topics[relay.Members].known
+	return k.topics[gossip.Operator].known && k.topics[gossip.Servers].known && k.topics[gossip.Members].known
 }
 
 // stopReading ends the calls to the store: whether it is away is now the
@@ -106,14 +106,14 @@
 }
 
 // question makes a question about topics.
-func (k *Keeper) question(topics []relay.Topic, now time.Time) relay.Ask {
+func (k *Keeper) question(topics []gossip.Topic, now time.Time) gossip.Ask {
 	k.nonce++
 	k.asked[k.nonce] = now
-	ask := relay.Ask{Nonce: k.nonce, Work: k.askWork(now)}
+	ask := gossip.Ask{Nonce: k.nonce, Work: k.askWork(now)}
 	k.askLimits(&ask, now)
 	for _, topic := range topics {
 		t := k.topics[topic]
-		ask.Have = append(ask.Have, relay.Have{Topic: topic, Version: t.version, Sum: t.sum, Held: uint64(len(t.held))})
+		ask.Have = append(ask.Have, gossip.Have{Topic: topic, Version: t.version, Sum: t.sum, Held: uint64(len(t.held))})
 	}
 	return ask
 }
@@ -121,17 +121,17 @@
 // heard takes a message of another daemon.
 func (k *Keeper) heard(e heard, now time.Time) {
 	switch m := e.message.(type) {
-	case relay.Ask:
+	case gossip.Ask:
 		k.answer(e.from, m, now)
-	case relay.Tell:
+	case gossip.Tell:
 		k.told(e.from, m, now)
-	case relay.Evidence:
+	case gossip.Evidence:
 		k.rollouts.hear(e.from, m, now)
 	}
 }
 
 // answer tells another daemon what is known here.
-func (k *Keeper) answer(to string, m relay.Ask, now time.Time) {
+func (k *Keeper) answer(to string, m gossip.Ask, now time.Time) {
 	member, ok := (*k.members.Load())[to]
 	if !ok {
 		return
@@ -139,7 +139,7 @@
 	k.listeners[to] = now
 	k.askedSessions(m.Sessions, now)
 	k.mergeUsage(m.Usage)
-	tell := relay.Tell{Nonce: m.Nonce, Withdrawn: k.rollouts.withdrawnNames(), Cut: k.cut(now), Work: k.askedWork(member, m.Work, now)}
+	tell := gossip.Tell{Nonce: m.Nonce, Withdrawn: k.rollouts.withdrawnNames(), Cut: k.cut(now), Work: k.askedWork(member, m.Work, now)}
 	tell.Limits = k.askedLimits(to, m, now)
 	tell.LimitSum = k.limits.sum()
 	holdsMore := false
@@ -159,8 +159,8 @@
 }
 
 // tell is what is known of a topic, for a daemon whose rows have a sum.
-func (t *topicState) tell(topic relay.Topic, sum uint64, now time.Time) relay.Known {
-	out := relay.Known{Topic: topic, Version: t.version, AgeMS: uint64(max(0, now.Sub(t.confirmed).Milliseconds())), Sum: t.sum, Base: sum, Held: uint64(len(t.held))}
+func (t *topicState) tell(topic gossip.Topic, sum uint64, now time.Time) gossip.Known {
+	out := gossip.Known{Topic: topic, Version: t.version, AgeMS: uint64(max(0, now.Sub(t.confirmed).Milliseconds())), Sum: t.sum, Base: sum, Held: uint64(len(t.held))}
 	if !t.returned.IsZero() {
 		out.ReturnedMS = uint64(max(1, now.Sub(t.returned).Milliseconds()))
 	}
@@ -181,7 +181,7 @@
 }
 
 // news is what has changed since the last news, which all listeners have.
-func (t *topicState) news(topic relay.Topic, sum uint64, now time.Time) relay.Known {
+func (t *topicState) news(topic gossip.Topic, sum uint64, now time.Time) gossip.Known {
 	out := t.tell(topic, t.sum, now)
 	rows, removed, known, _ := t.since(sum, now)
 	out.Base, out.Rows, out.Removed = sum, rows, removed
@@ -197,7 +197,7 @@
 // tellNews tells the topics that have changed since the last news to the daemons
 // that ask here.
 func (k *Keeper) tellNews(now time.Time) {
-	var tell relay.Tell
+	var tell gossip.Tell
 	for _, topic := range relayed {
 		t := k.topics[topic]
 		if t.known && t.sum != k.toldSums[topic] {
@@ -226,13 +226,13 @@
 
 // tellWithdrawn tells which versions are bad to the daemons that ask here.
 func (k *Keeper) tellWithdrawn(now time.Time) {
-	k.Peers.SendAll(k.audience(now), relay.Tell{Withdrawn: k.rollouts.withdrawnNames()})
+	k.Peers.SendAll(k.audience(now), gossip.Tell{Withdrawn: k.rollouts.withdrawnNames()})
 }
 
 // told takes what another daemon knows. Its age counts from when the question
 // was asked, so that an answer that was held up does not make it younger; news
 // that nobody has asked for confirms nothing.
-func (k *Keeper) told(from string, m relay.Tell, now time.Time) {
+func (k *Keeper) told(from string, m gossip.Tell, now time.Time) {
 	defer k.refresh()
 	k.toldSessions(from, m.Sessions, now)
 	k.heardCrashes(from, m.Crashes, now)
@@ -267,7 +267,7 @@
 		return
 	}
 	for _, known := range m.Known {
-		if known.Topic == relay.Operator {
+		if known.Topic == gossip.Operator {
 			age := now.Sub(asked.Add(-time.Duration(known.AgeMS) * time.Millisecond))
 			k.readers.told(from, age, m.Cut, now)
 			k.noteSource(from, !m.Cut && age <= k.readers.usefulAge)
@@ -276,7 +276,7 @@
 }
 
 // take takes what another daemon knows of a topic.
-func (k *Keeper) take(from string, known relay.Known, confirmed, now time.Time) {
+func (k *Keeper) take(from string, known gossip.Known, confirmed, now time.Time) {
 	t := k.topics[known.Topic]
 	if returned := now.Add(-time.Duration(known.ReturnedMS) * time.Millisecond); known.ReturnedMS > 0 && returned.After(t.returned) {
 		t.returned = returned
--- a/daemon/knowledge/quarantine.go
+++ b/daemon/storesync/quarantine.go
@@ -1,4 +1,4 @@
-package knowledge
+package storesync
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"ladderridge.example/core/canary"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/quarantine"
-	"ladderridge.example/core/relay"
 )
 
 // Requests under which servers end, as all daemons know them. A caller's attempts reach any
@@ -107,7 +107,7 @@
 
 // heardCrashes takes servers that ended elsewhere. What is new here is told on by a reader:
 // to its hall, and to other halls if it comes from its own.
-func (k *Keeper) heardCrashes(from string, crashes []relay.Crash, now time.Time) {
+func (k *Keeper) heardCrashes(from string, crashes []gossip.Crash, now time.Time) {
 	m, known := (*k.members.Load())[from]
 	for _, told := range crashes {
 		c := quarantine.Crash{Content: quarantine.Fingerprint(told.Content), Server: told.Server, At: now.Add(-time.Duration(told.AgeMS) * time.Millisecond)}
@@ -139,14 +139,14 @@
 	if !k.reading.Load() && !ok {
 		return
 	}
-	var all, otherHalls []relay.Crash
+	var all, otherHalls []gossip.Crash
 	var waiting []crashNews
 	for i, n := range k.crashNews {
 		if i >= crashesAtOnce {
 			waiting = append(waiting, n)
 			continue
 		}
-		c := relay.Crash{Content: uint64(n.crash.Content), Server: n.crash.Server, AgeMS: uint64(max(0, now.Sub(n.crash.At).Milliseconds()))}
+		c := gossip.Crash{Content: uint64(n.crash.Content), Server: n.crash.Server, AgeMS: uint64(max(0, now.Sub(n.crash.At).Milliseconds()))}
 		all = append(all, c)
 		if n.otherHalls {
 			otherHalls = append(otherHalls, c)
@@ -157,14 +157,14 @@
 	}
 	k.crashNews = waiting
 	if !k.reading.Load() {
-		k.Peers.Send(reader.ID, reader.Addr, relay.Tell{Crashes: all})
+		k.Peers.Send(reader.ID, reader.Addr, gossip.Tell{Crashes: all})
 		return
 	}
 	if to := k.hallAudience(now); len(to) > 0 {
-		k.Peers.SendAll(to, relay.Tell{Crashes: all})
+		k.Peers.SendAll(to, gossip.Tell{Crashes: all})
 	}
 	if len(otherHalls) > 0 {
-		k.broadcast(relay.Tell{Crashes: otherHalls})
+		k.broadcast(gossip.Tell{Crashes: otherHalls})
 	}
 }
 
@@ -192,8 +192,8 @@
 			continue
 		}
 		key := quarantinePrefix + f.String()
-		_, lost := k.topics[relay.Members].held[key]
-		if row, ok := k.topics[relay.Members].rows[key]; ok && !lost && k.stands(row, now) || now.Before(c.due) || !c.own && !k.reading.Load() {
+		_, lost := k.topics[gossip.Members].held[key]
+		if row, ok := k.topics[gossip.Members].rows[key]; ok && !lost && k.stands(row, now) || now.Before(c.due) || !c.own && !k.reading.Load() {
 			continue
 		}
 		// Another try if it does not come from the store.
@@ -212,26 +212,26 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	k.Calls.Add(1)
-	if err := k.Store.Put(ctx, relay.Members, key, data); err != nil {
+	if err := k.Store.Put(ctx, gossip.Members, key, data); err != nil {
 		k.Log.Warn().Str("key", key).Err(err).Msg("quarantine: the row may not have been written: it is written again if it does not come")
 	}
 }
 
 // stands reports whether the quarantine of a row is not over.
-func (k *Keeper) stands(row relay.Row, now time.Time) bool {
+func (k *Keeper) stands(row gossip.Row, now time.Time) bool {
 	var c confinement
 	return cbor.Unmarshal(row.Data, &c) == nil && c.UntilMS > now.UnixMilli()
 }
 
 // readQuarantine takes the row of a request in quarantine.
-func (k *Keeper) readQuarantine(row relay.Row, now time.Time) {
+func (k *Keeper) readQuarantine(row gossip.Row, now time.Time) {
 	f, err := strconv.ParseUint(strings.TrimPrefix(row.Key, quarantinePrefix), 16, 64)
 	var c confinement
 	if err == nil {
 		err = cbor.Unmarshal(row.Data, &c)
 	}
 	if err != nil {
-		k.malformed(relay.Members, row, err)
+		k.malformed(gossip.Members, row, err)
 		return
 	}
 	content := quarantine.Fingerprint(f)
--- a/daemon/knowledge/read.go
+++ b/daemon/storesync/read.go
@@ -1,4 +1,4 @@
-package knowledge
+package storesync
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 
 	"ladderridge.example/core/fault"
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
 	"ladderridge.example/core/routemap"
 )
@@ -15,7 +15,7 @@
 func isKind(err error, kind Kind) bool { return fault.Is(err, kind) }
 
 // malformed logs a row that does not decode, once for each of its versions.
-func (k *Keeper) malformed(topic relay.Topic, row relay.Row, err error) {
+func (k *Keeper) malformed(topic gossip.Topic, row gossip.Row, err error) {
 	if k.bad[row.Key] == row.Sum() {
 		return
 	}
@@ -28,10 +28,10 @@
 func (k *Keeper) readOperator(now time.Time) {
 	emptied := map[string]bool{}
 	defer func() { k.empty(emptied, now) }()
-	for _, row := range k.topics[relay.Operator].rows {
+	for _, row := range k.topics[gossip.Operator].rows {
 		decoded, err := k.Decoder.Operator(row)
 		if err != nil {
-			k.malformed(relay.Operator, row, err)
+			k.malformed(gossip.Operator, row, err)
 			continue
 		}
 		switch d := decoded.(type) {
@@ -69,7 +69,7 @@
 
 // readServers makes the list of servers.
 func (k *Keeper) readServers(now time.Time) {
-	t := k.topics[relay.Servers]
+	t := k.topics[gossip.Servers]
 	if !t.known {
 		return
 	}
@@ -81,7 +81,7 @@
 	for _, row := range t.rows {
 		e := k.decode(row, now)
 		if e.err != nil {
-			k.malformed(relay.Servers, row, e.err)
+			k.malformed(gossip.Servers, row, e.err)
 			v.Spoiled[row.Key] = e.err.Error()
 			continue
 		}
@@ -117,7 +117,7 @@
 
 // decode reads a server's row, once for each of its contents: most of them have not changed
 // when one has, and there may be thousands.
-func (k *Keeper) decode(row relay.Row, now time.Time) serverEntry {
+func (k *Keeper) decode(row gossip.Row, now time.Time) serverEntry {
 	e, ok := k.entries[row.Key]
 	if !ok || e.sum != row.Sum() {
 		e = k.decodeAnew(row, now)
@@ -131,7 +131,7 @@
 	return e
 }
 
-func (k *Keeper) decodeAnew(row relay.Row, now time.Time) serverEntry {
+func (k *Keeper) decodeAnew(row gossip.Row, now time.Time) serverEntry {
 	s, err := k.Decoder.Server(row)
 	if err == nil {
 		err = k.checkStart(s)
@@ -146,7 +146,7 @@
 
 // forgetEntries forgets rows that are not there any more.
 func (k *Keeper) forgetEntries() {
-	rows := k.topics[relay.Servers].rows
+	rows := k.topics[gossip.Servers].rows
 	if len(k.entries) > len(rows) {
 		maps.DeleteFunc(k.entries, func(key string, _ serverEntry) bool {
 			_, there := rows[key]
@@ -217,10 +217,10 @@
 
 // readProgress takes the states of roll-outs.
 func (k *Keeper) readProgress(now time.Time) {
-	for _, row := range k.topics[relay.Progress].rows {
+	for _, row := range k.topics[gossip.Progress].rows {
 		service, p, err := k.Decoder.Progress(row)
 		if err != nil {
-			k.malformed(relay.Progress, row, err)
+			k.malformed(gossip.Progress, row, err)
 			continue
 		}
 		if k.rollouts.progress(service, p, row.Version, now) {
--- a/daemon/knowledge/rollout_test.go
+++ b/daemon/storesync/rollout_test.go
@@ -1,4 +1,4 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"encoding/json"
@@ -9,45 +9,45 @@
 	"time"
 
 	"ladderridge.example/core/canary"
-	"ladderridge.example/core/relay"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/core/gossip"
+	"ladderridge.example/daemon/storesync"
 )
 
 // rollout is a system of daemons with both versions of a service and an order
 // for the new one.
-func rollout(t *testing.T, daemons, seconds int) (*system, []*knowledge.Keeper) {
+func rollout(t *testing.T, daemons, seconds int) (*system, []*storesync.Keeper) {
 	t.Helper()
 	s := newSystem(t)
 	s.config(1, "k")
-	s.rows.set(relay.Servers, "old", "v1")
-	var keepers []*knowledge.Keeper
+	s.rows.set(gossip.Servers, "old", "v1")
+	var keepers []*storesync.Keeper
 	for i := range daemons {
 		keepers = append(keepers, s.daemon(fmt.Sprintf("d%d", i)))
 	}
 	// All daemons know each other after the second read of their list.
 	pass(12 * time.Second)
-	s.rows.set(relay.Servers, "new", "v2")
-	s.rows.set(relay.Operator, "order/s", fmt.Sprintf(`{"Version":"v2","Seconds":%d}`, seconds))
+	s.rows.set(gossip.Servers, "new", "v2")
+	s.rows.set(gossip.Operator, "order/s", fmt.Sprintf(`{"Version":"v2","Seconds":%d}`, seconds))
 	pass(time.Second)
 	return s, keepers
 }
 
 func (s *system) progress() canary.Progress {
 	var p canary.Progress
-	_ = json.Unmarshal([]byte(s.rows.get(relay.Progress, "s")), &p)
+	_ = json.Unmarshal([]byte(s.rows.get(gossip.Progress, "s")), &p)
 	return p
 }
 
 // uses reports whether a session's first choice is a version.
-func uses(k *knowledge.Keeper, hash uint64, version string) bool {
+func uses(k *storesync.Keeper, hash uint64, version string) bool {
 	first, _ := k.View().Versions("s", hash, time.Now())
 	return first.Allows(version)
 }
 
 // fail lets a daemon see that a number of answers of the new version fail.
-func fail(k *knowledge.Keeper, answers int) {
+func fail(k *storesync.Keeper, answers int) {
 	for range answers {
-		k.Observe(knowledge.Fact{Service: "s", Version: "v2", Route: "r", Failed: true})
+		k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", Failed: true})
 	}
 }
 
@@ -87,7 +87,7 @@
 		// No daemon alone sees enough.
 		for _, k := range keepers {
 			for i := range 8 {
-				k.Observe(knowledge.Fact{Service: "s", Version: "v2", Route: "r", Failed: i%2 == 0})
+				k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", Failed: i%2 == 0})
 			}
 		}
 		pass(time.Second)
@@ -136,13 +136,13 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "old", "v1")
+		s.rows.set(gossip.Servers, "old", "v1")
 		k := s.daemon("a")
 		pass(3 * time.Second)
 		if !uses(k, lowest, "v1") {
 			t.Error("the version of the first list is not used")
 		}
-		s.rows.set(relay.Servers, "new", "v2")
+		s.rows.set(gossip.Servers, "new", "v2")
 		pass(time.Second)
 		if uses(k, lowest, "v2") {
 			t.Error("a version is used before an order could have come")
@@ -160,16 +160,16 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "old", "v1")
-		var keepers []*knowledge.Keeper
+		s.rows.set(gossip.Servers, "old", "v1")
+		var keepers []*storesync.Keeper
 		for i := range 3 {
 			keepers = append(keepers, s.daemon(fmt.Sprintf("d%d", i)))
 		}
 		pass(12 * time.Second)
 		keepers[2].Ran("s", lowest, "v1")
 		pass(1200 * time.Millisecond)
-		s.rows.set(relay.Servers, "new", "v2")
-		s.rows.set(relay.Operator, "order/s", `{"Version":"v2","Seconds":40}`)
+		s.rows.set(gossip.Servers, "new", "v2")
+		s.rows.set(gossip.Operator, "order/s", `{"Version":"v2","Seconds":40}`)
 		pass(time.Second)
 		for i, k := range keepers {
 			if uses(k, lowest, "v2") {
@@ -199,7 +199,7 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		ids := []string{"a", "b", "c", "d"}
-		keepers := map[string]*knowledge.Keeper{}
+		keepers := map[string]*storesync.Keeper{}
 		for i, id := range ids {
 			keepers[id] = s.daemonIn(id, []string{"h", "far"}[i%2])
 		}
@@ -234,7 +234,7 @@
 			s.mesh.mu.Unlock()
 			s.links[id].fail(errDown)
 		}
-		var after []*knowledge.Keeper
+		var after []*storesync.Keeper
 		for i := range 3 {
 			after = append(after, s.daemon(fmt.Sprintf("e%d", i)))
 		}
@@ -265,9 +265,9 @@
 				s, keepers := rollout(t, 3, 20)
 				for i := range 180 {
 					k, usual := keepers[i%len(keepers)], usualTime(i)
-					k.Observe(knowledge.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
+					k.Observe(storesync.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
 					if i < 60 {
-						k.Observe(knowledge.Fact{Service: "s", Version: "v2", Route: "r", First: c.factor * usual})
+						k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", First: c.factor * usual})
 					}
 				}
 				pass(10 * time.Second)
@@ -294,15 +294,15 @@
 func TestGoodVersionIsNotTakenBackOnTheAnswersOfOneDaemon(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		s, keepers := rollout(t, 8, 20)
-		unlucky := slices.IndexFunc(keepers, func(k *knowledge.Keeper) bool { return k.Calls.Load() <= 20 })
+		unlucky := slices.IndexFunc(keepers, func(k *storesync.Keeper) bool { return k.Calls.Load() <= 20 })
 		for i := range 400 {
 			k, usual := keepers[i%len(keepers)], usualTime(i)
-			k.Observe(knowledge.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
+			k.Observe(storesync.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
 			switch {
 			case i%len(keepers) != unlucky:
-				k.Observe(knowledge.Fact{Service: "s", Version: "v2", Route: "r", First: usual})
+				k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", First: usual})
 			case i < 5*len(keepers):
-				k.Observe(knowledge.Fact{Service: "s", Version: "v2", Route: "r", First: 3})
+				k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", First: 3})
 			}
 		}
 		pass(20 * time.Second)
@@ -319,8 +319,8 @@
 		s, keepers := rollout(t, 3, 20)
 		for i := range 480 {
 			k, usual := keepers[i%len(keepers)], usualTime(i)
-			k.Observe(knowledge.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
-			k.Observe(knowledge.Fact{Service: "s", Version: "v2", Route: "r", First: 1.45 * usual, Server: fmt.Sprint(i / 160)})
+			k.Observe(storesync.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
+			k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", First: 1.45 * usual, Server: fmt.Sprint(i / 160)})
 		}
 		pass(4 * time.Second)
 		if p := s.progress(); p.State != canary.RolledBack {
@@ -370,7 +370,7 @@
 		s.mesh.mu.Unlock()
 		s.links[gone].fail(errDown)
 		pass(5 * time.Second)
-		var left []*knowledge.Keeper
+		var left []*storesync.Keeper
 		for i, k := range keepers {
 			if fmt.Sprintf("d%d", i) != gone {
 				left = append(left, k)
@@ -404,8 +404,8 @@
 		if p := s.progress(); p.State != canary.Completed {
 			t.Fatalf("the first order is %v", p)
 		}
-		s.rows.set(relay.Servers, "newer", "v3")
-		s.rows.set(relay.Operator, "order/s", `{"Version":"v3","Seconds":20}`)
+		s.rows.set(gossip.Servers, "newer", "v3")
+		s.rows.set(gossip.Operator, "order/s", `{"Version":"v3","Seconds":20}`)
 		pass(1500 * time.Millisecond)
 		for i, k := range keepers {
 			if uses(k, lowest, "v3") {
@@ -424,10 +424,10 @@
 	inBubble(t, func(t *testing.T) {
 		s, keepers := rollout(t, 30, 10)
 		pass(12 * time.Second)
-		s.rows.set(relay.Servers, "newer", "v3")
-		s.rows.set(relay.Operator, "order/s", `{"Version":"v3","Seconds":10}`)
+		s.rows.set(gossip.Servers, "newer", "v3")
+		s.rows.set(gossip.Operator, "order/s", `{"Version":"v3","Seconds":10}`)
 		pass(6 * time.Second)
-		all := map[string]*knowledge.Keeper{}
+		all := map[string]*storesync.Keeper{}
 		for i, k := range keepers {
 			all[fmt.Sprint(i)] = k
 		}
@@ -455,7 +455,7 @@
 		if uses(k, lowest, "v2") {
 			t.Fatal("the version is not found bad")
 		}
-		s.rows.set(relay.Progress, "s", fmt.Sprintf(`{"State":%d,"Version":"v2","SinceMS":1000,"Order":{"Era":%d,"Number":%d}}`, canary.Completed, order.Era, order.Number))
+		s.rows.set(gossip.Progress, "s", fmt.Sprintf(`{"State":%d,"Version":"v2","SinceMS":1000,"Order":{"Era":%d,"Number":%d}}`, canary.Completed, order.Era, order.Number))
 		s.links["d0"].fail(nil)
 		pass(3 * time.Second)
 		if !uses(k, lowest, "v2") || !uses(k, highest, "v2") {
--- a/daemon/knowledge/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -1,4 +1,4 @@
-package knowledge
+package storesync
 
 import (
 	"maps"
@@ -7,7 +7,7 @@
 	"time"
 
 	"ladderridge.example/core/canary"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
 )
 
@@ -57,11 +57,11 @@
 	own  map[countKey]canary.Count
 	// told is what other daemons of the hall have seen, and other halls as
 	// wholes.
-	told   map[source]relay.Evidence
+	told   map[source]gossip.Evidence
 	toldAt map[source]time.Time
 	// departed is what lives of daemons of the hall have seen that tell nothing any more, halls
 	// what other halls have seen, as one of their readers told it.
-	departed  map[life][]relay.Count
+	departed  map[life][]gossip.Count
 	halls     map[string]hallSeen
 	withdrawn map[string]bool
 	// aside are the servers that look bad, by service.
@@ -96,7 +96,7 @@
 func newRollouts() *rollouts {
 	return &rollouts{
 		byService: map[string]canary.Rollout{}, rows: map[string]revision.Revision{}, own: map[countKey]canary.Count{},
-		told: map[source]relay.Evidence{}, departed: map[life][]relay.Count{}, halls: map[string]hallSeen{}, toldAt: map[source]time.Time{}, withdrawn: map[string]bool{},
+		told: map[source]gossip.Evidence{}, departed: map[life][]gossip.Count{}, halls: map[string]hallSeen{}, toldAt: map[source]time.Time{}, withdrawn: map[string]bool{},
 		aside: map[string][]string{}, doubts: map[string]doubt{}, busy: map[string]time.Time{}, seenAt: map[string]time.Time{},
 	}
 }
@@ -215,7 +215,7 @@
 }
 
 // hear takes what another daemon or hall has seen.
-func (r *rollouts) hear(from string, m relay.Evidence, now time.Time) {
+func (r *rollouts) hear(from string, m gossip.Evidence, now time.Time) {
 	src := source{daemon: from}
 	if m.Hall != "" {
 		// Whoever reads for the hall says so.
@@ -241,13 +241,13 @@
 // hallSeen is what another hall has seen, and which reader told it.
 type hallSeen struct {
 	reader life
-	counts []relay.Count
+	counts []gossip.Count
 }
 
 // keepSeen keeps what is told beside what is kept already: of each life of a daemon of the hall
 // its last word, and of another hall the word of its reader. Of two readers' the larger one
 // stands, since each has in it what the daemons that live still tell.
-func (r *rollouts) keepSeen(from string, src source, was, m relay.Evidence) {
+func (r *rollouts) keepSeen(from string, src source, was, m gossip.Evidence) {
 	if src.hall == "" {
 		delete(r.departed, life{from, m.Start})
 		if was.Start != m.Start {
@@ -262,14 +262,14 @@
 }
 
 // depart keeps what a life of a daemon of the hall has seen.
-func (r *rollouts) depart(l life, counts []relay.Count) {
+func (r *rollouts) depart(l life, counts []gossip.Count) {
 	if len(counts) > 0 {
 		r.departed[l] = counts
 	}
 }
 
 // answers is how many answers are counted.
-func answers(counts []relay.Count) uint64 {
+func answers(counts []gossip.Count) uint64 {
 	sum := uint64(0)
 	for _, c := range counts {
 		sum += c.Answers
@@ -294,8 +294,8 @@
 
 // forgetService drops what others have seen of a service: its next order begins anew.
 func (r *rollouts) forgetService(service string) {
-	without := func(counts []relay.Count) []relay.Count {
-		return slices.DeleteFunc(slices.Clone(counts), func(c relay.Count) bool { return c.Service == service })
+	without := func(counts []gossip.Count) []gossip.Count {
+		return slices.DeleteFunc(slices.Clone(counts), func(c gossip.Count) bool { return c.Service == service })
 	}
 	for src, m := range r.told {
 		m.Counts = without(m.Counts)
@@ -342,7 +342,7 @@
 	return out
 }
 
-func addCounts(to map[countKey]canary.Count, counts []relay.Count) {
+func addCounts(to map[countKey]canary.Count, counts []gossip.Count) {
 	for _, c := range counts {
 		key := countKey{service: c.Service, version: c.Version, route: c.Route, server: c.Server}
 		to[key] = to[key].Plus(canary.Count{Answers: c.Answers, Failed: c.Failed, First: c.First, Between: c.Between})
@@ -374,11 +374,11 @@
 }
 
 // message is what has been seen, for others: by this daemon, or by its hall.
-func (r *rollouts) message(start uint64, hall string, counts map[countKey]canary.Count, old map[string]int) relay.Evidence {
+func (r *rollouts) message(start uint64, hall string, counts map[countKey]canary.Count, old map[string]int) gossip.Evidence {
 	r.sequence++
-	m := relay.Evidence{Hall: hall, Start: start, Sequence: r.sequence, OldInFlight: old, Withdrawn: r.withdrawnNames()}
+	m := gossip.Evidence{Hall: hall, Start: start, Sequence: r.sequence, OldInFlight: old, Withdrawn: r.withdrawnNames()}
 	for key, c := range counts {
-		m.Counts = append(m.Counts, relay.Count{Service: key.service, Version: key.version, Route: key.route, Server: key.server, Answers: c.Answers, Failed: c.Failed, First: c.First, Between: c.Between})
+		m.Counts = append(m.Counts, gossip.Count{Service: key.service, Version: key.version, Route: key.route, Server: key.server, Answers: c.Answers, Failed: c.Failed, First: c.First, Between: c.Between})
 	}
 	return m
 }
--- a/daemon/knowledge/sessions.go
+++ b/daemon/storesync/sessions.go
@@ -1,11 +1,11 @@
-package knowledge
+package storesync
 
 import (
 	"sync"
 	"time"
 
 	"ladderridge.example/core/canary"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 )
 
 // sessions remembers which sessions were served by an old version a moment ago,
@@ -105,12 +105,12 @@
 	all := append(own[:len(own):len(own)], k.awaySessions...)
 	k.hallSessions, k.awaySessions = nil, nil
 	if to := k.hallAudience(now); len(all) > 0 && len(to) > 0 {
-		k.Peers.SendAll(to, relay.Tell{Sessions: all})
+		k.Peers.SendAll(to, gossip.Tell{Sessions: all})
 	}
 	if len(own) == 0 {
 		return
 	}
-	k.broadcast(relay.Tell{Sessions: own})
+	k.broadcast(gossip.Tell{Sessions: own})
 }
 
 // hallAudience are the daemons of this hall that this one reads for. Those of
--- a/daemon/knowledge/sources.go
+++ b/daemon/storesync/sources.go
@@ -1,9 +1,9 @@
-package knowledge
+package storesync
 
 import (
 	"time"
 
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 )
 
 // Whom a daemon asks while nobody reads the store for it, and how it learns who is worth
@@ -21,7 +21,7 @@
 		// Those of other halls know no more, and bytes between halls are paid for.
 		return
 	}
-	age := now.Sub(k.topics[relay.Operator].confirmed)
+	age := now.Sub(k.topics[gossip.Operator].confirmed)
 	if age <= k.readers.usefulAge || now.Sub(k.askedAt) < askEvery/2 {
 		return
 	}
@@ -54,7 +54,7 @@
 	}
 	if len(to) > 0 {
 		k.Log.Info().Int("daemons", len(to)).Msg("knowledge: the store answers this daemon: its hall is told")
-		k.Peers.SendAll(to, relay.Tell{Found: true})
+		k.Peers.SendAll(to, gossip.Tell{Found: true})
 	}
 }
 
@@ -65,7 +65,7 @@
 		return
 	}
 	k.source = from
-	if now.Sub(k.topics[relay.Operator].confirmed) > k.readers.usefulAge {
+	if now.Sub(k.topics[gossip.Operator].confirmed) > k.readers.usefulAge {
 		k.Peers.Send(m.ID, m.Addr, k.question(relayed, now))
 	}
 }
--- a/daemon/knowledge/standstill.go
+++ b/daemon/storesync/standstill.go
@@ -1,9 +1,9 @@
-package knowledge
+package storesync
 
 import (
 	"time"
 
-	"ladderridge.example/daemon/standstill"
+	"ladderridge.example/daemon/suspend"
 )
 
 // A VM that is suspended stands still by its own steady clock. Ages of what is known count
@@ -16,7 +16,7 @@
 func (k *Keeper) noteStandstill(now time.Time) {
 	total := k.StoodStill.Now()
 	d := total - k.stood
-	if d < standstill.Least {
+	if d < suspend.Least {
 		return
 	}
 	k.stood, k.wokeAt = total, now
@@ -45,7 +45,7 @@
 
 // stillSince is how long the VM has stood still since the view was made.
 func (v *View) stillSince() time.Duration {
-	if d := v.StoodStill.Now() - v.Stood; d >= standstill.Least {
+	if d := v.StoodStill.Now() - v.Stood; d >= suspend.Least {
 		return d
 	}
 	return 0
--- a/daemon/knowledge/standstill_test.go
+++ b/daemon/storesync/standstill_test.go
@@ -1,10 +1,10 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"testing"
 	"time"
 
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 )
 
 // A VM that is suspended for ten seconds finds that no time has passed by its steady clock.
@@ -52,7 +52,7 @@
 		l.mu.Lock()
 		l.hold = 200 * time.Millisecond
 		l.mu.Unlock()
-		s.rows.set(relay.Servers, "a", "v1")
+		s.rows.set(gossip.Servers, "a", "v1")
 		s.config(2, "k")
 		time.Sleep(100 * time.Millisecond)
 		l.stood.Store(int64(10 * time.Second))
--- a/daemon/knowledge/starts_test.go
+++ b/daemon/storesync/starts_test.go
@@ -1,4 +1,4 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	"time"
 
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/relay"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/core/gossip"
+	"ladderridge.example/daemon/storesync"
 )
 
 // only is the one server that a daemon uses, or nil.
-func only(t *testing.T, k *knowledge.Keeper) *fleet.Server {
+func only(t *testing.T, k *storesync.Keeper) *fleet.Server {
 	t.Helper()
 	of := k.View().Servers.Service("s")
 	if len(of) > 1 {
@@ -28,7 +28,7 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "a", "v1#100")
+		s.rows.set(gossip.Servers, "a", "v1#100")
 		k := s.daemon("d")
 		var again []fleet.Incarnation
 		k.BeganAgain = func(was *fleet.Server) { again = append(again, was.Incarnation()) }
@@ -38,12 +38,12 @@
 		before.Load.Broke(time.Now())
 		before.Load.Broke(time.Now())
 		// Its entry changes and it is the same.
-		s.rows.set(relay.Servers, "a", "v1@h2#100")
+		s.rows.set(gossip.Servers, "a", "v1@h2#100")
 		pass(time.Second)
 		if only(t, k).Load != before.Load || len(again) > 0 {
 			t.Error("an entry that changes makes another server")
 		}
-		s.rows.set(relay.Servers, "a", "v1#200")
+		s.rows.set(gossip.Servers, "a", "v1#200")
 		pass(time.Second)
 		after := only(t, k)
 		if after.Load == before.Load || after.Load.Work() != 0 || after.Load.Slowness() != 1 || after.Load.Resting(time.Now()) {
@@ -53,12 +53,12 @@
 			t.Errorf("told is %v", again)
 		}
 		// An entry of the earlier start, by another writer, names no server.
-		s.rows.set(relay.Servers, "a", "v1#100")
+		s.rows.set(gossip.Servers, "a", "v1#100")
 		pass(time.Second)
 		if got := only(t, k); got != nil {
 			t.Errorf("an earlier start is used: %+v", got.Incarnation())
 		}
-		s.rows.set(relay.Servers, "a", "v1#200")
+		s.rows.set(gossip.Servers, "a", "v1#200")
 		pass(time.Second)
 		if got := only(t, k); got == nil || got.Born != 200 {
 			t.Errorf("the latest start is not used again: %+v", got)
@@ -74,24 +74,24 @@
 			rng := rand.New(rand.NewPCG(seed, 7))
 			s := newSystem(t)
 			s.config(1, "k")
-			s.rows.set(relay.Servers, "a", "v1#100")
-			var daemons []*knowledge.Keeper
+			s.rows.set(gossip.Servers, "a", "v1#100")
+			var daemons []*storesync.Keeper
 			for n := range 5 {
 				daemons = append(daemons, s.daemonIn(fmt.Sprintf("d%d", n), fmt.Sprintf("h%d", n/2)))
 			}
 			pass(3 * time.Second)
 			for range 8 {
-				s.rows.set(relay.Servers, "a", fmt.Sprintf("v1#%d", 100*(1+rng.IntN(3))))
+				s.rows.set(gossip.Servers, "a", fmt.Sprintf("v1#%d", 100*(1+rng.IntN(3))))
 				time.Sleep(time.Duration(rng.Int64N(int64(time.Second))))
 			}
-			s.rows.set(relay.Servers, "a", "v1#300")
+			s.rows.set(gossip.Servers, "a", "v1#300")
 			pass(2 * time.Second)
 			for _, k := range daemons {
 				if got := only(t, k); got == nil || got.Born != 300 {
 					t.Errorf("seed %d: %s uses %+v", seed, k.Self.ID, got)
 				}
 			}
-			s.rows.set(relay.Servers, "a", "v1#200")
+			s.rows.set(gossip.Servers, "a", "v1#200")
 			pass(2 * time.Second)
 			for _, k := range daemons {
 				if got := only(t, k); got != nil {
@@ -108,14 +108,14 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "a", "v1")
-		s.rows.set(relay.Servers, "b", "v1")
+		s.rows.set(gossip.Servers, "a", "v1")
+		s.rows.set(gossip.Servers, "b", "v1")
 		reader, other := s.daemon("d1"), s.daemon("d2")
 		pass(3 * time.Second)
 		load := reader.View().Servers.Service("s")[1].Load
-		s.rows.set(relay.Servers, "a", "!")
+		s.rows.set(gossip.Servers, "a", "!")
 		pass(2 * time.Second)
-		for _, k := range []*knowledge.Keeper{reader, other} {
+		for _, k := range []*storesync.Keeper{reader, other} {
 			if got := servers(k); len(got) != 1 || got[0] != "b" || k.Spoiled.Load() != 1 || k.View().Spoiled["a"] == "" {
 				t.Errorf("%s uses %v, counted are %d", k.Self.ID, got, k.Spoiled.Load())
 			}
@@ -123,7 +123,7 @@
 		if reader.View().Servers.Service("s")[0].Load != load {
 			t.Error("another server is not what it was")
 		}
-		s.rows.set(relay.Servers, "a", "v1")
+		s.rows.set(gossip.Servers, "a", "v1")
 		pass(2 * time.Second)
 		if got := servers(other); len(got) != 2 || len(other.View().Spoiled) > 0 {
 			t.Errorf("good again: %v", got)
@@ -136,14 +136,14 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		s.rows.set(relay.Servers, "a", "v1#100")
-		s.rows.set(relay.Servers, "b", "v1#150")
+		s.rows.set(gossip.Servers, "a", "v1#100")
+		s.rows.set(gossip.Servers, "b", "v1#150")
 		k := s.daemon("d")
 		pass(2 * time.Second)
 		if got := servers(k); len(got) != 2 {
 			t.Fatalf("at first %v", got)
 		}
-		s.rows.set(relay.Servers, "c=a", "v1#200")
+		s.rows.set(gossip.Servers, "c=a", "v1#200")
 		pass(time.Second)
 		if got := servers(k); len(got) != 2 || got[0] != "b" || got[1] != "c=a" {
 			t.Errorf("used are %v", got)
--- a/daemon/knowledge/store.go
+++ b/daemon/storesync/store.go
@@ -1,4 +1,4 @@
-package knowledge
+package storesync
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"ladderridge.example/core/canary"
 	"ladderridge.example/core/fault"
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
 	"ladderridge.example/core/routemap"
 )
@@ -43,7 +43,7 @@
 type Page struct {
 	// Rows are all rows, or those that have changed; Removed are the keys of
 	// rows that are gone.
-	Rows    []relay.Row
+	Rows    []gossip.Row
 	Removed []string
 	// Version is the newest that the page reflects.
 	Version revision.Revision
@@ -55,26 +55,26 @@
 // their context.
 type Store interface {
 	// Read returns all rows of a topic.
-	Read(ctx context.Context, topic relay.Topic) (Page, error)
+	Read(ctx context.Context, topic gossip.Topic) (Page, error)
 	// Follow returns the rows that have changed since a version, as soon as
 	// there are any and at the latest after wait.
-	Follow(ctx context.Context, topic relay.Topic, after revision.Revision, wait time.Duration) (Page, error)
+	Follow(ctx context.Context, topic gossip.Topic, after revision.Revision, wait time.Duration) (Page, error)
 	// Write sets a row if its version is still was; the number 0 means that there is none.
-	Write(ctx context.Context, topic relay.Topic, key string, data []byte, was revision.Revision) error
+	Write(ctx context.Context, topic gossip.Topic, key string, data []byte, was revision.Revision) error
 	// Put sets a row whatever it was.
-	Put(ctx context.Context, topic relay.Topic, key string, data []byte) error
+	Put(ctx context.Context, topic gossip.Topic, key string, data []byte) error
 }
 
 // Decoder reads the rows of the platform's own topics.
 type Decoder interface {
 	// Operator reads a row of the operator's topic.
-	Operator(row relay.Row) (Operator, error)
+	Operator(row gossip.Row) (Operator, error)
 	// Server reads a row of the servers' topic, but for its load.
-	Server(row relay.Row) (fleet.Server, error)
+	Server(row gossip.Row) (fleet.Server, error)
 	// Progress reads a row of the progress topic.
-	Progress(row relay.Row) (service string, p canary.Progress, err error)
+	Progress(row gossip.Row) (service string, p canary.Progress, err error)
 	// WriteProgress makes the row that tells the state of a roll-out.
-	WriteProgress(service string, p canary.Progress) (relay.Row, error)
+	WriteProgress(service string, p canary.Progress) (gossip.Row, error)
 }
 
 // Operator is a row that the operator has written: Config, Order, Emptied, or Other
--- a/daemon/knowledge/topic.go
+++ b/daemon/storesync/topic.go
@@ -1,16 +1,16 @@
-package knowledge
+package storesync
 
 import (
 	"slices"
 	"time"
 
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/revision"
 )
 
 // topicState is what is known of one topic.
 type topicState struct {
-	rows    map[string]relay.Row
+	rows    map[string]gossip.Row
 	version revision.Revision
 	// confirmed is the latest time at which the rows were the newest.
 	confirmed time.Time
@@ -64,7 +64,7 @@
 const pastChanges = 64
 
 func newTopicState() *topicState {
-	return &topicState{rows: map[string]relay.Row{}, before: map[string][]content{}, held: map[string]time.Time{}}
+	return &topicState{rows: map[string]gossip.Row{}, before: map[string][]content{}, held: map[string]time.Time{}}
 }
 
 // takeFresh returns the keys of rows that have changed since it was last called.
@@ -76,12 +76,12 @@
 
 // replace takes all rows as of a version. It reports whether it is newer than
 // what was known, and which keys are gone.
-func (t *topicState) replace(rows []relay.Row, version revision.Revision, confirmed, now time.Time) (gone []string, newer bool) {
+func (t *topicState) replace(rows []gossip.Row, version revision.Revision, confirmed, now time.Time) (gone []string, newer bool) {
 	if t.known && version.Before(t.version) {
 		return nil, false
 	}
 	rows = t.reconcile(rows, version, now)
-	next := make(map[string]relay.Row, len(rows))
+	next := make(map[string]gossip.Row, len(rows))
 	for _, row := range rows {
 		next[row.Key] = row
 	}
@@ -101,7 +101,7 @@
 		t.supersede(key, now)
 	}
 	before := t.sum
-	t.rows, t.version, t.known, t.sum = next, version, true, relay.Sum(rows)
+	t.rows, t.version, t.known, t.sum = next, version, true, gossip.Sum(rows)
 	t.remember(before, changed)
 	t.confirm(confirmed)
 	return gone, newer
@@ -109,7 +109,7 @@
 
 // set takes rows that have changed, and those that are gone. The sum follows by their
 // differences: adding all rows up again at each change is work that grows with the fleet.
-func (t *topicState) set(rows []relay.Row, removed []string, now time.Time) (gone []string) {
+func (t *topicState) set(rows []gossip.Row, removed []string, now time.Time) (gone []string) {
 	before, changed := t.sum, make([]string, 0, len(rows)+len(removed))
 	for _, row := range rows {
 		if was, ok := t.rows[row.Key]; ok {
@@ -137,7 +137,7 @@
 }
 
 // sumWith is what the sum would be with changed rows and without those that are gone.
-func (t *topicState) sumWith(rows []relay.Row, removed []string) uint64 {
+func (t *topicState) sumWith(rows []gossip.Row, removed []string) uint64 {
 	sum := t.sum
 	for _, row := range rows {
 		if was, ok := t.rows[row.Key]; ok {
@@ -171,7 +171,7 @@
 
 // since returns what has changed since the rows had a sum, if that is known, and
 // whether all of it is so new that the news of it may still be on its way.
-func (t *topicState) since(sum uint64, now time.Time) (rows []relay.Row, removed []string, known, onItsWay bool) {
+func (t *topicState) since(sum uint64, now time.Time) (rows []gossip.Row, removed []string, known, onItsWay bool) {
 	at := slices.IndexFunc(t.past, func(c change) bool { return c.before == sum })
 	if at < 0 {
 		return nil, nil, false, false
@@ -194,7 +194,7 @@
 }
 
 // apply takes what has changed, if that leads to the rows that the teller has.
-func (t *topicState) apply(k relay.Known, confirmed, now time.Time) (gone []string, ok bool) {
+func (t *topicState) apply(k gossip.Known, confirmed, now time.Time) (gone []string, ok bool) {
 	if t.sum != k.Base || t.sumWith(k.Rows, k.Removed) != k.Sum {
 		return nil, false
 	}
@@ -209,7 +209,7 @@
 	if p.Version.Before(t.version) {
 		return nil, false
 	}
-	rows := slices.DeleteFunc(slices.Clone(p.Rows), func(row relay.Row) bool {
+	rows := slices.DeleteFunc(slices.Clone(p.Rows), func(row gossip.Row) bool {
 		was, ok := t.rows[row.Key]
 		return ok && !row.Version.After(was.Version)
 	})
@@ -226,8 +226,8 @@
 }
 
 // list returns the rows.
-func (t *topicState) list() []relay.Row {
-	out := make([]relay.Row, 0, len(t.rows))
+func (t *topicState) list() []gossip.Row {
+	out := make([]gossip.Row, 0, len(t.rows))
 	for _, row := range t.rows {
 		out = append(out, row)
 	}
--- a/daemon/knowledge/usage.go
+++ b/daemon/storesync/usage.go
@@ -1,10 +1,10 @@
-package knowledge
+package storesync
 
 import (
 	"strconv"
 	"time"
 
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
 	"ladderridge.example/core/usage"
 )
 
@@ -51,5 +51,5 @@
 	if len(records) == 0 {
 		return
 	}
-	k.broadcastWith((*k.members.Load())[holder], relay.Tell{Usage: records})
+	k.broadcastWith((*k.members.Load())[holder], gossip.Tell{Usage: records})
 }
--- a/daemon/knowledge/view.go
+++ b/daemon/storesync/view.go
@@ -1,4 +1,4 @@
-package knowledge
+package storesync
 
 import (
 	"slices"
@@ -9,7 +9,7 @@
 	"ladderridge.example/core/quarantine"
 	"ladderridge.example/core/quota"
 	"ladderridge.example/core/routemap"
-	"ladderridge.example/daemon/standstill"
+	"ladderridge.example/daemon/suspend"
 )
 
 // View is what a daemon knows at a moment. It is never changed; traffic takes
@@ -40,7 +40,7 @@
 
 	// StoodStill tells how long the VM has stood still, Stood how long it had when the view
 	// was made, WokeAt when it last began to run again.
-	StoodStill standstill.Clock
+	StoodStill suspend.Clock
 	Stood      time.Duration
 	WokeAt     time.Time
 
--- a/daemon/knowledge/work.go
+++ b/daemon/storesync/work.go
@@ -1,30 +1,30 @@
-package knowledge
+package storesync
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"ladderridge.example/core/crowd"
-	"ladderridge.example/core/relay"
+	"ladderridge.example/core/gossip"
+	"ladderridge.example/core/serverload"
 )
 
 // What all daemons have under way at the servers goes along with questions to the hall's
 // reader and its answers, and from reader to reader between halls.
 
 // workBoard returns the board for the present list of servers.
-func (k *Keeper) workBoard() *crowd.Board {
-	if t := k.topics[relay.Servers]; k.board.Sum() != t.sum {
+func (k *Keeper) workBoard() *serverload.Board {
+	if t := k.topics[gossip.Servers]; k.board.Sum() != t.sum {
 		k.board.List(t.sum, slices.Sorted(maps.Keys(t.rows)))
 	}
 	return k.board
 }
 
 // askWork is this daemon's work, for a question, or nothing if it was told a moment ago.
-func (k *Keeper) askWork(now time.Time) relay.Work {
+func (k *Keeper) askWork(now time.Time) gossip.Work {
 	b := k.workBoard()
 	if now.Sub(k.workAskedAt) < b.Every() {
-		return relay.Work{}
+		return gossip.Work{}
 	}
 	k.workAskedAt = now
 	return b.Ask(k.ownWork())
@@ -41,9 +41,9 @@
 
 // askedWork takes the work that a daemon tells with its question, and returns that of all
 // for the answer.
-func (k *Keeper) askedWork(from Member, m relay.Work, now time.Time) relay.Work {
+func (k *Keeper) askedWork(from Member, m gossip.Work, now time.Time) gossip.Work {
 	if len(m.Packed) == 0 {
-		return relay.Work{}
+		return gossip.Work{}
 	}
 	b := k.workBoard()
 	if from.Hall == k.Self.Hall {
@@ -54,7 +54,7 @@
 
 // toldWork takes what another daemon tells of work: that of all daemons with an answer,
 // and otherwise that of its hall.
-func (k *Keeper) toldWork(from string, m relay.Tell, now time.Time) {
+func (k *Keeper) toldWork(from string, m gossip.Tell, now time.Time) {
 	member, ok := (*k.members.Load())[from]
 	if !ok || k.View().Servers == nil {
 		return
@@ -78,6 +78,6 @@
 	}
 	k.workAbroadAt = now
 	b := k.workBoard()
-	k.broadcast(relay.Tell{Work: b.Hall(k.ownWork(), now)})
+	k.broadcast(gossip.Tell{Work: b.Hall(k.ownWork(), now)})
 	k.View().Servers.Crowd(b.Others(now), now)
 }
--- a/daemon/knowledge/work_test.go
+++ b/daemon/storesync/work_test.go
@@ -1,4 +1,4 @@
-package knowledge_test
+package storesync_test
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"time"
 
 	"ladderridge.example/core/fleet"
-	"ladderridge.example/core/relay"
-	"ladderridge.example/daemon/knowledge"
+	"ladderridge.example/core/gossip"
+	"ladderridge.example/daemon/storesync"
 )
 
 // server is one of a daemon's servers.
-func server(k *knowledge.Keeper, id string) *fleet.Server {
+func server(k *storesync.Keeper, id string) *fleet.Server {
 	for _, s := range k.View().Servers.Service("s") {
 		if s.ID == id {
 			return s
@@ -21,7 +21,7 @@
 }
 
 // crowded is what a daemon has been told of others' work at a server.
-func crowded(k *knowledge.Keeper, id string) float64 {
+func crowded(k *storesync.Keeper, id string) float64 {
 	return server(k, id).Load.Crowded(time.Now())
 }
 
@@ -33,9 +33,9 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		for i := range 5 {
-			s.rows.set(relay.Servers, fmt.Sprint("s", i), "v1@h")
+			s.rows.set(gossip.Servers, fmt.Sprint("s", i), "v1@h")
 		}
-		keepers := map[string]*knowledge.Keeper{}
+		keepers := map[string]*storesync.Keeper{}
 		for _, id := range []string{"a", "b", "c", "d"} {
 			keepers[id] = s.daemonIn(id, "h")
 		}
--- a/daemon/standstill/standstill.go
+++ b/daemon/suspend/suspend.go
@@ -1,7 +1,7 @@
-// Package standstill tells how long the VM has stood still. While a VM is suspended its
+// Package suspend tells how long the VM has stood still. While a VM is suspended its
 // steady clock does not move, nor does anything that is measured by it: what was known a
 // moment ago then looks a moment old, however much has changed.
-package standstill
+package suspend
 
 import (
 	"time"
