--- a/core/route/choose.go
+++ b/core/route/choose.go
@@ -6,8 +6,9 @@
 	"ladderridge.example/core/table"
 )
 
-// choose splits each model's new sessions among its versions, then takes the
-// cheapest model that reaches its target, or else the best one.
+// choose picks one version of each model by the split of new sessions, then
+// returns the cheapest that reaches its quality target, or else the one of the
+// highest quality.
 func (d *decider) choose(eligible []table.Candidate) (table.Candidate, float64) {
 	var chosen, best table.Candidate
 	var chosenQuality, bestQuality float64
@@ -17,7 +18,7 @@
 		for j < len(eligible) && eligible[j].Version.Ref.Model == eligible[i].Version.Ref.Model {
 			j++
 		}
-		c := d.split(d.goodEnough(eligible[i:j]))
+		c := d.split(d.filterByTarget(eligible[i:j]))
 		q := d.quality(c)
 		models++
 		s := step(StepEligible, c.Version.Ref)
@@ -43,40 +44,40 @@
 	return chosen, chosenQuality
 }
 
-// goodEnough leaves out a model's steady versions that do not reach their
-// target, if one does and the caller leaves the choice to the system. Versions
-// in roll-out stay: their stage bounds their share.
-func (d *decider) goodEnough(versions []table.Candidate) []table.Candidate {
+// filterByTarget drops a model's steady versions that miss their quality
+// target, if another one reaches it and the request names the model Auto.
+// Versions in roll-out are kept: their stage bounds their share.
+func (d *decider) filterByTarget(versions []table.Candidate) []table.Candidate {
 	if d.req.Model != Auto || len(versions) == 1 {
 		return versions
 	}
-	var good []table.Candidate
+	var kept []table.Candidate
 	steady := false
 	for _, c := range versions {
 		reaches := d.reaches(c, d.quality(c))
 		if reaches || c.Status == table.RollingOut {
-			good = append(good, c)
+			kept = append(kept, c)
 		}
 		steady = steady || (reaches && c.Status == table.Steady)
 	}
 	if !steady {
 		return versions
 	}
-	return good
+	return kept
 }
 
-// exploreShare is the part of the requests that may try a cheaper version of
-// which too little is known.
+// exploreShare is the fraction of requests that may try a cheaper version
+// that has too few ratings.
 const exploreShare = 0.03
 
-// explores reports whether a request tries a version that does not reach its
-// target by what is known, but might: else no ratings of it would ever come.
-// Where nobody rates, nothing is tried.
+// explores reports whether a request tries a version whose lower quality bound
+// is below the target but whose upper bound is not: without such requests the
+// version would never be rated. Without any ratings, nothing is explored.
 func (d *decider) explores(c table.Candidate, quality float64) bool {
 	if d.req.Model != Auto || len(d.view.Quality) == 0 || c.Status != table.Steady {
 		return false
 	}
-	if quality >= c.Target || d.estimate(c).High < c.Target || d.point("explore") >= exploreShare {
+	if quality >= c.Target || d.estimate(c).High < c.Target || d.hashFraction("explore") >= exploreShare {
 		return false
 	}
 	s := step(StepExplore, c.Version.Ref)
@@ -85,26 +86,27 @@
 	return true
 }
 
-// reaches reports whether a version's answer will do, or can be tried first.
+// reaches reports whether a version reaches its quality target, or may be tried
+// first in a cascade.
 func (d *decider) reaches(c table.Candidate, quality float64) bool {
 	return quality >= c.Target || (d.req.Cascade && c.Cascade > 0)
 }
 
-// split picks one of a model's versions: those in roll-out take the share of
-// their stage, the steady ones the rest by weight.
+// split picks one of a model's versions: each version in roll-out gets the share
+// of its current stage, the steady ones get the rest by weight.
 func (d *decider) split(versions []table.Candidate) table.Candidate {
 	if len(versions) == 1 {
 		return versions[0]
 	}
-	point := d.point(versions[0].Version.Ref.Model)
+	fraction := d.hashFraction(versions[0].Version.Ref.Model)
 	total := 0
 	for _, c := range versions {
 		if c.Status == table.RollingOut {
 			share := c.Version.Share()
-			if point < share {
+			if fraction < share {
 				return d.splitStep(c, share)
 			}
-			point -= share
+			fraction -= share
 			continue
 		}
 		total += c.Weight
@@ -116,9 +118,10 @@
 	if total == 0 {
 		return d.splitStep(versions[0], 0)
 	}
-	// A second point, so that the stage's share does not skew the weights.
-	point := d.point("weight " + versions[0].Version.Ref.Model)
-	at := int(point * float64(total))
+	// A hash with another salt: the first one was already compared with the
+	// stages' shares and would skew the weights.
+	fraction := d.hashFraction("weight " + versions[0].Version.Ref.Model)
+	at := int(fraction * float64(total))
 	for _, c := range versions {
 		if c.Status == table.RollingOut {
 			continue
@@ -138,19 +141,20 @@
 	return c
 }
 
-// point is where in [0,1) the session, or else the request, falls.
-func (d *decider) point(salt string) float64 {
-	name := d.req.Session
-	if name == "" {
-		name = d.req.ID
+// hashFraction maps the session, or the request if it has no session, to a
+// number in [0,1) that is the same in all daemons.
+func (d *decider) hashFraction(salt string) float64 {
+	key := d.req.Session
+	if key == "" {
+		key = d.req.ID
 	}
 	var h xxhash.Digest
 	h.ResetWithSeed(xxhash.Sum64String(salt))
-	_, _ = h.WriteString(name)
+	_, _ = h.WriteString(key)
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
-// quality is the lower bound of how good a version's answers are.
+// quality is the lower confidence bound of the quality of a version's answers.
 func (d *decider) quality(c table.Candidate) float64 { return d.estimate(c).Low }
 
 func (d *decider) estimate(c table.Candidate) Estimate {
--- a/core/route/decide.go
+++ b/core/route/decide.go
@@ -1,6 +1,6 @@
 // Package route decides which model, version and backend server answers a
-// request, and says why. A decision is a pure function of a View, a Request
-// and a time: no clock, socket, goroutine or global random source.
+// request, and records why. A decision is a pure function of a View, a Request
+// and a time: it uses no clock, socket, goroutine or global random source.
 package route
 
 import (
@@ -13,33 +13,33 @@
 // Auto in the model field lets the system choose among all allowed models.
 const Auto = "auto"
 
-// Request is what a decision needs to know of a chat request.
+// Request holds the properties of a chat request that a decision depends on.
 type Request struct {
 	ID     string
 	Tenant *table.Tenant
 	// Model is a model's name, "model@version", or Auto.
 	Model string
-	// Kind is the caller's name for the kind of request, or empty.
+	// Kind is the caller's label for the kind of request, or empty.
 	Kind string
-	// Session is the caller's session, or empty.
+	// Session is the identifier of the caller's session, or empty.
 	Session string
-	// Pin is the version that the session keeps, or the zero Ref.
+	// Pin is the version that the session is pinned to, or the zero Ref.
 	Pin table.Ref
-	// Prefix is a hash of the prompt's beginning, for cache affinity; 0 is none.
+	// Prefix is a hash of the start of the prompt, for cache affinity; 0 is none.
 	Prefix uint64
-	// Seed drives every random choice of this request.
+	// Seed seeds every random choice for this request.
 	Seed uint64
-	// Avoid are servers that this request has tried already.
+	// Avoid lists the servers that this request was already sent to.
 	Avoid []string
-	// Cascade lets a version be tried first that may not reach its target, but
-	// says itself how good its answer is.
+	// Cascade allows a version below its quality target to be tried first if
+	// the engine reports the quality of its own answer.
 	Cascade bool
-	// Above, if not zero, asks for a version of a higher quality than this:
-	// the escalation of a cascade.
+	// Above, if not zero, excludes versions whose quality is not higher than
+	// this: a cascade that escalates sets it.
 	Above float64
 }
 
-// Outcome is what a decision came to: Send, Wait or Refuse.
+// Outcome is the result of a decision: Send, Wait or Refuse.
 type Outcome interface{ outcome() }
 
 // Send sends the request to a server.
@@ -47,23 +47,23 @@
 	Ref    table.Ref
 	Price  int64
 	Server *Server
-	// Quality is the estimate on which the version was chosen.
+	// Quality is the estimate by which the version was chosen.
 	Quality float64
-	// Cascade, if not zero, is the signal of its own quality from which the
-	// version's answer is kept.
+	// Cascade, if not zero, is the confidence threshold: the answer is kept if
+	// the engine reports at least this quality for it.
 	Cascade float64
 }
 
-// Refuse turns the request down; nothing has run.
+// Refuse rejects the request, which was not sent to any server.
 type Refuse struct {
 	Code Code
-	// RetryAfter says when to come back; 0 means that coming back won't help.
+	// RetryAfter is the delay before a retry; 0 means that a retry won't help.
 	RetryAfter time.Duration
 	Text       string
 }
 
-// Wait lets the request wait for a place: every server of the version is full.
-// It names the version, or the service.
+// Wait queues the request until a server has a free slot: every server of the
+// version, or of the service for a call, is full.
 type Wait struct {
 	Ref     table.Ref
 	Service string
@@ -79,11 +79,11 @@
 	Steps   []Step
 }
 
-// RetryCapacity is when to come back when no server is available: the time in
-// which leaving servers are replaced in the list and ejected ones let back in.
+// RetryCapacity is the Retry-After of refusals for which no server gave a time.
+// Within it, leaving servers are replaced in the list and ejected ones readmitted.
 const RetryCapacity = 2 * time.Second
 
-// typicalSteps is how many steps most decisions have.
+// typicalSteps is the capacity for steps that most decisions need.
 const typicalSteps = 12
 
 // Decide chooses the version and the server for a request.
@@ -96,16 +96,16 @@
 	return Decision{Outcome: out, Steps: d.steps}
 }
 
-// decider is the working state of one decision.
+// decider holds the state of one decision while it is made.
 type decider struct {
 	view  *View
 	req   Request
 	now   time.Time
 	steps []Step
-	// reason is the most hopeful of the reasons for which candidates were
-	// excluded: it tells the caller whether coming back helps.
+	// reason is the code of the excluded candidate for which a retry is most
+	// likely to succeed; it becomes the code of the refusal.
 	reason Code
-	// eligibleBuf backs the list of eligible candidates without allocating.
+	// eligibleBuf backs the list of eligible candidates to avoid an allocation.
 	eligibleBuf [8]table.Candidate
 }
 
@@ -128,8 +128,8 @@
 	return out
 }
 
-// spillVersion is the cheapest other steady version that reaches its target
-// and has room, for a request whose own version has none.
+// spillVersion returns the cheapest other steady version that reaches its
+// quality target and has a free slot, for a request whose version is full.
 func (d *decider) spillVersion(eligible []table.Candidate, full table.Candidate) (table.Candidate, bool) {
 	var best table.Candidate
 	found := false
@@ -137,7 +137,7 @@
 		switch {
 		case c.Version.Ref == full.Version.Ref, c.Status != table.Steady, d.quality(c) < c.Target:
 		case found && c.Version.Price >= best.Version.Price:
-		case !anyRoom(d.view.Engines[c.Version.Ref], d.req.Avoid, d.now):
+		case !anyFree(d.view.Engines[c.Version.Ref], d.req.Avoid, d.now):
 		default:
 			best, found = c, true
 		}
@@ -145,7 +145,8 @@
 	return best, found
 }
 
-// pinned serves a session's own version or refuses; it never moves a session.
+// pinned sends to the version that the session is pinned to, or refuses; it
+// never moves a session to another version.
 func (d *decider) pinned() Outcome {
 	s := step(StepPinned, d.req.Pin)
 	s.Text = "session " + d.req.Session
@@ -169,7 +170,7 @@
 			continue
 		}
 		if code := d.exclude(c); code != "" {
-			d.reason = moreHopeful(d.reason, code)
+			d.reason = moreRetryable(d.reason, code)
 			if code == VersionGuarded && c.Status == table.Steady {
 				guarded = append(guarded, c)
 			}
@@ -181,14 +182,14 @@
 		out = append(out, c)
 	}
 	if len(out) == 0 && len(guarded) > 0 {
-		// A steady version that has gone bad serves on when there is no other.
+		// A guarded steady version is still used when there is no other.
 		d.steps = append(d.steps, Step{Kind: StepLastResort, Reason: VersionGuarded})
 		return guarded
 	}
 	return out
 }
 
-// matches reports whether the caller's model field names ref.
+// matches reports whether the request's model field selects ref.
 func (d *decider) matches(ref table.Ref) bool {
 	m := d.req.Model
 	if m == Auto || m == ref.Model {
@@ -198,7 +199,7 @@
 	return len(m) == n+1+len(ref.Version) && m[:n] == ref.Model && m[n] == '@' && m[n+1:] == ref.Version
 }
 
-// exclude returns why a candidate may not take new work, or "".
+// exclude returns why a candidate may not take new sessions, or "".
 func (d *decider) exclude(c table.Candidate) Code {
 	switch {
 	case c.Status >= table.Retiring:
@@ -224,17 +225,19 @@
 	return false
 }
 
-// hopes are the reasons for exclusions, the most hopeful last.
-var hopes = []Code{"", ModelNotAllowed, VersionWithdrawn, VersionGuarded, StaleConfig, NoCapacity}
+// retryOrder lists the codes of exclusions by how likely a retry is to succeed,
+// the most likely last.
+var retryOrder = []Code{"", ModelNotAllowed, VersionWithdrawn, VersionGuarded, StaleConfig, NoCapacity}
 
-func moreHopeful(a, b Code) Code {
-	if slices.Index(hopes, b) > slices.Index(hopes, a) {
+func moreRetryable(a, b Code) Code {
+	if slices.Index(retryOrder, b) > slices.Index(retryOrder, a) {
 		return b
 	}
 	return a
 }
 
-// noCandidate turns the most hopeful exclusion into the refusal.
+// noCandidate returns the refusal for the exclusion that is most likely to be
+// temporary.
 func (d *decider) noCandidate() Outcome {
 	switch d.reason {
 	case "", ModelNotAllowed:
@@ -244,11 +247,12 @@
 	case StaleConfig:
 		return Refuse{Code: StaleConfig, RetryAfter: RetryCapacity, Text: "this data hall's table is too old to serve " + d.req.Model}
 	default:
-		return Refuse{Code: d.reason, RetryAfter: comeBack(d.servers(), d.now), Text: "no server of " + d.req.Model + " can take work now"}
+		return Refuse{Code: d.reason, RetryAfter: retryAfter(d.servers(), d.now), Text: "no server of " + d.req.Model + " can take work now"}
 	}
 }
 
-// servers are those of all candidates that the caller's model field names.
+// servers returns the servers of all candidates that the request's model field
+// selects.
 func (d *decider) servers() []*Server {
 	var out []*Server
 	for _, c := range d.req.Tenant.Candidates {
@@ -259,7 +263,7 @@
 	return out
 }
 
-// send picks the server for a chosen version.
+// send picks a server that has the chosen version loaded.
 func (d *decider) send(c table.Candidate, quality float64) Outcome {
 	ref := c.Version.Ref
 	server, kind := pick(d.view, d.view.Engines[ref], d.req.Avoid, d.req.Prefix, d.req.Seed, d.now)
@@ -268,7 +272,7 @@
 		return Wait{Ref: ref}
 	}
 	if server == nil {
-		return Refuse{Code: NoCapacity, RetryAfter: comeBack(d.view.Engines[ref], d.now), Text: "no server of " + ref.String() + " can take work now"}
+		return Refuse{Code: NoCapacity, RetryAfter: retryAfter(d.view.Engines[ref], d.now), Text: "no server of " + ref.String() + " can take work now"}
 	}
 	s := step(kind, ref)
 	s.Server = server.ID
@@ -289,7 +293,7 @@
 		d.Outcome = Refuse{Code: CallNotAllowed, Text: "this organisation may not call " + method + " " + service + path}
 		return d, rule
 	}
-	if v.doubtful(now) {
+	if v.unconfirmed(now) {
 		d.Outcome = Refuse{Code: StaleConfig, RetryAfter: RetryCapacity, Text: "this daemon was paused and has to confirm its table first"}
 		return d, rule
 	}
@@ -300,7 +304,7 @@
 		return d, rule
 	}
 	if server == nil {
-		d.Outcome = Refuse{Code: NoCapacity, RetryAfter: comeBack(v.Services[service], now), Text: "no server of " + service + " can take work now"}
+		d.Outcome = Refuse{Code: NoCapacity, RetryAfter: retryAfter(v.Services[service], now), Text: "no server of " + service + " can take work now"}
 		return d, rule
 	}
 	d.Steps = append(d.Steps, Step{Kind: kind, Server: server.ID, Value: float64(server.Estimate())})
--- a/core/route/error.go
+++ b/core/route/error.go
@@ -6,10 +6,10 @@
 	"ladderridge.example/core/fault"
 )
 
-// Code is the typed reason for which a request is refused. Callers see it.
+// Code is the reason of a refusal, as callers see it.
 type Code string
 
-// The reasons.
+// The codes of refusals.
 const (
 	ModelNotAllowed    Code = "model_not_allowed"
 	VersionWithdrawn   Code = "version_withdrawn"
--- a/core/route/gate.go
+++ b/core/route/gate.go
@@ -6,10 +6,10 @@
 	"ladderridge.example/core/table"
 )
 
-// Gate is the last check before any byte goes to a backend server: it repeats,
-// against the newest view, what must hold of every send, be it a first
-// attempt, a retry, an escalation or a resumed stream. pinned tells that the
-// session started on ref before. A nil error lets the request pass.
+// Gate is the last check before a request is sent to a backend server. It
+// checks against the newest view what must hold for every send: a first
+// attempt, a retry, an escalation or a resumed stream. pinned is set for a
+// session that is already on ref. The request may be sent if the error is nil.
 func Gate(v *View, organisation string, ref table.Ref, serverID string, pinned bool, now time.Time) error {
 	const op = "gate"
 	tenant := v.Table.Tenant(organisation)
@@ -40,7 +40,7 @@
 	if _, ok := tenant.Call(service, method, path); !ok {
 		return refused(op, CallNotAllowed, "%s may no longer call %s%s", organisation, service, path)
 	}
-	if v.doubtful(now) {
+	if v.unconfirmed(now) {
 		return refused(op, StaleConfig, "this daemon was paused and has to confirm its table first")
 	}
 	return gateServer(op, v.Services[service], serverID, now)
--- a/core/route/pick.go
+++ b/core/route/pick.go
@@ -8,13 +8,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// affinitySlack is how far above the mean load a server may be and still be
+// affinitySlack is the factor of the mean load up to which a server is still
 // chosen for its prefix cache.
 const affinitySlack = 1.25
 
-// pick chooses among the servers that have room, in the own data hall if one
-// there has. If none has, it returns no server and StepWait, and if none is
-// there at all StepRefused.
+// pick chooses among the servers with a free slot, preferring this daemon's data
+// hall. If all available servers are full it returns no server and StepWait; if
+// none is available, no server and StepRefused.
 func pick(v *View, servers []*Server, avoid []string, prefix, seed uint64, now time.Time) (*Server, StepKind) {
 	var buf [64]*Server
 	own, other := buf[:0], []*Server(nil)
@@ -40,8 +40,8 @@
 	return nil, kind
 }
 
-// anyRoom reports whether one of the servers can take a request now.
-func anyRoom(servers []*Server, avoid []string, now time.Time) bool {
+// anyFree reports whether one of the servers has a free slot.
+func anyFree(servers []*Server, avoid []string, now time.Time) bool {
 	for _, s := range servers {
 		if s.Available(now) && !s.full(now) && !slices.Contains(avoid, s.ID) {
 			return true
@@ -50,7 +50,8 @@
 	return false
 }
 
-// Room is how many requests servers can take now, at most limit.
+// Room is the number of free slots on the servers, at most limit. A server of
+// unknown capacity counts as limit.
 func Room(servers []*Server, limit int, now time.Time) int {
 	room := 0
 	for _, s := range servers {
@@ -70,9 +71,9 @@
 		return servers[0], StepServer
 	}
 	if prefix != 0 {
-		home := rendezvous(servers, prefix)
-		if float64(home.Estimate()) <= affinitySlack*mean(servers)+1 {
-			return home, StepAffinity
+		preferred := rendezvous(servers, prefix)
+		if float64(preferred.Estimate()) <= affinitySlack*mean(servers)+1 {
+			return preferred, StepAffinity
 		}
 	}
 	rng := rand.New(rand.NewPCG(seed, prefix))
@@ -87,7 +88,7 @@
 	return servers[i], StepServer
 }
 
-// rendezvous returns the server that the prefix hashes highest with.
+// rendezvous returns the server with the highest rendezvous hash for the prefix.
 func rendezvous(servers []*Server, prefix uint64) *Server {
 	var best *Server
 	var high uint64
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -62,7 +62,7 @@
 	return out.Code
 }
 
-func TestCheapestThatReachesTheTarget(t *testing.T) {
+func TestCheapestModelAtTargetIsChosen(t *testing.T) {
 	v := build(table.Version{Ref: v1, Price: 10, Quality: 0.85}, table.Version{Ref: big, Price: 50, Quality: 0.95})
 	if got := sent(t, v, request(v, route.Auto, "r")); got != v1 {
 		t.Errorf("sent to %s, want the cheaper one that reaches the target", got)
@@ -98,7 +98,7 @@
 		"unknown model":    {func(_ *route.View, r *route.Request) { r.Model = "other" }, route.ModelNotAllowed},
 		"unknown version":  {func(_ *route.View, r *route.Request) { r.Model = "roster@v9" }, route.ModelNotAllowed},
 		"no servers":       {func(v *route.View, _ *route.Request) { clear(v.Engines) }, route.NoCapacity},
-		"all leaving":      {func(v *route.View, _ *route.Request) { leave(v) }, route.NoCapacity},
+		"all leaving":      {func(v *route.View, _ *route.Request) { markAllLeaving(v) }, route.NoCapacity},
 		"all tried":        {func(_ *route.View, r *route.Request) { r.Avoid = []string{"roster@v1-1", "roster@v1-2"} }, route.NoCapacity},
 		"paused":           {func(v *route.View, _ *route.Request) { v.PublishedAt = now.Add(-time.Minute) }, route.StaleConfig},
 		"in doubt":         {func(v *route.View, _ *route.Request) { v.Doubt = true }, route.StaleConfig},
@@ -114,7 +114,7 @@
 	}
 }
 
-func leave(v *route.View) {
+func markAllLeaving(v *route.View) {
 	for _, servers := range v.Engines {
 		for _, s := range servers {
 			s.Leaving = true
@@ -122,18 +122,18 @@
 	}
 }
 
-func TestOldKnowledgeEndsRollOutsFirst(t *testing.T) {
+func TestStaleTableExcludesRollOutsFirst(t *testing.T) {
 	v := build(table.Version{Ref: v1}, table.Version{Ref: v2, Status: table.RollingOut, Stages: []float64{100}})
 	if got := sent(t, v, request(v, "roster", "r")); got != v2 {
 		t.Fatalf("at a stage of 100%% sent to %s", got)
 	}
 	v.ConfirmedAt = now.Add(-16 * time.Second)
 	if got := sent(t, v, request(v, "roster", "r")); got != v1 {
-		t.Errorf("cut off for 16 s, sent to %s", got)
+		t.Errorf("with a table 16 s old, sent to %s", got)
 	}
 }
 
-func TestGuardedVersionGetsNoNewSessionsButKeepsItsOwn(t *testing.T) {
+func TestGuardedVersionKeepsItsSessionsButGetsNoNewOnes(t *testing.T) {
 	v := build(table.Version{Ref: v1}, table.Version{Ref: v2, Status: table.RollingOut, Stages: []float64{100}})
 	v.Guarded = map[table.Ref]string{v2: "bad"}
 	if got := sent(t, v, request(v, "roster", "r")); got != v1 {
@@ -146,10 +146,10 @@
 	}
 }
 
-func TestLagIsCorrectedByWhatWasSentSince(t *testing.T) {
+func TestReportedLoadIsCorrectedByRequestsSentSince(t *testing.T) {
 	v := build(table.Version{Ref: v1})
 	a, b := v.Engines[v1][0], v.Engines[v1][1]
-	// Both reports say 10, but since then 8 of this daemon's went to a.
+	// Both servers reported 10 requests; this daemon has sent 8 more to a since.
 	a.Reported, b.Reported = 10, 10
 	a.Load.InFlight.Store(8)
 	if a.Estimate() != 18 || b.Estimate() != 10 {
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestOtherHallsTakeWhatTheOwnCannot(t *testing.T) {
+func TestOtherHallsTakeRequestsOnlyWhenOwnHallIsFull(t *testing.T) {
 	v := build(table.Version{Ref: v1})
 	far := server("far", "b", 0)
 	v.Engines[v1] = append(v.Engines[v1], far)
@@ -179,26 +179,26 @@
 	}
 }
 
-// TestDecideAgainstOracle draws tables, views and requests and compares with
-// what an oracle of sets allows: whatever is sent passes the gate, and is never
-// withdrawn, not allowed, guarded anew, moved from its pin, or on a server that
-// is leaving.
+// TestDecideAgainstOracle draws tables, views and requests and checks each
+// decision with an oracle: a request that is sent passes the gate, its version is
+// allowed, not withdrawn and the pinned one if there is a pin, new sessions avoid
+// guarded versions where there is another choice, and the server is not leaving.
 func TestDecideAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { checkDecision(t, route.Decide) })
 }
 
-type decide func(*route.View, route.Request, time.Time) route.Decision
+type decideFunc func(*route.View, route.Request, time.Time) route.Decision
 
-// failer is what the oracle reports to.
-type failer interface{ Fatalf(string, ...any) }
+// reporter receives the failures that the oracle finds.
+type reporter interface{ Fatalf(string, ...any) }
 
-// draws is how many decisions one case of a property draws.
+// draws is the number of decisions in one case of a property.
 const draws = 20
 
-func checkDecision(t *rapid.T, f decide) {
+func checkDecision(t *rapid.T, f decideFunc) {
 	for range draws {
 		v, r := drawView(t)
-		judge(t, v, r, f(v, r, now))
+		checkOracle(t, v, r, f(v, r, now))
 	}
 }
 
@@ -235,7 +235,7 @@
 	return v, r
 }
 
-// otherChoice reports whether a request has a version that is not guarded.
+// otherChoice reports whether a request can be sent to a version that is not guarded.
 func otherChoice(v *route.View, r route.Request) bool {
 	for _, ver := range v.Table.Versions {
 		ref := ver.Ref
@@ -252,7 +252,7 @@
 	return false
 }
 
-func judge(t failer, v *route.View, r route.Request, d route.Decision) {
+func checkOracle(t reporter, v *route.View, r route.Request, d route.Decision) {
 	out, ok := d.Outcome.(route.Send)
 	if !ok {
 		return
@@ -277,14 +277,14 @@
 		t.Fatalf("asked for %s, sent to %s", r.Model, out.Ref)
 	}
 	if err := route.Gate(v, "o", out.Ref, out.Server.ID, r.Pin != (table.Ref{}), now); err != nil {
-		t.Fatalf("the gate stops what was decided: %v", err)
+		t.Fatalf("the gate refuses what was decided: %v", err)
 	}
 }
 
-// TestOracleBites breaks the decision in one way at a time: the oracle must
-// notice each.
-func TestOracleBites(t *testing.T) {
-	broken := map[string]decide{
+// TestOracleDetectsFaults makes faulty decisions of one sort at a time and checks
+// that the oracle detects each sort.
+func TestOracleDetectsFaults(t *testing.T) {
+	broken := map[string]decideFunc{
 		"ignores withdrawal": func(v *route.View, r route.Request, at time.Time) route.Decision {
 			w := withStatus(v, table.Steady)
 			r.Tenant = w.Table.Tenant("o")
@@ -315,7 +315,7 @@
 				}
 			}
 			d := route.Decide(&w, r, at)
-			return backOn(v, d)
+			return withOriginalServer(v, d)
 		},
 		"ignores the model": func(v *route.View, r route.Request, at time.Time) route.Decision {
 			r.Model = route.Auto
@@ -323,11 +323,11 @@
 		},
 	}
 	for name, f := range broken {
-		caught := &catcher{}
+		caught := &failureCounter{}
 		rapid.Check(t, func(t *rapid.T) {
 			for range draws {
 				v, r := drawView(t)
-				judge(caught, v, r, f(v, r, now))
+				checkOracle(caught, v, r, f(v, r, now))
 			}
 		})
 		if caught.n == 0 {
@@ -336,10 +336,10 @@
 	}
 }
 
-// catcher counts what the oracle finds.
-type catcher struct{ n int }
+// failureCounter counts the failures that the oracle finds.
+type failureCounter struct{ n int }
 
-func (c *catcher) Fatalf(string, ...any) { c.n++ }
+func (c *failureCounter) Fatalf(string, ...any) { c.n++ }
 
 func withStatus(v *route.View, s table.Status) *route.View {
 	w := *v
@@ -356,8 +356,8 @@
 	return &w
 }
 
-// backOn puts the original server into a decision made on copies.
-func backOn(v *route.View, d route.Decision) route.Decision {
+// withOriginalServer replaces the server of a decision that was made on copies by the original.
+func withOriginalServer(v *route.View, d route.Decision) route.Decision {
 	if out, ok := d.Outcome.(route.Send); ok {
 		for _, s := range v.Engines[out.Ref] {
 			if s.ID == out.Server.ID {
@@ -369,7 +369,7 @@
 	return d
 }
 
-func TestGateStopsWhatChangedSinceTheDecision(t *testing.T) {
+func TestGateRefusesWhatChangedSinceTheDecision(t *testing.T) {
 	v := build(table.Version{Ref: v1})
 	if err := route.Gate(v, "o", v1, "roster@v1-1", false, now); err != nil {
 		t.Fatal(err)
@@ -384,15 +384,15 @@
 		"no longer allowed": {build(table.Version{Ref: v2}), true, route.ModelNotAllowed},
 	} {
 		if err := route.Gate(c.view, "o", v1, "roster@v1-1", c.pinned, now); !fault.Is(err, c.want) {
-			t.Errorf("%s: the gate says %v, want %s", name, err, c.want)
+			t.Errorf("%s: the gate returns %v, want %s", name, err, c.want)
 		}
 	}
 	if err := route.Gate(build(table.Version{Ref: v1, Status: table.Retiring}), "o", v1, "roster@v1-1", true, now); err != nil {
-		t.Errorf("a session of a retiring version is stopped: %v", err)
+		t.Errorf("a session of a retiring version is refused: %v", err)
 	}
-	leave(v)
+	markAllLeaving(v)
 	if err := route.Gate(v, "o", v1, "roster@v1-1", false, now); !fault.Is(err, route.ServerLeaving) {
-		t.Errorf("the gate says %v of a leaving server", err)
+		t.Errorf("for a leaving server the gate returns %v", err)
 	}
 }
 
--- a/core/route/step.go
+++ b/core/route/step.go
@@ -6,7 +6,7 @@
 	"ladderridge.example/core/table"
 )
 
-// StepKind says what one step of a decision did.
+// StepKind is the kind of one step of a decision.
 type StepKind string
 
 // The steps of a decision.
@@ -22,7 +22,7 @@
 	StepServer   StepKind = "server"
 	StepSpill    StepKind = "spill"
 	StepWait     StepKind = "wait"
-	// StepLastResort uses a version that has gone bad, for want of another.
+	// StepLastResort uses guarded versions because there is no other.
 	StepLastResort StepKind = "last_resort"
 	StepAffinity   StepKind = "prefix_affinity"
 	StepGate       StepKind = "gate"
@@ -45,13 +45,13 @@
 	Server  string   `json:"server,omitempty"`
 	// Reason is a typed code where the step has one.
 	Reason Code `json:"reason,omitempty"`
-	// Value is the figure the step turned on: a share, an estimate, a price.
+	// Value is the number that decided the step: a share, an estimate or a price.
 	Value float64 `json:"value,omitempty"`
-	// Text is for people.
+	// Text is an explanation for people.
 	Text string `json:"text,omitempty"`
 }
 
-// String shows the step on one line.
+// String formats the step on one line.
 func (s Step) String() string {
 	out := fmt.Sprintf("%-18s", s.Kind)
 	if s.Model != "" {
