--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -22,7 +22,7 @@
 )
 
 func server(id, hall string, load int) *route.Server {
-	s := &route.Server{ID: id, Hall: hall, Load: &route.Load{}}
+	s := &route.Server{ID: id, Hall: hall, Load: &route.ServerState{}}
 	s.Load.InFlight.Store(int64(load))
 	return s
 }
--- a/core/route/server.go
+++ b/core/route/server.go
@@ -8,10 +8,11 @@
 	"ladderridge.example/core/table"
 )
 
-// Load is this daemon's own state of one backend server, above all the number
-// of its requests in flight there. It outlives the views that point to it and is
-// safe for concurrent use.
-type Load struct {
+// ServerState is this daemon's own state of one backend server, above all the
+// number of its requests in flight there. It outlives the views that point to it
+// and is safe for concurrent use.
+type ServerState struct {
+	// InFlight is the number of requests that this daemon has in flight there.
 	InFlight atomic.Int64
 	// Notices holds what the server reported about itself in answers.
 	Notices notice.Held
@@ -28,10 +29,10 @@
 const FullRest = 100 * time.Millisecond
 
 // DeclinedFull records that the server declined a request because it is full.
-func (l *Load) DeclinedFull(now time.Time) { l.fullUntil.Store(now.Add(FullRest).UnixNano()) }
+func (l *ServerState) DeclinedFull(now time.Time) { l.fullUntil.Store(now.Add(FullRest).UnixNano()) }
 
 // FreedPlace records that a slot on the server is free again.
-func (l *Load) FreedPlace() { l.fullUntil.Store(0) }
+func (l *ServerState) FreedPlace() { l.fullUntil.Store(0) }
 
 // Server describes one backend server as this daemon knows it at one moment.
 type Server struct {
@@ -52,7 +53,7 @@
 	// EjectedUntil is the time until which a failing server gets no requests.
 	EjectedUntil time.Time
 	// Load is this daemon's own state of the server; all views share it.
-	Load *Load
+	Load *ServerState
 }
 
 // Estimate is the estimated number of requests in flight on the server: its last
--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -269,7 +269,7 @@
 	for _, s := range v.Servers {
 		server := &route.Server{
 			ID: s.ID, Hall: s.Hall, Leaving: s.Leaving, Reported: s.Reported, Capacity: s.Capacity,
-			OwnAtReport: s.OwnAtReport, EjectedUntil: s.EjectedUntil, Load: &route.Load{},
+			OwnAtReport: s.OwnAtReport, EjectedUntil: s.EjectedUntil, Load: &route.ServerState{},
 		}
 		for _, ref := range s.Loaded {
 			out.Engines[parseRef(ref)] = append(out.Engines[parseRef(ref)], server)
@@ -391,7 +391,7 @@
 			c := copies[s]
 			if c == nil {
 				still := *s
-				still.Load = &route.Load{}
+				still.Load = &route.ServerState{}
 				still.Load.InFlight.Store(s.Load.InFlight.Load())
 				c = &still
 				copies[s], back[c] = c, s
--- a/daemon/control/servers.go
+++ b/daemon/control/servers.go
@@ -35,7 +35,7 @@
 // backend is what is known of one backend server.
 type backend struct {
 	vm       platform.VM
-	load     *route.Load
+	load     *route.ServerState
 	loaded   []table.Ref
 	loading  []table.Ref
 	slots    int
@@ -78,7 +78,7 @@
 			b.vm = vm
 			continue
 		}
-		s.byID[vm.ID] = &backend{vm: vm, load: &route.Load{}}
+		s.byID[vm.ID] = &backend{vm: vm, load: &route.ServerState{}}
 	}
 	for id := range s.byID {
 		if !seen[id] {
--- a/daemon/policy/balance_test.go
+++ b/daemon/policy/balance_test.go
@@ -61,7 +61,7 @@
 	view   *route.View
 	server []*route.Server
 	// own are its loads, which a baseline does not use.
-	own []*route.Load
+	own []*route.ServerState
 }
 
 // corrected tells how a daemon estimates a server's load.
@@ -81,10 +81,10 @@
 		Allows: []table.Allow{{Organisation: "o", Ref: ref, Weight: 1}},
 	})
 	for range balanceServers {
-		own := &route.Load{}
+		own := &route.ServerState{}
 		s := &route.Server{ID: fmt.Sprint(len(b.server)), Hall: "a", Load: own}
 		if kind == reportsOnly {
-			s.Load = &route.Load{}
+			s.Load = &route.ServerState{}
 		}
 		b.own = append(b.own, own)
 		b.server = append(b.server, s)
