--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -22,8 +22,8 @@
 )
 
 func server(id, hall string, load int) *route.Server {
-	s := &route.Server{ID: id, Hall: hall, Load: &route.ServerState{}}
-	s.Load.InFlight.Store(int64(load))
+	s := &route.Server{ID: id, Hall: hall, State: &route.ServerState{}}
+	s.State.InFlight.Store(int64(load))
 	return s
 }
 
@@ -151,7 +151,7 @@
 	a, b := v.Engines[v1][0], v.Engines[v1][1]
 	// Both servers reported 10 requests; this daemon has sent 8 more to a since.
 	a.Reported, b.Reported = 10, 10
-	a.Load.InFlight.Store(8)
+	a.State.InFlight.Store(8)
 	if a.Estimate() != 18 || b.Estimate() != 10 {
 		t.Fatalf("estimates are %d and %d, want 18 and 10", a.Estimate(), b.Estimate())
 	}
@@ -172,7 +172,7 @@
 	}
 	for _, s := range v.Engines[v1][:2] {
 		s.Capacity = 4
-		s.Load.InFlight.Store(4)
+		s.State.InFlight.Store(4)
 	}
 	if out := route.Decide(v, request(v, "roster", "r"), now).Outcome.(route.Send); out.Server != far {
 		t.Errorf("with the own data hall full, sent to %s", out.Server.ID)
--- a/core/route/server.go
+++ b/core/route/server.go
@@ -52,25 +52,25 @@
 	OwnAtReport int
 	// EjectedUntil is the time until which a failing server gets no requests.
 	EjectedUntil time.Time
-	// Load is this daemon's own state of the server; all views share it.
-	Load *ServerState
+	// State is this daemon's own state of the server; all views share it.
+	State *ServerState
 }
 
 // Estimate is the estimated number of requests in flight on the server: its last
 // report, corrected by the requests that this daemon has sent and finished since.
 func (s *Server) Estimate() int {
-	own := int(s.Load.InFlight.Load())
+	own := int(s.State.InFlight.Load())
 	return max(own, s.Reported+own-s.OwnAtReport)
 }
 
 // Available reports whether the server may get new requests.
 func (s *Server) Available(now time.Time) bool {
-	return !s.Leaving && !now.Before(s.EjectedUntil) && s.Load.Notices.Open(now)
+	return !s.Leaving && !now.Before(s.EjectedUntil) && s.State.Notices.Open(now)
 }
 
 // full reports whether the server has no free slot.
 func (s *Server) full(now time.Time) bool {
-	return s.Capacity > 0 && s.Estimate() >= s.Capacity || now.UnixNano() < s.Load.fullUntil.Load()
+	return s.Capacity > 0 && s.Estimate() >= s.Capacity || now.UnixNano() < s.State.fullUntil.Load()
 }
 
 // retryAfter returns the Retry-After for servers none of which can take a request now: if all
@@ -79,7 +79,7 @@
 func retryAfter(servers []*Server, now time.Time) time.Duration {
 	listed := func(yield func(notice.Kept) bool) {
 		for _, s := range servers {
-			if !s.Leaving && !yield(s.Load.Notices.Kept()) {
+			if !s.Leaving && !yield(s.State.Notices.Kept()) {
 				return
 			}
 		}
--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -213,7 +213,7 @@
 	}
 	for _, servers := range v.Engines {
 		for _, s := range servers {
-			s.Load.InFlight.Store(loads[s.ID])
+			s.State.InFlight.Store(loads[s.ID])
 		}
 	}
 }
@@ -269,7 +269,7 @@
 	for _, s := range v.Servers {
 		server := &route.Server{
 			ID: s.ID, Hall: s.Hall, Leaving: s.Leaving, Reported: s.Reported, Capacity: s.Capacity,
-			OwnAtReport: s.OwnAtReport, EjectedUntil: s.EjectedUntil, Load: &route.ServerState{},
+			OwnAtReport: s.OwnAtReport, EjectedUntil: s.EjectedUntil, State: &route.ServerState{},
 		}
 		for _, ref := range s.Loaded {
 			out.Engines[parseRef(ref)] = append(out.Engines[parseRef(ref)], server)
@@ -368,7 +368,7 @@
 	seen := map[string]bool{}
 	for _, list := range v.Engines {
 		for _, s := range list {
-			if n := s.Load.InFlight.Load(); n > 0 && !seen[s.ID] {
+			if n := s.State.InFlight.Load(); n > 0 && !seen[s.ID] {
 				seen[s.ID] = true
 				out.InFlight = append(out.InFlight, InFlight{Server: s.ID, Requests: n})
 			}
@@ -391,8 +391,8 @@
 			c := copies[s]
 			if c == nil {
 				still := *s
-				still.Load = &route.ServerState{}
-				still.Load.InFlight.Store(s.Load.InFlight.Load())
+				still.State = &route.ServerState{}
+				still.State.InFlight.Store(s.State.InFlight.Load())
 				c = &still
 				copies[s], back[c] = c, s
 			}
--- a/core/trace/trace_test.go
+++ b/core/trace/trace_test.go
@@ -31,8 +31,8 @@
 		tab.Versions = append(tab.Versions, table.Version{Ref: ref, Price: int64(i), Quality: 0.5, Status: table.Status(rapid.IntRange(0, 3).Draw(t, "status")), Stages: []float64{20}})
 		tab.Allows = append(tab.Allows, table.Allow{Organisation: "o", Ref: ref, Weight: i, Target: 0.4})
 		for n := range rapid.IntRange(0, 3).Draw(t, "servers") {
-			s := &route.Server{ID: fmt.Sprint(ref, n), Hall: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "hall"), Capacity: 3, Load: &route.ServerState{}}
-			s.Load.InFlight.Store(int64(rapid.IntRange(0, 4).Draw(t, "load")))
+			s := &route.Server{ID: fmt.Sprint(ref, n), Hall: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "hall"), Capacity: 3, State: &route.ServerState{}}
+			s.State.InFlight.Store(int64(rapid.IntRange(0, 4).Draw(t, "load")))
 			v.Engines[ref] = append(v.Engines[ref], s)
 		}
 	}
--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -87,7 +87,7 @@
 
 // hear keeps what the server says of itself with an answer, whatever becomes of that.
 func (x *Exchange) hear(n notice.Notice) {
-	if n.Says() && x.Server.Load.Notices.Hear(n, time.Now()) && x.Noticed != nil {
+	if n.Says() && x.Server.State.Notices.Hear(n, time.Now()) && x.Noticed != nil {
 		x.Noticed(n)
 	}
 }
@@ -103,7 +103,7 @@
 
 // leave gives the server its place back.
 func (x *Exchange) leave() {
-	x.Server.Load.InFlight.Add(-1)
+	x.Server.State.InFlight.Add(-1)
 	if x.Ended != nil {
 		x.Ended()
 	}
@@ -124,10 +124,10 @@
 // Send sends an exchange. When it fails, the attempt's outcome says whether
 // the request may have run.
 func (c *Client) Send(ctx context.Context, x Exchange) (*Reply, error) {
-	x.Server.Load.InFlight.Add(1)
+	x.Server.State.InFlight.Add(1)
 	answer, err := c.Channels.Send(ctx, x.request())
 	if fault.Is(err, channel.Gated) {
-		x.Server.Load.InFlight.Add(-1)
+		x.Server.State.InFlight.Add(-1)
 		return nil, &Error{Op: opSend, Kind: Gated, Err: err}
 	}
 	if err != nil {
--- a/daemon/control/servers.go
+++ b/daemon/control/servers.go
@@ -235,7 +235,7 @@
 			ID: b.vm.ID, Addr: b.vm.Addr, Hall: b.vm.Hall,
 			Leaving:  b.goes(told),
 			Reported: b.reported, Capacity: b.capacity, ReportedAt: b.at, OwnAtReport: b.own,
-			EjectedUntil: b.ejected, Load: b.load,
+			EjectedUntil: b.ejected, State: b.load,
 		}
 		for _, ref := range b.loaded {
 			v.Engines[ref] = append(v.Engines[ref], server)
--- a/daemon/policy/balance_test.go
+++ b/daemon/policy/balance_test.go
@@ -82,9 +82,9 @@
 	})
 	for range balanceServers {
 		own := &route.ServerState{}
-		s := &route.Server{ID: fmt.Sprint(len(b.server)), Hall: "a", Load: own}
+		s := &route.Server{ID: fmt.Sprint(len(b.server)), Hall: "a", State: own}
 		if kind == reportsOnly {
-			s.Load = &route.ServerState{}
+			s.State = &route.ServerState{}
 		}
 		b.own = append(b.own, own)
 		b.server = append(b.server, s)
@@ -95,7 +95,7 @@
 
 func (b *balancer) report(i, load int) {
 	b.server[i].Reported = load
-	b.server[i].OwnAtReport = int(b.server[i].Load.InFlight.Load())
+	b.server[i].OwnAtReport = int(b.server[i].State.InFlight.Load())
 }
 
 func balance(seed uint64, kind correction, slow bool) (latency []float64) {
--- a/daemon/policy/choice_test.go
+++ b/daemon/policy/choice_test.go
@@ -86,7 +86,7 @@
 			a.Cascade = signalFloor
 		}
 		t.Allows = append(t.Allows, a)
-		v.Engines[m.ref] = []*route.Server{{ID: m.ref.Model, Hall: "a", Load: &route.ServerState{}}}
+		v.Engines[m.ref] = []*route.Server{{ID: m.ref.Model, Hall: "a", State: &route.ServerState{}}}
 	}
 	v.Table = table.New(t)
 	return v
