--- a/core/route/server.go
+++ b/core/route/server.go
@@ -28,8 +28,8 @@
 // the next attempt: a request waited for a minute in this way while another server was free.
 const FullRest = 100 * time.Millisecond
 
-// DeclinedFull records that the server declined a request because it is full.
-func (l *ServerState) DeclinedFull(now time.Time) { l.fullUntil.Store(now.Add(FullRest).UnixNano()) }
+// MarkFull records that the server declined a request because it is full.
+func (l *ServerState) MarkFull(now time.Time) { l.fullUntil.Store(now.Add(FullRest).UnixNano()) }
 
 // FreedPlace records that a slot on the server is free again.
 func (l *ServerState) FreedPlace() { l.fullUntil.Store(0) }
--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -43,7 +43,7 @@
 		if !backend.Full(err) {
 			j.avoid = append(j.avoid, x.Server.ID)
 		} else {
-			x.Server.State.DeclinedFull(time.Now())
+			x.Server.State.MarkFull(time.Now())
 			time.AfterFunc(route.FullRest, j.front.Wake)
 		}
 		j.tellFailure(x.Server.ID, ref, err)
