--- a/core/route/server.go
+++ b/core/route/server.go
@@ -31,8 +31,8 @@
 // MarkFull records that the server declined a request because it is full.
 func (l *ServerState) MarkFull(now time.Time) { l.fullUntil.Store(now.Add(FullRest).UnixNano()) }
 
-// FreedPlace records that a slot on the server is free again.
-func (l *ServerState) FreedPlace() { l.fullUntil.Store(0) }
+// ClearFull records that a slot on the server is free again.
+func (l *ServerState) ClearFull() { l.fullUntil.Store(0) }
 
 // Server describes one backend server as this daemon knows it at one moment.
 type Server struct {
--- a/daemon/control/servers.go
+++ b/daemon/control/servers.go
@@ -160,7 +160,7 @@
 	}
 	b.reported, b.capacity, b.at, b.own = r.InFlight, r.Capacity, now, e.own
 	b.heard, b.failures, b.ejected = now, 0, time.Time{}
-	b.load.FreedPlace()
+	b.load.ClearFull()
 	if r.Leaving {
 		b.load.Notices.Hear(notice.Notice{Leaving: true}, now)
 	} else {
--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -32,7 +32,7 @@
 	x.Noticed = func(n notice.Notice) { j.noticed(x.Server.ID, n) }
 	x.Ended = func() {
 		now := time.Now()
-		x.Server.State.FreedPlace()
+		x.Server.State.ClearFull()
 		j.front.waiting.served(j.poolOf(ref), now.Sub(begun), j.front.Control.Snapshot().View, now)
 	}
 	s := route.Step{Kind: route.StepAttempt, Model: ref.Model, Version: ref.Version, Server: x.Server.ID, Text: x.Attempt.ID}
