--- a/core/route/server.go
+++ b/core/route/server.go
@@ -22,14 +22,14 @@
 	fullUntil atomic.Int64
 }
 
-// FullRest is how long a server counts as full after it has declined a request for that
+// FullBackoff is how long a server counts as full after it has declined a request for that
 // reason, unless one of its slots is known to be free sooner. It is about the time of a
 // short answer. Without it, a full server of unknown capacity is the first choice again for
 // the next attempt: a request waited for a minute in this way while another server was free.
-const FullRest = 100 * time.Millisecond
+const FullBackoff = 100 * time.Millisecond
 
 // MarkFull records that the server declined a request because it is full.
-func (l *ServerState) MarkFull(now time.Time) { l.fullUntil.Store(now.Add(FullRest).UnixNano()) }
+func (l *ServerState) MarkFull(now time.Time) { l.fullUntil.Store(now.Add(FullBackoff).UnixNano()) }
 
 // ClearFull records that a slot on the server is free again.
 func (l *ServerState) ClearFull() { l.fullUntil.Store(0) }
--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -44,7 +44,7 @@
 			j.avoid = append(j.avoid, x.Server.ID)
 		} else {
 			x.Server.State.MarkFull(time.Now())
-			time.AfterFunc(route.FullRest, j.front.Wake)
+			time.AfterFunc(route.FullBackoff, j.front.Wake)
 		}
 		j.tellFailure(x.Server.ID, ref, err)
 		j.front.suspect(x.Server, err)
