--- a/core/route/decide.go
+++ b/core/route/decide.go
@@ -79,9 +79,9 @@
 	Steps   []Step
 }
 
-// RetryCapacity is the Retry-After of refusals for which no server gave a time.
+// DefaultRetryAfter is the Retry-After of refusals for which no server gave a time.
 // Within it, leaving servers are replaced in the list and ejected ones readmitted.
-const RetryCapacity = 2 * time.Second
+const DefaultRetryAfter = 2 * time.Second
 
 // typicalSteps is the capacity for steps that most decisions need.
 const typicalSteps = 12
@@ -156,7 +156,7 @@
 		return Refuse{Code: SessionVersionGone, Text: "the version " + d.req.Pin.String() + " that this session keeps has been withdrawn: start a new session"}
 	}
 	if d.view.stale(c, d.now) {
-		return Refuse{Code: StaleConfig, RetryAfter: RetryCapacity, Text: "this data hall's table is too old to serve " + d.req.Pin.String()}
+		return Refuse{Code: StaleConfig, RetryAfter: DefaultRetryAfter, Text: "this data hall's table is too old to serve " + d.req.Pin.String()}
 	}
 	return d.send(c, d.quality(c))
 }
@@ -245,7 +245,7 @@
 	case VersionWithdrawn:
 		return Refuse{Code: VersionWithdrawn, Text: "every version of " + d.req.Model + " has been withdrawn or takes no new sessions"}
 	case StaleConfig:
-		return Refuse{Code: StaleConfig, RetryAfter: RetryCapacity, Text: "this data hall's table is too old to serve " + d.req.Model}
+		return Refuse{Code: StaleConfig, RetryAfter: DefaultRetryAfter, Text: "this data hall's table is too old to serve " + d.req.Model}
 	default:
 		return Refuse{Code: d.reason, RetryAfter: retryAfter(d.servers(), d.now), Text: "no server of " + d.req.Model + " can take work now"}
 	}
@@ -294,7 +294,7 @@
 		return d, rule
 	}
 	if v.unconfirmed(now) {
-		d.Outcome = Refuse{Code: StaleConfig, RetryAfter: RetryCapacity, Text: "this daemon was paused and has to confirm its table first"}
+		d.Outcome = Refuse{Code: StaleConfig, RetryAfter: DefaultRetryAfter, Text: "this daemon was paused and has to confirm its table first"}
 		return d, rule
 	}
 	server, kind := pick(v, v.Services[service], avoid, 0, seed, now)
--- a/core/route/server.go
+++ b/core/route/server.go
@@ -87,7 +87,7 @@
 	if at, ok := notice.RestEnds(listed, now); ok {
 		return at.Sub(now)
 	}
-	return RetryCapacity
+	return DefaultRetryAfter
 }
 
 // QualityKey identifies a quality estimate.
--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -138,7 +138,7 @@
 func gateRetry(code route.Code) time.Duration {
 	switch code {
 	case route.ServerLeaving, route.StaleConfig, route.NoCapacity:
-		return route.RetryCapacity
+		return route.DefaultRetryAfter
 	default:
 		return 0
 	}
