--- a/core/route/pick.go
+++ b/core/route/pick.go
@@ -50,9 +50,9 @@
 	return false
 }
 
-// Room is the number of free slots on the servers, at most limit. A server of
+// FreeSlots is the number of free slots on the servers, at most limit. A server of
 // unknown capacity counts as limit.
-func Room(servers []*Server, limit int, now time.Time) int {
+func FreeSlots(servers []*Server, limit int, now time.Time) int {
 	room := 0
 	for _, s := range servers {
 		switch {
--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -108,7 +108,7 @@
 
 // room reports whether a server of a pool can take a request now.
 func (j *job) room(p pool) bool {
-	return route.Room(p.servers(j.front.Control.Snapshot().View), 1, time.Now()) > 0
+	return route.FreeSlots(p.servers(j.front.Control.Snapshot().View), 1, time.Now()) > 0
 }
 
 // mayRetry reports whether a failed attempt may be followed by another one.
--- a/daemon/front/waiting.go
+++ b/daemon/front/waiting.go
@@ -105,7 +105,7 @@
 	if q.Len() == 0 {
 		return
 	}
-	for range route.Room(p.servers(v), q.Len(), now) {
+	for range route.FreeSlots(p.servers(v), q.Len(), now) {
 		next, late, ok := q.Pop(now)
 		for _, l := range late {
 			w.tell(l.Item.ID, l.RetryAfter)
