--- a/core/route/server.go
+++ b/core/route/server.go
@@ -29,10 +29,10 @@
 const FullBackoff = 100 * time.Millisecond
 
 // MarkFull records that the server declined a request because it is full.
-func (l *ServerState) MarkFull(now time.Time) { l.fullUntil.Store(now.Add(FullBackoff).UnixNano()) }
+func (s *ServerState) MarkFull(now time.Time) { s.fullUntil.Store(now.Add(FullBackoff).UnixNano()) }
 
 // ClearFull records that a slot on the server is free again.
-func (l *ServerState) ClearFull() { l.fullUntil.Store(0) }
+func (s *ServerState) ClearFull() { s.fullUntil.Store(0) }
 
 // Server describes one backend server as this daemon knows it at one moment.
 type Server struct {
@@ -48,7 +48,7 @@
 	Capacity int
 	// ReportedAt is when that report was taken.
 	ReportedAt time.Time
-	// OwnAtReport is Load.InFlight at ReportedAt.
+	// OwnAtReport is State.InFlight at ReportedAt.
 	OwnAtReport int
 	// EjectedUntil is the time until which a failing server gets no requests.
 	EjectedUntil time.Time
@@ -75,7 +75,7 @@
 
 // retryAfter returns the Retry-After for servers none of which can take a request now: if all
 // that aren't leaving asked for back-off, the time until the first back-off ends, and
-// otherwise RetryCapacity.
+// otherwise DefaultRetryAfter.
 func retryAfter(servers []*Server, now time.Time) time.Duration {
 	listed := func(yield func(notice.Kept) bool) {
 		for _, s := range servers {
@@ -121,11 +121,11 @@
 	// PublishedAt is when the control loop last published a view. A view older
 	// than StalledAfter was published before a pause of the process.
 	PublishedAt time.Time
-	// Doubt is set while the process has not confirmed, after a pause, that its
+	// Unconfirmed is set while the process has not confirmed, after a pause, that its
 	// generation is still the newest. No request is sent meanwhile.
-	Doubt bool
-	Hall  string
-	Ages  Ages
+	Unconfirmed bool
+	Hall        string
+	Ages        Ages
 	// Engines are the model engines by loaded version, those of this daemon's
 	// data hall first.
 	Engines map[table.Ref][]*Server
@@ -183,7 +183,7 @@
 
 // unconfirmed reports whether the process was paused and may have missed an edit.
 func (v *View) unconfirmed(now time.Time) bool {
-	return v.Doubt || (!v.PublishedAt.IsZero() && now.Sub(v.PublishedAt) > StalledAfter)
+	return v.Unconfirmed || (!v.PublishedAt.IsZero() && now.Sub(v.PublishedAt) > StalledAfter)
 }
 
 // stale reports whether the view is too old to serve the candidate.
--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -256,7 +256,7 @@
 	}
 	out := &route.View{
 		Generation: table.Generation{Number: v.Generation}, Table: t, Hall: v.Hall,
-		ConfirmedAt: v.ConfirmedAt, PublishedAt: v.PublishedAt, Doubt: v.Doubt,
+		ConfirmedAt: v.ConfirmedAt, PublishedAt: v.PublishedAt, Unconfirmed: v.Doubt,
 		Engines: map[table.Ref][]*route.Server{}, Services: map[string][]*route.Server{},
 		Quality: map[route.QualityKey]route.Estimate{}, Guarded: map[table.Ref]string{}, BadFor: map[route.QualityKey]bool{},
 	}
@@ -309,7 +309,7 @@
 func ViewOf(v *route.View) View {
 	out := View{
 		Generation: v.Generation.Number, Table: string(v.Table.Encode()), Hall: v.Hall,
-		ConfirmedAt: v.ConfirmedAt, PublishedAt: v.PublishedAt, Doubt: v.Doubt,
+		ConfirmedAt: v.ConfirmedAt, PublishedAt: v.PublishedAt, Doubt: v.Unconfirmed,
 		SteadyAge: v.Ages.Steady.String(), RollingAge: v.Ages.RollingOut.String(),
 	}
 	servers := map[string]*Server{}
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -113,7 +113,7 @@
 		return s
 	}
 	out, view := *s, *s.View
-	view.Doubt = true
+	view.Unconfirmed = true
 	out.View = &view
 	return &out
 }
@@ -285,7 +285,7 @@
 	case nodeEvent:
 		leaving := len(l.node.LeavingServers())
 		l.feed(e.inner, now)
-		if len(l.node.LeavingServers()) != leaving || l.Snapshot().View.Doubt {
+		if len(l.node.LeavingServers()) != leaving || l.Snapshot().View.Unconfirmed {
 			l.publish(now)
 		}
 	case billEvent:
@@ -463,7 +463,7 @@
 		Table:       l.table,
 		ConfirmedAt: l.node.Store.ConfirmedAt(replication.Config),
 		PublishedAt: l.ticked,
-		Doubt:       l.node.Doubt(now),
+		Unconfirmed: l.node.Doubt(now),
 		Hall:        l.Settings.Hall,
 		Ages:        route.Ages{Steady: l.Settings.SteadyAge, RollingOut: l.Settings.RollingOutAge},
 		Quality:     l.quality,
