--- a/core/routemap/home_test.go
+++ b/core/routemap/regions_test.go
@@ -12,9 +12,9 @@
 	"ladderridge.example/core/routemap"
 )
 
-// Over random tables, a server may run a request only in a region that the route and
-// the organisation both name, if they name any.
-func TestHomesOfRoutesAndOrganisationsBothBind(t *testing.T) {
+// Over random configurations, a server may run a request only in a region that both the
+// route and the organisation list, if they list any.
+func TestRegionsOfRouteAndOrganisationBothRestrict(t *testing.T) {
 	regions := []string{"", "north", "south", "east"}
 	homes := rapid.SliceOfNDistinct(rapid.SampledFrom(regions[1:]), 0, 3, rapid.ID[string])
 	rapid.Check(t, func(t *rapid.T) {
@@ -35,12 +35,12 @@
 			bound = bound || !want
 		}
 		if r.HasHome(o) != bound {
-			t.Errorf("bound to a home: %v", r.HasHome(o))
+			t.Errorf("restricted to regions: %v", r.HasHome(o))
 		}
 	})
 }
 
-func TestProblemsAreToldOncePerCause(t *testing.T) {
+func TestProblemsAreReportedOncePerCause(t *testing.T) {
 	m := routemap.New(routemap.Parts{
 		Routes:        []routemap.Route{{Name: "r", Homes: []string{"north", "nowhere"}}, {Name: "q", Homes: []string{"nowhere"}}},
 		Services:      []routemap.Service{{Name: "s", ColdFor: 24 * time.Hour, ColdRate: -3}, {Name: "fine", ColdFor: time.Second, ColdRate: 13}},
@@ -52,7 +52,7 @@
 	}
 	for i, want := range []string{`route r: no data hall is in the region "nowhere"`, "service s: a cold server's rate of -3", "cold for 24h0m0s after its start: taken as 10m0s"} {
 		if !strings.Contains(problems[i], want) {
-			t.Errorf("%q does not tell %q", problems[i], want)
+			t.Errorf("%q does not contain %q", problems[i], want)
 		}
 	}
 }
--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -1,6 +1,6 @@
-// Package routemap is the configuration of routed services as one immutable
+// Package routemap holds the configuration of routed services as one immutable
 // value: which service answers a host and path, under which limits, and which
-// organisation a key belongs to. It decides nothing about servers.
+// organisation a key belongs to. It does not choose servers.
 package routemap
 
 import (
@@ -13,7 +13,7 @@
 	"ladderridge.example/core/autoscaling"
 )
 
-// Repeat says how often a request may run.
+// Repeat says whether a request may run more than once.
 type Repeat int
 
 // The ways a request may be repeated.
@@ -24,7 +24,7 @@
 	Repeatable
 )
 
-// Share is one service's part of a route's requests.
+// Share is the weight of one service in the split of a route's requests.
 type Share struct {
 	Service string
 	Weight  int
@@ -38,30 +38,32 @@
 	// Shares split the requests over services; there is at least one.
 	Shares []Share
 	Repeat Repeat
-	// Streaming answers are series of numbered events, passed on as they come.
+	// Streaming answers are series of numbered events, forwarded as they arrive.
 	Streaming bool
-	// Resumable streams may be taken up at another server after the last event
-	// that arrived.
+	// Resumable streams may be continued on another server after the last event
+	// received.
 	Resumable bool
 	// Sticky routes keep a session on one version.
 	Sticky bool
 	// Anonymous routes need no key.
 	Anonymous bool
-	// Attempts bounds the servers that one request may be sent to.
+	// Attempts is the maximum number of servers that one request is sent to.
 	Attempts int
-	// Limit is the longest that a request may be held; 0 is no limit.
+	// Limit is the maximum time for a request, waiting included; 0 is no limit.
 	Limit time.Duration
-	// Objective is the time to the answer, or to a stream's first event, that
-	// the operator aims at.
+	// Objective is the operator's target for the time to the answer, or to the
+	// first event of a stream.
 	Objective time.Duration
-	// Pause is the longest time between two events that keeps a stream in time.
+	// Pause is the operator's target for the longest time between two events of
+	// a stream.
 	Pause time.Duration
-	// Rank is the urgency, 0 first.
+	// Rank is the priority of the requests; 0 is the most urgent.
 	Rank int
-	// Ladder are models from the smallest to the largest; if there are any, the
-	// router chooses among them.
+	// Ladder lists the models of a cascade from the smallest to the largest; if
+	// it is not empty, the router chooses among them.
 	Ladder []string
-	// Homes are the regions whose servers may run the requests; none allows all.
+	// Homes lists the regions whose servers may run the requests; an empty list
+	// allows all.
 	Homes []string
 }
 
@@ -72,37 +74,40 @@
 	Cost float64
 }
 
-// Service is a pool of backend servers that answer alike.
+// Service is a pool of interchangeable backend servers.
 type Service struct {
 	Name string
-	// HealthPath answers while a server is well.
+	// HealthPath is the path of a server's health check.
 	HealthPath string
-	// Channels bounds the connections that one server accepts from all callers.
+	// Channels is the maximum number of connections that one server accepts, from
+	// all callers together.
 	Channels int
-	// Slots is how many requests one server works on; 0 is unknown.
+	// Slots is how many requests one server works on at once; 0 is unknown.
 	Slots int
-	// CacheTokens is the prompt memory of one model server, in tokens; 0 is unknown.
+	// CacheTokens is the size of the prefix cache of one model server, in tokens;
+	// 0 is unknown.
 	CacheTokens int
-	// ColdFor is how long a server is cold after its start, ColdRate how many
-	// requests a second it then works on; a rate of 0 is no bound.
+	// ColdFor is how long a server is cold after its start. ColdRate is how many
+	// requests a second it can work on meanwhile; 0 is no limit.
 	ColdFor  time.Duration
 	ColdRate float64
 	Models   []Model
-	// Sizes are the terms on which its servers are ordered.
+	// Sizes are the limits and prices by which the number of its servers is scaled.
 	Sizes autoscaling.Terms
 }
 
-// Organisation is one that holds keys.
+// Organisation is a customer with its keys.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Rank, if set, goes before the rank of the route.
+	// Rank, if set, overrides the rank of the route.
 	Rank *int
-	// Homes are the regions whose servers may run its requests; none allows all.
+	// Homes lists the regions whose servers may run its requests; an empty list
+	// allows all.
 	Homes []string
 }
 
-// Limits bound what callers may send and how long they may rest.
+// Limits bound the size of what callers send and how long they may take.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -110,9 +115,9 @@
 	IdleTime    time.Duration
 }
 
-// Map is one version of the configuration. It is never changed.
+// Map is one version of the configuration. It is immutable.
 type Map struct {
-	// Number is the version that the operator gave it.
+	// Number is the version number that the operator gave it.
 	Number uint64
 	Limits Limits
 
@@ -120,11 +125,12 @@
 	services      map[string]*Service
 	keys          map[string]*Organisation
 	organisations int
-	// homes are all regions that a route or an organisation names, by who does.
-	homes map[string][]string
+	// regionUsers maps each region that a route or an organisation lists to the names of
+	// those that list it.
+	regionUsers map[string][]string
 }
 
-// Parts are what a map is made of.
+// Parts are the contents of a Map, for New.
 type Parts struct {
 	Number        uint64
 	Limits        Limits
@@ -133,17 +139,17 @@
 	Organisations []Organisation
 }
 
-// New makes a map.
+// New returns the Map of the given parts.
 func New(p Parts) *Map {
 	m := &Map{
 		Number: p.Number, Limits: p.Limits, organisations: len(p.Organisations),
 		hosts: map[string][]*Route{}, services: map[string]*Service{}, keys: map[string]*Organisation{},
-		homes: map[string][]string{},
+		regionUsers: map[string][]string{},
 	}
 	for _, r := range p.Routes {
 		host := canonicalHost(r.Host)
 		m.hosts[host] = append(m.hosts[host], &r)
-		m.noteHomes("route "+r.Name, r.Homes)
+		m.indexRegions("route "+r.Name, r.Homes)
 	}
 	for _, routes := range m.hosts {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
@@ -152,7 +158,7 @@
 		m.services[s.Name] = &s
 	}
 	for _, o := range p.Organisations {
-		m.noteHomes("organisation "+o.Name, o.Homes)
+		m.indexRegions("organisation "+o.Name, o.Homes)
 		for _, key := range o.Keys {
 			m.keys[key] = &o
 		}
@@ -160,7 +166,7 @@
 	return m
 }
 
-// canonicalHost is a host in lower case and without its port.
+// canonicalHost returns a host in lower case and without its port.
 func canonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -168,8 +174,7 @@
 	return strings.ToLower(host)
 }
 
-// Match returns the route of a host whose prefix is the longest that begins
-// the path.
+// Match returns the route of a host with the longest prefix of the path.
 func (m *Map) Match(host, path string) (*Route, bool) {
 	for _, r := range m.hosts[canonicalHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -179,7 +184,8 @@
 	return nil, false
 }
 
-// Service returns a service by its name, or one that nothing is known of.
+// Service returns a service by its name, or one with only the name set if the
+// configuration has none of that name.
 func (m *Map) Service(name string) *Service {
 	if s, ok := m.services[name]; ok {
 		return s
@@ -187,15 +193,15 @@
 	return &Service{Name: name}
 }
 
-// Services returns all services, by name.
+// Services returns all services, sorted by name.
 func (m *Map) Services() []*Service {
 	return slices.SortedFunc(maps.Values(m.services), func(a, b *Service) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// NeedsKeys reports whether routes that are not anonymous want a key.
+// NeedsKeys reports whether routes that are not anonymous require a key.
 func (m *Map) NeedsKeys() bool { return m.organisations > 0 }
 
-// Organisation returns the holder of a key.
+// Organisation returns the organisation that a key belongs to.
 func (m *Map) Organisation(key string) (*Organisation, bool) {
 	o, ok := m.keys[key]
 	return o, ok
@@ -206,8 +212,8 @@
 	return slices.ContainsFunc(r.Shares, func(s Share) bool { return s.Service == service && s.Weight > 0 })
 }
 
-// Pick chooses the service for a request by its hash, so that all daemons
-// choose alike.
+// Pick chooses the service for a request by its hash, so that all daemons make
+// the same choice.
 func (r *Route) Pick(hash uint64) string {
 	total := 0
 	for _, s := range r.Shares {
@@ -225,7 +231,8 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// RankFor is the urgency of an organisation's requests on the route.
+// RankFor returns the rank of an organisation's requests on the route. The
+// organisation may be nil.
 func (r *Route) RankFor(o *Organisation) int {
 	if o != nil && o.Rank != nil {
 		return *o.Rank
@@ -233,8 +240,8 @@
 	return r.Rank
 }
 
-// MayRepeat reports whether a request of the route may be sent again after it
-// may have run.
+// MayRepeat reports whether a request of the route may be sent again although it
+// may already have run.
 func (r *Route) MayRepeat() bool {
 	if r.Streaming {
 		return r.Resumable
--- a/core/routemap/routemap_test.go
+++ b/core/routemap/routemap_test.go
@@ -21,7 +21,7 @@
 	})
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPrefixOfHostMatches(t *testing.T) {
 	m := sample()
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "deep"},
@@ -63,11 +63,11 @@
 		t.Fatalf("%v, %v", o, ok)
 	}
 	if _, ok := m.Organisation("k4"); ok {
-		t.Error("an unknown key has a holder")
+		t.Error("an unknown key belongs to an organisation")
 	}
 	r, _ := m.Match("a.example", "/")
 	p, _ := m.Organisation("k3")
 	if r.RankFor(o) != 3 || r.RankFor(p) != 0 || r.RankFor(nil) != 0 {
-		t.Error("an organisation's rank does not go before the route's")
+		t.Error("an organisation's rank does not override the route's")
 	}
 }
