--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -59,9 +59,9 @@
 	Pause time.Duration
 	// Rank is the priority of the requests; 0 is the most urgent.
 	Rank int
-	// Ladder lists the models of a cascade from the smallest to the largest; if
+	// Cascade lists the models of a cascade from the smallest to the largest; if
 	// it is not empty, the router chooses among them.
-	Ladder []string
+	Cascade []string
 	// Homes lists the regions whose servers may run the requests; an empty list
 	// allows all.
 	Homes []string
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -125,10 +125,10 @@
 
 // model is the model of the present step, or "" if the caller has named one.
 func (j *job) model() string {
-	if len(j.route.Ladder) == 0 {
+	if len(j.route.Cascade) == 0 {
 		return ""
 	}
-	return j.route.Ladder[min(j.step.Index, len(j.route.Ladder)-1)]
+	return j.route.Cascade[min(j.step.Index, len(j.route.Cascade)-1)]
 }
 
 // open sends the request to a server and reads the head of the answer. It gives
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -272,11 +272,11 @@
 	if left, ok := j.quarantined(now); ok {
 		return Refused{Reason: Quarantined, RetryAfter: left}
 	}
-	if len(route.Ladder) > 0 {
+	if len(route.Cascade) > 0 {
 		if j.request.Model != AnyModel {
 			return Refused{Reason: WrongModel}
 		}
-		j.step = cascade.Start(len(route.Ladder))
+		j.step = cascade.Start(len(route.Cascade))
 	}
 	j.service = route.Pick(xxhash.Sum64String(j.request.ID))
 	j.report.Service, j.report.Session = j.service, j.request.session()
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -32,7 +32,7 @@
 	again.Name, again.Prefix, again.Repeat = "again", "/again/", routemap.Repeatable
 	stream.Name, stream.Prefix, stream.Streaming, stream.Resumable, stream.Pause = "stream", "/stream/", true, true, time.Second
 	ladder := stream
-	ladder.Name, ladder.Prefix, ladder.Ladder, ladder.Attempts = "ladder", "/ladder/", []string{"small", "middle", "large"}, 3
+	ladder.Name, ladder.Prefix, ladder.Cascade, ladder.Attempts = "ladder", "/ladder/", []string{"small", "middle", "large"}, 3
 	slow := stream
 	slow.Name, slow.Prefix, slow.Limit = "slow", "/slow/", 10*time.Second
 	return routemap.Parts{
--- a/daemon/proxy/observe.go
+++ b/daemon/proxy/observe.go
@@ -67,10 +67,10 @@
 // model: 1 for the smallest one of a ladder, and as many times more for another as it
 // takes longer.
 func (j *job) pieceWork() float64 {
-	if len(j.route.Ladder) == 0 || j.step.Index == 0 {
+	if len(j.route.Cascade) == 0 || j.step.Index == 0 {
 		return 1
 	}
-	return factor(j.engine.settled.of(j.service+"/"+j.model()), j.engine.settled.of(j.service+"/"+j.route.Ladder[0]))
+	return factor(j.engine.settled.of(j.service+"/"+j.model()), j.engine.settled.of(j.service+"/"+j.route.Cascade[0]))
 }
 
 // compare returns how long something took in terms of what the settled version
--- a/daemon/proxy/stream.go
+++ b/daemon/proxy/stream.go
@@ -62,7 +62,7 @@
 // mayEscalate reports whether an answer is dropped for one of a larger model, and by
 // what it was weighed.
 func (j *job) mayEscalate(ctx context.Context, a *attempt) (cascade.Step, cascade.Load, bool) {
-	if j.begun || len(j.route.Ladder) == 0 || j.made.Ran >= j.route.Attempts || ctx.Err() != nil {
+	if j.begun || len(j.route.Cascade) == 0 || j.made.Ran >= j.route.Attempts || ctx.Err() != nil {
 		return j.step, cascade.Load{}, false
 	}
 	now := time.Now()
@@ -97,7 +97,7 @@
 // load is how busy servers are, for deciding on a larger model.
 func (j *job) load(a *attempt, now time.Time) cascade.Load {
 	objective := j.route.Objective
-	larger := j.engine.paces.of(j.kind(j.route.Ladder[j.step.Up().Index]))
+	larger := j.engine.paces.of(j.kind(j.route.Cascade[j.step.Up().Index]))
 	l := cascade.Load{InTime: larger.Within(j.request.size(), j.request.Arrived.Add(objective).Sub(now), now)}
 	if objective > 0 {
 		usual := j.engine.paces.of(j.kind(j.model())).Mean(now)
@@ -111,7 +111,7 @@
 // server, together, in terms of an objective.
 func (j *job) delays(a *attempt, objective time.Duration) float64 {
 	run := latency.Features{Own: pieces(a.prompt.Own()), Load: 1}
-	larger := j.service + "/" + j.route.Ladder[j.step.Up().Index]
+	larger := j.service + "/" + j.route.Cascade[j.step.Up().Index]
 	return a.features().Load * j.engine.settled.of(larger).Expected(run) / objective.Seconds()
 }
 
