--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -49,8 +49,8 @@
 	Anonymous bool
 	// Attempts is the maximum number of servers that one request is sent to.
 	Attempts int
-	// Limit is the maximum time for a request, waiting included; 0 is no limit.
-	Limit time.Duration
+	// Timeout is the maximum time for a request, waiting included; 0 is no limit.
+	Timeout time.Duration
 	// Objective is the operator's target for the time to the answer, or to the
 	// first event of a stream.
 	Objective time.Duration
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -316,7 +316,7 @@
 // says.
 func (j *job) deadline() time.Time {
 	wait := j.request.Wait
-	if limit := j.route.Limit; limit > 0 && (wait == 0 || limit < wait) {
+	if limit := j.route.Timeout; limit > 0 && (wait == 0 || limit < wait) {
 		wait = limit
 	}
 	if wait == 0 {
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -26,7 +26,7 @@
 
 // parts is a configuration with one route of each kind.
 func parts(number uint64, keys ...string) routemap.Parts {
-	base := routemap.Route{Host: "h", Shares: []routemap.Share{{Service: "s", Weight: 1}}, Attempts: 2, Limit: 2 * time.Second, Objective: 200 * time.Millisecond}
+	base := routemap.Route{Host: "h", Shares: []routemap.Share{{Service: "s", Weight: 1}}, Attempts: 2, Timeout: 2 * time.Second, Objective: 200 * time.Millisecond}
 	once, again, stream := base, base, base
 	once.Name, once.Prefix = "once", "/once/"
 	again.Name, again.Prefix, again.Repeat = "again", "/again/", routemap.Repeatable
@@ -34,7 +34,7 @@
 	ladder := stream
 	ladder.Name, ladder.Prefix, ladder.Cascade, ladder.Attempts = "ladder", "/ladder/", []string{"small", "middle", "large"}, 3
 	slow := stream
-	slow.Name, slow.Prefix, slow.Limit = "slow", "/slow/", 10*time.Second
+	slow.Name, slow.Prefix, slow.Timeout = "slow", "/slow/", 10*time.Second
 	return routemap.Parts{
 		Number: number, Routes: []routemap.Route{once, again, stream, ladder, slow},
 		Organisations: []routemap.Organisation{{Name: "org", Keys: keys}},
