--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -51,9 +51,9 @@
 	Attempts int
 	// Timeout is the maximum time for a request, waiting included; 0 is no limit.
 	Timeout time.Duration
-	// Objective is the operator's target for the time to the answer, or to the
+	// LatencyObjective is the operator's target for the time to the answer, or to the
 	// first event of a stream.
-	Objective time.Duration
+	LatencyObjective time.Duration
 	// Pause is the operator's target for the longest time between two events of
 	// a stream.
 	Pause time.Duration
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -26,7 +26,7 @@
 
 // parts is a configuration with one route of each kind.
 func parts(number uint64, keys ...string) routemap.Parts {
-	base := routemap.Route{Host: "h", Shares: []routemap.Share{{Service: "s", Weight: 1}}, Attempts: 2, Timeout: 2 * time.Second, Objective: 200 * time.Millisecond}
+	base := routemap.Route{Host: "h", Shares: []routemap.Share{{Service: "s", Weight: 1}}, Attempts: 2, Timeout: 2 * time.Second, LatencyObjective: 200 * time.Millisecond}
 	once, again, stream := base, base, base
 	once.Name, once.Prefix = "once", "/once/"
 	again.Name, again.Prefix, again.Repeat = "again", "/again/", routemap.Repeatable
--- a/daemon/proxy/stream.go
+++ b/daemon/proxy/stream.go
@@ -96,7 +96,7 @@
 
 // load is how busy servers are, for deciding on a larger model.
 func (j *job) load(a *attempt, now time.Time) cascade.Load {
-	objective := j.route.Objective
+	objective := j.route.LatencyObjective
 	larger := j.engine.paces.of(j.kind(j.route.Cascade[j.step.Up().Index]))
 	l := cascade.Load{InTime: larger.Within(j.request.size(), j.request.Arrived.Add(objective).Sub(now), now)}
 	if objective > 0 {
