--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -54,9 +54,9 @@
 	// LatencyObjective is the operator's target for the time to the answer, or to the
 	// first event of a stream.
 	LatencyObjective time.Duration
-	// Pause is the operator's target for the longest time between two events of
+	// GapObjective is the operator's target for the longest time between two events of
 	// a stream.
-	Pause time.Duration
+	GapObjective time.Duration
 	// Rank is the priority of the requests; 0 is the most urgent.
 	Rank int
 	// Cascade lists the models of a cascade from the smallest to the largest; if
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -30,7 +30,7 @@
 	once, again, stream := base, base, base
 	once.Name, once.Prefix = "once", "/once/"
 	again.Name, again.Prefix, again.Repeat = "again", "/again/", routemap.Repeatable
-	stream.Name, stream.Prefix, stream.Streaming, stream.Resumable, stream.Pause = "stream", "/stream/", true, true, time.Second
+	stream.Name, stream.Prefix, stream.Streaming, stream.Resumable, stream.GapObjective = "stream", "/stream/", true, true, time.Second
 	ladder := stream
 	ladder.Name, ladder.Prefix, ladder.Cascade, ladder.Attempts = "ladder", "/ladder/", []string{"small", "middle", "large"}, 3
 	slow := stream
