--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -79,9 +79,9 @@
 	Name string
 	// HealthPath is the path of a server's health check.
 	HealthPath string
-	// Channels is the maximum number of connections that one server accepts, from
+	// MaxConnections is the maximum number of connections that one server accepts, from
 	// all callers together.
-	Channels int
+	MaxConnections int
 	// Slots is how many requests one server works on at once; 0 is unknown.
 	Slots int
 	// CacheTokens is the size of the prefix cache of one model server, in tokens;
