--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -92,8 +92,8 @@
 	ColdFor  time.Duration
 	ColdRate float64
 	Models   []Model
-	// Sizes are the limits and prices by which the number of its servers is scaled.
-	Sizes autoscaling.Terms
+	// Autoscaling are the limits and prices by which the number of its servers is scaled.
+	Autoscaling autoscaling.Terms
 }
 
 // Organisation is a customer with its keys.
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -177,7 +177,7 @@
 func (d *Leaseholder) decide(h *holding, w *ordering, v *storesync.View, now time.Time) {
 	changed := false
 	for _, s := range v.Map.Services() {
-		if !s.Sizes.Ordered() {
+		if !s.Autoscaling.Ordered() {
 			continue
 		}
 		service := w.service(s.Name)
@@ -247,7 +247,7 @@
 
 // input is what an order for the service is decided by.
 func (o *serviceOrders) input(s *routemap.Service, v *storesync.View, now time.Time) autoscaling.Input {
-	in := autoscaling.Input{Now: now, Terms: s.Sizes, Slots: s.Slots, Emptied: map[string]bool{}, Places: map[autoscaling.Place]autoscaling.Standing{}}
+	in := autoscaling.Input{Now: now, Terms: s.Autoscaling, Slots: s.Slots, Emptied: map[string]bool{}, Places: map[autoscaling.Place]autoscaling.Standing{}}
 	for hall := range v.Emptied {
 		in.Emptied[hall] = true
 	}
