--- a/core/routemap/regions.go
+++ b/core/routemap/regions.go
@@ -10,7 +10,7 @@
 // organisation, which may be nil. If both are restricted to regions, both must list
 // the region. "" is an unknown region, which is allowed only without a restriction.
 func (r *Route) InHome(o *Organisation, region string) bool {
-	if !regionAllowed(r.Homes, region) {
+	if !regionAllowed(r.Regions, region) {
 		return false
 	}
 	return o == nil || regionAllowed(o.Homes, region)
@@ -23,7 +23,7 @@
 // HasHome reports whether the route, or an organisation on it, is restricted to
 // regions. The organisation may be nil.
 func (r *Route) HasHome(o *Organisation) bool {
-	return len(r.Homes) > 0 || o != nil && len(o.Homes) > 0
+	return len(r.Regions) > 0 || o != nil && len(o.Homes) > 0
 }
 
 // indexRegions adds the regions of a route or an organisation to regionUsers.
--- a/core/routemap/regions_test.go
+++ b/core/routemap/regions_test.go
@@ -18,14 +18,14 @@
 	regions := []string{"", "north", "south", "east"}
 	homes := rapid.SliceOfNDistinct(rapid.SampledFrom(regions[1:]), 0, 3, rapid.ID[string])
 	rapid.Check(t, func(t *rapid.T) {
-		r := &routemap.Route{Homes: homes.Draw(t, "route")}
+		r := &routemap.Route{Regions: homes.Draw(t, "route")}
 		var o *routemap.Organisation
 		if rapid.Bool().Draw(t, "keyed") {
 			o = &routemap.Organisation{Homes: homes.Draw(t, "organisation")}
 		}
 		bound := false
 		for _, region := range regions {
-			want := len(r.Homes) == 0 || slices.Contains(r.Homes, region)
+			want := len(r.Regions) == 0 || slices.Contains(r.Regions, region)
 			if o != nil && len(o.Homes) > 0 {
 				want = want && slices.Contains(o.Homes, region)
 			}
@@ -42,7 +42,7 @@
 
 func TestProblemsAreReportedOncePerCause(t *testing.T) {
 	m := routemap.New(routemap.Parts{
-		Routes:        []routemap.Route{{Name: "r", Homes: []string{"north", "nowhere"}}, {Name: "q", Homes: []string{"nowhere"}}},
+		Routes:        []routemap.Route{{Name: "r", Regions: []string{"north", "nowhere"}}, {Name: "q", Regions: []string{"nowhere"}}},
 		Services:      []routemap.Service{{Name: "s", ColdFor: 24 * time.Hour, ColdRate: -3}, {Name: "fine", ColdFor: time.Second, ColdRate: 13}},
 		Organisations: []routemap.Organisation{{Name: "o", Homes: []string{"north"}}},
 	})
--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -62,9 +62,9 @@
 	// Cascade lists the models of a cascade from the smallest to the largest; if
 	// it is not empty, the router chooses among them.
 	Cascade []string
-	// Homes lists the regions whose servers may run the requests; an empty list
+	// Regions lists the regions whose servers may run the requests; an empty list
 	// allows all.
-	Homes []string
+	Regions []string
 }
 
 // Model is a model that the servers of a service offer.
@@ -149,7 +149,7 @@
 	for _, r := range p.Routes {
 		host := canonicalHost(r.Host)
 		m.hosts[host] = append(m.hosts[host], &r)
-		m.indexRegions("route "+r.Name, r.Homes)
+		m.indexRegions("route "+r.Name, r.Regions)
 	}
 	for _, routes := range m.hosts {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
--- a/daemon/proxy/halls_test.go
+++ b/daemon/proxy/halls_test.go
@@ -72,7 +72,7 @@
 		b.engine.Hall = "south-a"
 		p := parts(1, "k")
 		for i := range p.Routes {
-			p.Routes[i].Homes = []string{"north", "east"}
+			p.Routes[i].Regions = []string{"north", "east"}
 		}
 		p.Organisations[0].Homes = []string{"north", "south"}
 		reset := func(net.Conn, arrival) bool { return false }
