--- a/core/routemap/regions.go
+++ b/core/routemap/regions.go
@@ -13,7 +13,7 @@
 	if !regionAllowed(r.Regions, region) {
 		return false
 	}
-	return o == nil || regionAllowed(o.Homes, region)
+	return o == nil || regionAllowed(o.Regions, region)
 }
 
 func regionAllowed(regions []string, region string) bool {
@@ -23,7 +23,7 @@
 // HasHome reports whether the route, or an organisation on it, is restricted to
 // regions. The organisation may be nil.
 func (r *Route) HasHome(o *Organisation) bool {
-	return len(r.Regions) > 0 || o != nil && len(o.Homes) > 0
+	return len(r.Regions) > 0 || o != nil && len(o.Regions) > 0
 }
 
 // indexRegions adds the regions of a route or an organisation to regionUsers.
--- a/core/routemap/regions_test.go
+++ b/core/routemap/regions_test.go
@@ -21,13 +21,13 @@
 		r := &routemap.Route{Regions: homes.Draw(t, "route")}
 		var o *routemap.Organisation
 		if rapid.Bool().Draw(t, "keyed") {
-			o = &routemap.Organisation{Homes: homes.Draw(t, "organisation")}
+			o = &routemap.Organisation{Regions: homes.Draw(t, "organisation")}
 		}
 		bound := false
 		for _, region := range regions {
 			want := len(r.Regions) == 0 || slices.Contains(r.Regions, region)
-			if o != nil && len(o.Homes) > 0 {
-				want = want && slices.Contains(o.Homes, region)
+			if o != nil && len(o.Regions) > 0 {
+				want = want && slices.Contains(o.Regions, region)
 			}
 			if got := r.InHome(o, region); got != want {
 				t.Errorf("%q: %v", region, got)
@@ -44,7 +44,7 @@
 	m := routemap.New(routemap.Parts{
 		Routes:        []routemap.Route{{Name: "r", Regions: []string{"north", "nowhere"}}, {Name: "q", Regions: []string{"nowhere"}}},
 		Services:      []routemap.Service{{Name: "s", ColdFor: 24 * time.Hour, ColdRate: -3}, {Name: "fine", ColdFor: time.Second, ColdRate: 13}},
-		Organisations: []routemap.Organisation{{Name: "o", Homes: []string{"north"}}},
+		Organisations: []routemap.Organisation{{Name: "o", Regions: []string{"north"}}},
 	})
 	problems := m.Problems([]string{"north", "south"})
 	if len(problems) != 3 {
--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -102,9 +102,9 @@
 	Keys []string
 	// Rank, if set, overrides the rank of the route.
 	Rank *int
-	// Homes lists the regions whose servers may run its requests; an empty list
+	// Regions lists the regions whose servers may run its requests; an empty list
 	// allows all.
-	Homes []string
+	Regions []string
 }
 
 // Limits bound the size of what callers send and how long they may take.
@@ -158,7 +158,7 @@
 		m.services[s.Name] = &s
 	}
 	for _, o := range p.Organisations {
-		m.indexRegions("organisation "+o.Name, o.Homes)
+		m.indexRegions("organisation "+o.Name, o.Regions)
 		for _, key := range o.Keys {
 			m.keys[key] = &o
 		}
--- a/daemon/proxy/halls_test.go
+++ b/daemon/proxy/halls_test.go
@@ -74,7 +74,7 @@
 		for i := range p.Routes {
 			p.Routes[i].Regions = []string{"north", "east"}
 		}
-		p.Organisations[0].Homes = []string{"north", "south"}
+		p.Organisations[0].Regions = []string{"north", "south"}
 		reset := func(net.Conn, arrival) bool { return false }
 		south := inHalls("south-a", b.server("a", whole(200, "ok")))
 		north := inHalls("north-a", b.server("b", reset), b.server("c", whole(200, "ok")))
