--- a/core/routemap/regions.go
+++ b/core/routemap/regions.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// InHome reports whether a server in a region may run a request of the route for an
+// InRegions reports whether a server in a region may run a request of the route for an
 // organisation, which may be nil. If both are restricted to regions, both must list
 // the region. "" is an unknown region, which is allowed only without a restriction.
-func (r *Route) InHome(o *Organisation, region string) bool {
+func (r *Route) InRegions(o *Organisation, region string) bool {
 	if !regionAllowed(r.Regions, region) {
 		return false
 	}
--- a/core/routemap/regions_test.go
+++ b/core/routemap/regions_test.go
@@ -29,7 +29,7 @@
 			if o != nil && len(o.Regions) > 0 {
 				want = want && slices.Contains(o.Regions, region)
 			}
-			if got := r.InHome(o, region); got != want {
+			if got := r.InRegions(o, region); got != want {
 				t.Errorf("%q: %v", region, got)
 			}
 			bound = bound || !want
--- a/daemon/storesync/halls.go
+++ b/daemon/storesync/halls.go
@@ -111,5 +111,5 @@
 // InHome reports whether a server in a data hall may run a request of the route for an
 // organisation, which may be nil.
 func (v *View) InHome(r *routemap.Route, o *routemap.Organisation, hall string) bool {
-	return r.InHome(o, v.Regions[hall])
+	return r.InRegions(o, v.Regions[hall])
 }
