--- a/core/routemap/regions.go
+++ b/core/routemap/regions.go
@@ -20,9 +20,9 @@
 	return len(regions) == 0 || region != "" && slices.Contains(regions, region)
 }
 
-// HasHome reports whether the route, or an organisation on it, is restricted to
+// RestrictsRegions reports whether the route, or an organisation on it, is restricted to
 // regions. The organisation may be nil.
-func (r *Route) HasHome(o *Organisation) bool {
+func (r *Route) RestrictsRegions(o *Organisation) bool {
 	return len(r.Regions) > 0 || o != nil && len(o.Regions) > 0
 }
 
--- a/core/routemap/regions_test.go
+++ b/core/routemap/regions_test.go
@@ -34,8 +34,8 @@
 			}
 			bound = bound || !want
 		}
-		if r.HasHome(o) != bound {
-			t.Errorf("restricted to regions: %v", r.HasHome(o))
+		if r.RestrictsRegions(o) != bound {
+			t.Errorf("restricted to regions: %v", r.RestrictsRegions(o))
 		}
 	})
 }
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -79,7 +79,7 @@
 		Service: j.service, Affinity: j.request.affinity(), Prompt: j.prompt, Piece: j.piece,
 		Hall: j.engine.Hall, Near: j.request.sharesLittle(), Avoid: avoid, Silent: j.silent,
 	}
-	if j.route.HasHome(j.holder) {
+	if j.route.RestrictsRegions(j.holder) {
 		want.Home = func(hall string) bool { return j.view.InHome(j.route, j.holder, hall) }
 	}
 	if j.version != "" {
