--- a/core/routemap/regions.go
+++ b/core/routemap/regions.go
@@ -52,13 +52,13 @@
 			out = append(out, fmt.Sprintf("service %s: a cold server's rate of %v requests a second: it gets only the allowed overage", s.Name, s.ColdRate))
 		}
 		if s.ColdFor < 0 || s.ColdFor > maxColdTime {
-			out = append(out, fmt.Sprintf("service %s: a server is cold for %v after its start: taken as %v", s.Name, s.ColdFor, BelievedCold(s.ColdFor)))
+			out = append(out, fmt.Sprintf("service %s: a server is cold for %v after its start: taken as %v", s.Name, s.ColdFor, ClampColdTime(s.ColdFor)))
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// BelievedCold limits the configured or reported time for which a server is cold
+// ClampColdTime limits the configured or reported time for which a server is cold
 // after its start to between 0 and maxColdTime.
-func BelievedCold(d time.Duration) time.Duration { return min(max(0, d), maxColdTime) }
+func ClampColdTime(d time.Duration) time.Duration { return min(max(0, d), maxColdTime) }
--- a/daemon/storesync/halls.go
+++ b/daemon/storesync/halls.go
@@ -62,7 +62,7 @@
 		return
 	}
 	k.coldRows[s.Incarnation()] = row
-	believed := routemap.BelievedCold(s.ColdFor)
+	believed := routemap.ClampColdTime(s.ColdFor)
 	if believed != s.ColdFor {
 		k.Log.Warn().Str("server", s.ID).Dur("cold_for", s.ColdFor).Dur("taken_as", believed).Msg("knowledge: a server's time to be cold cannot be meant so")
 	}
@@ -83,7 +83,7 @@
 		service := v.Map.Service(s.Service)
 		until := k.coldUntil[s.Incarnation()]
 		if back, ok := k.returned[s.Hall]; ok && service.ColdFor > 0 {
-			until = latest(until, back.Add(routemap.BelievedCold(service.ColdFor)))
+			until = latest(until, back.Add(routemap.ClampColdTime(service.ColdFor)))
 		}
 		if service.ColdRate == 0 || !now.Before(until) {
 			continue
