--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -109,10 +109,10 @@
 
 // Limits bound the size of what callers send and how long they may take.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration
+	IdleTime      time.Duration
 }
 
 // Map is one version of the configuration. It is immutable.
