--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -112,7 +112,7 @@
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration
-	IdleTime      time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Map is one version of the configuration. It is immutable.
