--- a/core/routemap/regions_test.go
+++ b/core/routemap/regions_test.go
@@ -16,12 +16,12 @@
 // route and the organisation list, if they list any.
 func TestRegionsOfRouteAndOrganisationBothRestrict(t *testing.T) {
 	regions := []string{"", "north", "south", "east"}
-	homes := rapid.SliceOfNDistinct(rapid.SampledFrom(regions[1:]), 0, 3, rapid.ID[string])
+	subset := rapid.SliceOfNDistinct(rapid.SampledFrom(regions[1:]), 0, 3, rapid.ID[string])
 	rapid.Check(t, func(t *rapid.T) {
-		r := &routemap.Route{Regions: homes.Draw(t, "route")}
+		r := &routemap.Route{Regions: subset.Draw(t, "route")}
 		var o *routemap.Organisation
 		if rapid.Bool().Draw(t, "keyed") {
-			o = &routemap.Organisation{Regions: homes.Draw(t, "organisation")}
+			o = &routemap.Organisation{Regions: subset.Draw(t, "organisation")}
 		}
 		bound := false
 		for _, region := range regions {
--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -51,16 +51,16 @@
 	Attempts int
 	// Timeout is the maximum time for a request, waiting included; 0 is no limit.
 	Timeout time.Duration
-	// LatencyObjective is the operator's target for the time to the answer, or to the
-	// first event of a stream.
+	// LatencyObjective is the operator's target for the time to the answer, or to
+	// the first event of a stream.
 	LatencyObjective time.Duration
-	// GapObjective is the operator's target for the longest time between two events of
-	// a stream.
+	// GapObjective is the operator's target for the longest time between two
+	// events of a stream.
 	GapObjective time.Duration
-	// Rank is the priority of the requests; 0 is the most urgent.
+	// Rank is the priority of the requests: 0 is the most urgent.
 	Rank int
-	// Cascade lists the models of a cascade from the smallest to the largest; if
-	// it is not empty, the router chooses among them.
+	// Cascade lists models from the smallest to the largest; if it is not empty,
+	// the router chooses among them.
 	Cascade []string
 	// Regions lists the regions whose servers may run the requests; an empty list
 	// allows all.
@@ -79,8 +79,8 @@
 	Name string
 	// HealthPath is the path of a server's health check.
 	HealthPath string
-	// MaxConnections is the maximum number of connections that one server accepts, from
-	// all callers together.
+	// MaxConnections is how many connections one server accepts, from all callers
+	// together.
 	MaxConnections int
 	// Slots is how many requests one server works on at once; 0 is unknown.
 	Slots int
@@ -92,7 +92,8 @@
 	ColdFor  time.Duration
 	ColdRate float64
 	Models   []Model
-	// Autoscaling are the limits and prices by which the number of its servers is scaled.
+	// Autoscaling holds the limits and prices by which the number of its servers
+	// is scaled.
 	Autoscaling autoscaling.Terms
 }
 
@@ -107,7 +108,7 @@
 	Regions []string
 }
 
-// Limits bound the size of what callers send and how long they may take.
+// Limits bound the size of what callers send and the time that they take for it.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
