--- a/core/node/event.go
+++ b/core/node/event.go
@@ -9,64 +9,66 @@
 	"ladderridge.example/core/replication"
 )
 
-// Event is something that happened to a daemon.
+// Event is an input of the state machine.
 type Event interface{ event() }
 
-// Tick comes once in TickEvery.
+// Tick is delivered once per TickEvery.
 type Tick struct {
-	// Own are this daemon's figures.
+	// Own holds the counters of this daemon.
 	Own aggregation.Sums
 }
 
-// Flush comes when bills may be due; FlushEvery while there are any.
+// Flush is delivered every FlushEvery while bills are held, to write those that are due.
 type Flush struct{}
 
-// StoodStill tells that the VM was suspended: the node's clock did not move for that time,
-// and the world did.
+// StoodStill reports that the VM was suspended: the clock of the process stopped for this time
+// while real time went on.
 type StoodStill struct{ For time.Duration }
 
-// Received is a message from another daemon, whose certificate names it.
+// Received is a message from another daemon. From is the identity in its certificate.
 type Received struct {
 	From    string
 	Message Message
 }
 
-// ReadDone answers the order Read.
+// ReadDone is the result of a Read.
 type ReadDone struct {
 	Topic replication.Topic
-	// Number is the newest document's; Data is nil if it is the one held.
+	// Number is that of the newest document. Data is nil if that is the document already held.
 	Number uint64
 	Data   []byte
-	// At is when the read was sent: the document was the newest then.
+	// At is when the read was sent: the document was the newest one at that time.
 	At time.Time
-	// Failed tells that the platform gave no answer.
+	// Failed is set if the platform gave no answer.
 	Failed bool
-	// After is when the platform says to come back, if it does.
+	// After is the delay that the platform asked for before the next read, 0 if none.
 	After time.Duration
 }
 
-// VMsKnown hands over the entry VMs of a VM list, after Changed{VMs}.
+// VMsKnown holds the entry VMs of a VM list. It follows Changed for the topic VMs.
 type VMsKnown struct {
 	Entries []member.Listed
 	Halls   int
 }
 
-// BillAdded is a request to bill.
+// BillAdded adds a bill that has to reach the platform.
 type BillAdded struct{ Bill bill.Bill }
 
-// BillAgain says that nobody has acknowledged a bill's copy in time.
+// BillAgain reports that no daemon acknowledged the copy of a bill in time.
 type BillAgain struct{ Key string }
 
-// BillsWritten answers WriteBills; Found are the keys that were there before.
+// BillsWritten is the result of a successful WriteBills. Found lists the keys that were already in
+// the store.
 type BillsWritten struct{ Found []string }
 
-// BillsFailed answers WriteBills when its outcome is failed or unknown.
+// BillsFailed is the result of a WriteBills that failed or whose outcome is unknown.
 type BillsFailed struct{ After time.Duration }
 
-// ServerLeaving is a backend server that declined work of this daemon.
+// ServerLeaving reports a backend server that declined a request of this daemon because it is
+// shutting down.
 type ServerLeaving struct{ ID string }
 
-// Leave tells the daemon to stop: it hands over what is not settled.
+// Leave starts the shutdown of the daemon: it hands over the bills that are not written yet.
 type Leave struct{}
 
 func (Tick) event()          {}
@@ -82,7 +84,7 @@
 func (ServerLeaving) event() {}
 func (Leave) event()         {}
 
-// Order is something for the daemon's shell to do.
+// Order is an output of the state machine, carried out by the code that drives it.
 type Order interface{ order() }
 
 // Send sends a message to another daemon.
@@ -92,23 +94,24 @@
 	Message Message
 }
 
-// Read asks the platform for a topic's newest document.
+// Read fetches the newest document of a topic from the platform.
 type Read struct {
 	Topic replication.Topic
-	// Have is the number of the document held.
+	// Have is the number of the document already held.
 	Have uint64
 }
 
-// WriteBills writes bills in one transaction, each if its key is absent.
+// WriteBills writes bills in one transaction that requires all their keys to be absent.
 type WriteBills struct{ Bills []bill.Bill }
 
-// BillSafe says that a bill no longer depends on this daemon alone.
+// BillSafe reports that a bill survives the loss of this daemon: another daemon holds a copy, or
+// the platform has it.
 type BillSafe struct{ Key string }
 
-// BillAlone says that there is no other daemon to hold a bill's copy.
+// BillAlone reports that there is no other daemon to hold a copy of a bill.
 type BillAlone struct{ Key string }
 
-// Changed says that a newer document is held.
+// Changed reports that a newer document has been accepted.
 type Changed struct{ Document replication.Document }
 
 func (Send) order()       {}
--- a/core/node/message.go
+++ b/core/node/message.go
@@ -7,18 +7,18 @@
 	"ladderridge.example/core/replication"
 )
 
-// Message is what daemons say to each other.
+// Message is a message between daemons.
 type Message interface{ message() }
 
-// Heartbeat probes a member, answers a probe, or tells news.
+// Heartbeat probes a member, answers a probe, or spreads updates.
 type Heartbeat struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
-	// Hall and Addr, on a probe, let a member be known that no list names yet.
+	// Hall and Addr are set on probes, so that a member that is in no VM list yet can be added.
 	Hall string
 	Addr string
-	// Ask wants an answer. Turn is then the asker's turn; the answer repeats
-	// it, so that the asker knows that it does not come from before a pause.
+	// Ask requests an answer. Turn is the sender's turn, which the answer repeats: the sender then knows
+	// that the answer was not sent before the sender was paused.
 	Ask     bool
 	Turn    uint64
 	Offers  []replication.Offer
@@ -26,60 +26,60 @@
 	Leaving []LeavingServer
 }
 
-// LeavingServer says that a backend server declines new work.
+// LeavingServer reports that a backend server declines new requests.
 type LeavingServer struct {
 	_  struct{} `cbor:",toarray"`
 	ID string
-	// AgeMS is how long ago it said so, in milliseconds.
+	// AgeMS is how long ago the server reported it, in milliseconds.
 	AgeMS uint64
 }
 
-// Fetch asks for the document of a topic.
+// Fetch requests the document of a topic.
 type Fetch struct {
 	_     struct{} `cbor:",toarray"`
 	Topic replication.Topic
 }
 
-// Deliver answers a fetch.
+// Deliver is the answer to Fetch.
 type Deliver struct {
 	_        struct{} `cbor:",toarray"`
 	Document replication.Document
 	AgeMS    uint64
 }
 
-// TallyUp carries a subtree's sums to its parent.
+// TallyUp carries the sums of a subtree to its parent.
 type TallyUp struct {
 	_    struct{} `cbor:",toarray"`
 	Sums aggregation.Sums
 }
 
-// TallyDown carries the totals of all data halls to children.
+// TallyDown carries the totals of all data halls from a parent to its children.
 type TallyDown struct {
 	_      struct{} `cbor:",toarray"`
 	Totals aggregation.Totals
 }
 
-// TallyAcross carries a data hall's total to the roots of other halls.
+// TallyAcross carries the total of a data hall to the root daemons of the other halls.
 type TallyAcross struct {
 	_    struct{} `cbor:",toarray"`
 	Hall aggregation.Hall
 }
 
-// Copies asks another daemon to hold bills. With Adopt it is to write them
-// itself: their origin stops.
+// Copies asks another daemon to hold copies of bills. With Adopt the receiver takes the bills over
+// and writes them itself, because the sender is shutting down.
 type Copies struct {
 	_     struct{} `cbor:",toarray"`
 	Bills []bill.Bill
 	Adopt bool
 }
 
-// CopiesHeld answers Copies.
+// CopiesHeld acknowledges Copies.
 type CopiesHeld struct {
 	_    struct{} `cbor:",toarray"`
 	Keys []string
 }
 
-// Release says that the platform has these bills.
+// Release reports that the platform has these bills, so that their copies can be dropped.
 type Release struct {
 	_    struct{} `cbor:",toarray"`
 	Keys []string
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -1,7 +1,6 @@
-// Package node is one daemon's part in the whole: membership, documents, sums
-// and bills, put together as a state machine without I/O. An event and a time
-// go in; orders come out. A daemon's shell, a fuzzer and a measurement drive
-// the same code.
+// Package node combines membership, replicated documents, aggregated counters and bills of one
+// daemon into a state machine without I/O. It takes an event and a time and returns orders. The
+// daemon, the fuzz tests and the benchmarks drive the same code.
 package node
 
 import (
@@ -17,60 +16,57 @@
 	"ladderridge.example/core/replication"
 )
 
-// The times of a node.
+// Intervals and time limits.
 const (
-	// TickEvery is the time between two ticks.
+	// TickEvery is the interval between ticks.
 	TickEvery = time.Second
-	// PausedAfter is the time without any event from which a node takes its
-	// process to have been paused.
+	// PausedAfter is the time without any event after which the process is taken to have been paused.
 	PausedAfter = 3 * time.Second
-	// DoubtFor is how long a process that was paused tries to confirm its
-	// table, before it takes itself for cut off.
+	// DoubtFor is how long a process that was paused tries to confirm its table before it treats
+	// itself as disconnected.
 	DoubtFor = 5 * time.Second
-	// FlushEvery is the time between two flushes while bills are held.
+	// FlushEvery is the interval between flushes while bills are held.
 	FlushEvery = 50 * time.Millisecond
-	// OverdueAfter is the age of the table from which daemons that are not
-	// their hall's readers read it from the platform themselves, in turn.
+	// OverdueAfter is the age of the table, per tick of its read interval, from which daemons that are
+	// not the readers of their data hall read it from the platform themselves, a few at a time.
 	OverdueAfter = 3 * time.Second
-	// LeavingFor is how long a backend server is believed to be leaving when
-	// nobody repeats it.
+	// LeavingFor is how long a report of a leaving backend server is valid if it is not repeated.
 	LeavingFor = time.Minute
 )
 
-// The rhythm of reads from the platform, in ticks.
+// Intervals between reads from the platform, in ticks.
 const (
 	configTicks  = 1
 	vmsTicks     = 2
 	qualityTicks = 5
 )
 
-// readers is how many daemons of a data hall read from the platform.
-const readers = 2
+// readersPerHall is how many daemons of a data hall read from the platform.
+const readersPerHall = 2
 
-// updatesPerMessage bounds the updates on one heartbeat.
+// updatesPerMessage is the maximum number of updates in one heartbeat.
 const updatesPerMessage = 8
 
-// The bounds of the pause after a failed read.
+// Limits of the back-off after a failed read.
 const (
-	readPauseFloor   = time.Second
-	readPauseCeiling = 4 * time.Second
+	minReadBackoff = time.Second
+	maxReadBackoff = 4 * time.Second
 )
 
-// reading is the state of one topic's reads from the platform.
-type reading struct {
-	busy  bool
-	since time.Time
-	pause time.Duration
-	next  time.Time
+// readState is the state of the reads of one topic.
+type readState struct {
+	busy      bool
+	since     time.Time
+	backoff   time.Duration
+	notBefore time.Time
 }
 
-// readTimeout frees a read whose answer never came.
+// readTimeout is how long a read may stay unanswered before another one may start.
 const readTimeout = 10 * time.Second
 
-// Node is one daemon's state. It is owned by one goroutine.
+// Node is the state of one daemon. It must be used by one goroutine only.
 type Node struct {
-	// Seeds are daemons to ask while no list of VMs is known. Set it before
-	// the first event.
+	// Seeds are the daemons to contact while no VM list is known. Set them before the first event.
 	Seeds []member.Listed
 
 	Group  *member.Group
@@ -83,53 +79,53 @@
 	halls   int
 	own     aggregation.Sums
 	turn    uint64
-	reads   [replication.Topics]reading
+	reads   [replication.Topics]readState
 	leaving map[string]time.Time
-	// holders have the copies of this daemon's bills, by key.
-	holders map[string]holder
-	stopped bool
-	orders  []Order
-	// last is when the last event came, resumed when the last pause ended, and
-	// resumedTurn the turn then.
-	last        time.Time
-	started     time.Time
-	resumed     time.Time
+	// copyHolders maps the key of each bill to the daemon that has its copy.
+	copyHolders map[string]holder
+	stopped     bool
+	orders      []Order
+	// lastEventAt is the time of the last event, resumedAt the end of the last pause, and
+	// resumedTurn the turn at that time.
+	lastEventAt time.Time
+	startedAt   time.Time
+	resumedAt   time.Time
 	resumedTurn uint64
 }
 
-// New starts a node.
+// New returns a node.
 func New(self member.Listed, incarnation uint64, now time.Time) *Node {
 	return &Node{
-		Group:   member.New(self, incarnation, now),
-		Tree:    aggregation.NewTree(),
-		Ledger:  bill.NewLedger(),
-		Copies:  bill.NewCopies(),
-		self:    self,
-		halls:   1,
-		leaving: map[string]time.Time{},
-		holders: map[string]holder{},
-		last:    now,
-		started: now,
+		Group:       member.New(self, incarnation, now),
+		Tree:        aggregation.NewTree(),
+		Ledger:      bill.NewLedger(),
+		Copies:      bill.NewCopies(),
+		self:        self,
+		halls:       1,
+		leaving:     map[string]time.Time{},
+		copyHolders: map[string]holder{},
+		lastEventAt: now,
+		startedAt:   now,
 	}
 }
 
-// Handle takes an event and returns what to do.
+// Handle processes an event and returns the orders that follow from it.
 func (n *Node) Handle(e Event, now time.Time) []Order {
 	n.orders = nil
-	if now.Sub(n.last) > PausedAfter {
-		n.resumed, n.resumedTurn = now, n.turn
+	if now.Sub(n.lastEventAt) > PausedAfter {
+		n.resumedAt, n.resumedTurn = now, n.turn
 	}
-	n.last = now
+	n.lastEventAt = now
 	switch e := e.(type) {
 	case StoodStill:
-		n.resumed, n.resumedTurn = now, n.turn
+		n.resumedAt, n.resumedTurn = now, n.turn
 		n.Store.Older(e.For)
 	case Tick:
 		n.tick(e, now)
 	case Flush:
 		n.flush(now)
 	case Received:
-		n.received(e, now)
+		n.handleMessage(e, now)
 	case ReadDone:
 		n.readDone(e, now)
 	case VMsKnown:
@@ -144,23 +140,23 @@
 	case BillsFailed:
 		n.Ledger.Failed(e.After, now)
 	case ServerLeaving:
-		n.serverLeaving(e.ID, now, now)
+		n.handleServerLeaving(e.ID, now, now)
 	case Leave:
 		n.leave(now)
 	}
 	return n.orders
 }
 
-// doubting reports whether the node has so lately resumed that messages may
-// wait in its inbox from before.
-func (n *Node) doubting(now time.Time) bool { return now.Sub(n.resumed) < DoubtFor }
+// recentlyResumed reports whether the node resumed so recently that its inbox may still hold messages from
+// before the pause.
+func (n *Node) recentlyResumed(now time.Time) bool { return now.Sub(n.resumedAt) < DoubtFor }
 
-// LastEvent is when the last event came.
-func (n *Node) LastEvent() time.Time { return n.last }
+// LastEvent returns the time of the last event.
+func (n *Node) LastEvent() time.Time { return n.lastEventAt }
 
-// Doubt reports whether the table has still to be confirmed after a pause.
+// Doubt reports whether the table has not been confirmed since the last pause.
 func (n *Node) Doubt(now time.Time) bool {
-	return n.doubting(now) && n.Store.ConfirmedAt(replication.Config).Before(n.resumed)
+	return n.recentlyResumed(now) && n.Store.ConfirmedAt(replication.Config).Before(n.resumedAt)
 }
 
 func (n *Node) send(to string, m Message) {
@@ -174,16 +170,16 @@
 	for _, id := range n.Group.Tick(now) {
 		m := n.probe(now)
 		if u, gone := n.Group.Believes(id); gone {
-			// It can refute what it is told.
+			// The member can refute this update if it is wrong.
 			m.Updates = append(m.Updates, u)
 		}
 		n.send(id, m)
 	}
-	n.probeAbroad(now)
-	n.askSeeds(now)
-	n.sums(t.Own, now)
+	n.probeOtherHalls(now)
+	n.probeSeeds(now)
+	n.aggregate(t.Own, now)
 	n.adopt(now)
-	n.recopy(now)
+	n.resendCopies(now)
 	n.flush(now)
 	for topic := range replication.Topics {
 		n.maybeRead(topic, now)
@@ -195,7 +191,7 @@
 	}
 }
 
-// probe makes a heartbeat that wants an answer.
+// probe returns a heartbeat that requests an answer.
 func (n *Node) probe(now time.Time) Heartbeat {
 	m := n.heartbeat(now)
 	m.Ask, m.Turn = true, n.turn
@@ -203,24 +199,24 @@
 	return m
 }
 
-// heartbeat makes one that tells news.
+// heartbeat returns a heartbeat with the current updates.
 func (n *Node) heartbeat(now time.Time) Heartbeat {
 	self := n.Group.Self()
 	return Heartbeat{
 		Incarnation: self.Incarnation,
 		Offers:      n.Store.Offers(now),
 		Updates:     n.Group.Updates(updatesPerMessage),
-		Leaving:     n.leavingNews(now),
+		Leaving:     n.leavingUpdates(now),
 	}
 }
 
-// newsFor is how long a leaving server is told on heartbeats.
-const newsFor = 10 * time.Second
+// announceLeavingFor is how long a leaving server is included in heartbeats.
+const announceLeavingFor = 10 * time.Second
 
-func (n *Node) leavingNews(now time.Time) []LeavingServer {
+func (n *Node) leavingUpdates(now time.Time) []LeavingServer {
 	var out []LeavingServer
 	for id, at := range n.leaving {
-		if age := now.Sub(at); age < newsFor {
+		if age := now.Sub(at); age < announceLeavingFor {
 			out = append(out, LeavingServer{ID: id, AgeMS: uint64(max(0, age.Milliseconds()))})
 		}
 	}
@@ -228,39 +224,39 @@
 	return out[:min(len(out), updatesPerMessage)]
 }
 
-// contacts is how many daemons of another data hall are asked in turn: few, so
-// that the connections to them stay open.
-const contacts = 4
+// contactsPerHall is how many daemons of another data hall are probed in turn. It is small so that the
+// connections to them stay open.
+const contactsPerHall = 4
 
-// probeAbroad keeps each data hall in touch with every other one: two of its
-// daemons ask one daemon there at every tick.
-func (n *Node) probeAbroad(now time.Time) {
-	for _, id := range n.otherHalls() {
+// probeOtherHalls keeps each data hall in contact with all others: at every tick two of its daemons
+// probe one daemon of each other hall.
+func (n *Node) probeOtherHalls(now time.Time) {
+	for _, id := range n.otherHallContacts() {
 		n.send(id, n.probe(now))
 	}
 }
 
-// otherHalls are the daemons of other data halls, one each, that this one is in
-// touch with at this turn; none if it does not lead its hall.
-func (n *Node) otherHalls() []string {
-	if n.Group.Rank() < 0 || n.Group.Rank() >= readers {
+// otherHallContacts returns one daemon of each other data hall for this turn, or none if this daemon is not
+// one of the first of its own hall.
+func (n *Node) otherHallContacts() []string {
+	if n.Group.Rank() < 0 || n.Group.Rank() >= readersPerHall {
 		return nil
 	}
 	var out []string
 	for _, hall := range n.Group.Halls() {
-		if first := n.Group.First(hall, contacts); hall != n.self.Hall {
+		if first := n.Group.First(hall, contactsPerHall); hall != n.self.Hall {
 			out = append(out, first[int(n.turn)%len(first)])
 		}
 	}
 	return out
 }
 
-// askSeeds asks up to two seeds, in turn, until a list of VMs is known.
-func (n *Node) askSeeds(now time.Time) {
+// probeSeeds probes up to two seeds, in turn, until a VM list is known.
+func (n *Node) probeSeeds(now time.Time) {
 	if n.Store.Get(replication.VMs).Number > 0 {
 		return
 	}
-	for i := range min(readers, len(n.Seeds)) {
+	for i := range min(readersPerHall, len(n.Seeds)) {
 		seed := n.Seeds[(int(n.turn)+i)%len(n.Seeds)]
 		if seed.ID != n.self.ID {
 			n.orders = append(n.orders, Send{To: seed.ID, Addr: seed.Addr, Message: n.probe(now)})
@@ -268,8 +264,8 @@
 	}
 }
 
-// draw is a number that differs by daemon, turn and purpose.
-func (n *Node) draw(purpose string) uint64 {
+// turnHash returns a pseudo-random number that depends on the daemon, the turn and the purpose.
+func (n *Node) turnHash(purpose string) uint64 {
 	var h xxhash.Digest
 	h.ResetWithSeed(n.turn)
 	_, _ = h.WriteString(n.self.ID)
@@ -277,8 +273,9 @@
 	return h.Sum64()
 }
 
-// sums adds up and passes on the figures of the tree.
-func (n *Node) sums(own aggregation.Sums, now time.Time) {
+// aggregate adds up the counters of this subtree and sends them to the parent; the root sends them to
+// the other halls.
+func (n *Node) aggregate(own aggregation.Sums, now time.Time) {
 	n.own = own
 	own.Daemons, own.Set = 1, n.Group.Self().Hash()
 	own.Oldest = n.Store.Get(replication.Config).Number
@@ -287,66 +284,66 @@
 		n.send(parent, TallyUp{Sums: total})
 		return
 	}
-	made := n.Tree.Root(aggregation.Hall{Sums: total, Status: aggregation.Status{
+	hallTotal := n.Tree.Root(aggregation.Hall{Sums: total, Status: aggregation.Status{
 		Name: n.self.Hall, Members: uint32(n.Group.Size()), Daemons: total.Daemons, Down: uint32(n.Group.Missing()),
 		Complete: total.Set == n.Group.Set(), Oldest: total.Oldest,
 	}}, now)
-	n.tellTotals(now)
+	n.sendTotals(now)
 	for _, hall := range n.Group.Halls() {
 		if hall == n.self.Hall {
 			continue
 		}
-		// In turn to the two that lead the hall, should one of them be gone.
-		if first := n.Group.First(hall, readers); len(first) > 0 {
-			n.send(first[int(n.turn)%len(first)], TallyAcross{Hall: made})
+		// Alternates between the first two daemons of the hall, in case one of them has failed.
+		if first := n.Group.First(hall, readersPerHall); len(first) > 0 {
+			n.send(first[int(n.turn)%len(first)], TallyAcross{Hall: hallTotal})
 		}
 	}
 }
 
-func (n *Node) tellTotals(now time.Time) {
+func (n *Node) sendTotals(now time.Time) {
 	totals, _ := n.Tree.Totals(now)
 	for _, id := range n.Group.Children() {
 		n.send(id, TallyDown{Totals: totals})
 	}
 }
 
-// received takes a message from another daemon.
-func (n *Node) received(r Received, now time.Time) {
+// handleMessage handles a message from another daemon.
+func (n *Node) handleMessage(r Received, now time.Time) {
 	switch m := r.Message.(type) {
 	case Heartbeat:
-		n.heartbeatFrom(r.From, m, now)
+		n.handleHeartbeat(r.From, m, now)
 	case Fetch:
-		n.fetchFrom(r.From, m, now)
+		n.handleFetch(r.From, m, now)
 	case Deliver:
-		n.delivered(m, now)
+		n.handleDeliver(m, now)
 	case TallyUp:
 		n.Tree.Child(r.From, m.Sums, now)
 	case TallyDown:
-		n.totalsFrom(r.From, m, now)
+		n.handleTotals(r.From, m, now)
 	case TallyAcross:
 		n.Tree.Learn(m.Hall, now)
 	case Copies:
-		n.copiesFrom(r.From, m, now)
+		n.handleCopies(r.From, m, now)
 	case CopiesHeld:
-		n.copiesHeld(r.From, m.Keys)
+		n.handleCopiesHeld(r.From, m.Keys)
 	case Release:
 		n.Copies.Release(r.From, m.Keys)
 	}
 }
 
-func (n *Node) heartbeatFrom(from string, m Heartbeat, now time.Time) {
+func (n *Node) handleHeartbeat(from string, m Heartbeat, now time.Time) {
 	n.Group.Heard(member.Listed{ID: from, Hall: m.Hall, Addr: m.Addr}, m.Incarnation, now)
 	for _, u := range m.Updates {
 		n.Group.Apply(u, now)
 	}
-	trusted := !n.doubting(now) || (!m.Ask && m.Turn > n.resumedTurn)
+	trusted := !n.recentlyResumed(now) || (!m.Ask && m.Turn > n.resumedTurn)
 	for _, o := range m.Offers {
 		if n.Store.Hear(o, trusted, now) {
 			n.send(from, Fetch{Topic: o.Topic})
 		}
 	}
 	for _, l := range m.Leaving {
-		n.serverLeaving(l.ID, now.Add(-time.Duration(l.AgeMS)*time.Millisecond), now)
+		n.handleServerLeaving(l.ID, now.Add(-time.Duration(l.AgeMS)*time.Millisecond), now)
 	}
 	if !m.Ask {
 		return
@@ -359,7 +356,7 @@
 	n.send(from, answer)
 }
 
-func (n *Node) fetchFrom(from string, m Fetch, now time.Time) {
+func (n *Node) handleFetch(from string, m Fetch, now time.Time) {
 	if m.Topic >= replication.Topics {
 		return
 	}
@@ -371,61 +368,61 @@
 	n.send(from, Deliver{Document: doc, AgeMS: uint64(max(0, age))})
 }
 
-// delivered takes a document from another daemon. After a pause it may come
-// from before, and confirms nothing.
-func (n *Node) delivered(m Deliver, now time.Time) {
+// handleDeliver handles a document from another daemon. Shortly after a pause the message may have been
+// sent before the pause, so it does not confirm that the document is current.
+func (n *Node) handleDeliver(m Deliver, now time.Time) {
 	confirmed := now.Add(-time.Duration(m.AgeMS) * time.Millisecond)
-	if n.doubting(now) && !confirmed.Before(n.resumed) {
-		confirmed = n.resumed.Add(-1)
+	if n.recentlyResumed(now) && !confirmed.Before(n.resumedAt) {
+		confirmed = n.resumedAt.Add(-1)
 	}
 	n.accept(m.Document, confirmed, now)
 }
 
-// accept takes a document if it is newer, and tells the fingers at once.
+// accept stores a document if it is newer, and announces it at once.
 func (n *Node) accept(doc replication.Document, confirmed, now time.Time) {
 	if err := n.Store.Accept(doc, confirmed); err != nil {
 		return
 	}
 	n.orders = append(n.orders, Changed{Document: doc})
-	n.tellNews(now)
+	n.announce(now)
 }
 
-// tellNews sends a heartbeat to every finger, and, from the daemons that lead
-// the hall, to one daemon of each other hall.
-func (n *Node) tellNews(now time.Time) {
+// announce sends a heartbeat to every finger, and from the first daemons of the hall to one daemon of
+// each other hall.
+func (n *Node) announce(now time.Time) {
 	for _, id := range n.Group.Fingers() {
 		n.send(id, n.heartbeat(now))
 	}
-	for _, id := range n.otherHalls() {
+	for _, id := range n.otherHallContacts() {
 		n.send(id, n.heartbeat(now))
 	}
 }
 
-func (n *Node) totalsFrom(from string, m TallyDown, now time.Time) {
+func (n *Node) handleTotals(from string, m TallyDown, now time.Time) {
 	if parent, ok := n.Group.Parent(); ok && parent == from {
 		n.Tree.FromParent(m.Totals, now)
-		n.tellTotals(now)
+		n.sendTotals(now)
 	}
 }
 
-// serverLeaving notes a leaving backend server and tells it on if it is news.
-func (n *Node) serverLeaving(id string, at, now time.Time) {
+// handleServerLeaving records a leaving backend server and announces it if it was not known.
+func (n *Node) handleServerLeaving(id string, at, now time.Time) {
 	was, known := n.leaving[id]
 	if at.After(was) {
 		n.leaving[id] = at
 	}
 	if !known && now.Sub(at) < LeavingFor {
-		n.tellNews(now)
+		n.announce(now)
 	}
 }
 
-// Leaving reports whether a backend server is believed to be leaving.
+// Leaving reports whether a backend server is currently reported as leaving.
 func (n *Node) Leaving(id string) bool {
 	_, ok := n.leaving[id]
 	return ok
 }
 
-// LeavingServers are all backend servers believed to be leaving.
+// LeavingServers returns the ids of all backend servers currently reported as leaving.
 func (n *Node) LeavingServers() []string {
 	out := make([]string, 0, len(n.leaving))
 	for id := range n.leaving {
@@ -435,24 +432,24 @@
 	return out
 }
 
-// OwnSums are this daemon's figures as of the last tick.
+// OwnSums returns the counters of this daemon as of the last tick.
 func (n *Node) OwnSums() aggregation.Sums { return n.own }
 
-// Halls is the number of data halls of the system.
+// Halls returns the number of data halls of the cluster.
 func (n *Node) Halls() int { return n.halls }
 
-// leave says good-bye and hands over the bills. It may be called again: then
-// the bills that nobody has taken go to another daemon.
+// leave announces the shutdown and hands over the bills. It may be called again: the bills that no
+// daemon has acknowledged then go to another daemon.
 func (n *Node) leave(now time.Time) {
 	if !n.stopped {
 		n.stopped = true
 		n.Group.Leave()
 	}
 	n.turn++
-	for _, id := range n.Group.First(n.self.Hall, readers) {
+	for _, id := range n.Group.First(n.self.Hall, readersPerHall) {
 		n.send(id, n.heartbeat(now))
 	}
-	buddy, ok := n.buddy()
+	buddy, ok := n.copyHolder()
 	bills := append(n.Ledger.Bills(), n.Copies.All()...)
 	if len(bills) == 0 || !ok {
 		return
--- a/core/node/node_bills.go
+++ b/core/node/node_bills.go
@@ -7,46 +7,46 @@
 	"ladderridge.example/core/bill"
 )
 
-// buddy is the daemon that holds copies of this one's bills: one of another
-// data hall if there is one, so that a hall's loss does not take both.
-func (n *Node) buddy() (string, bool) {
+// copyHolder returns the daemon that holds copies of this daemon's bills. It is in another data hall if
+// possible, so that the loss of one hall does not destroy both.
+func (n *Node) copyHolder() (string, bool) {
 	halls := n.Group.Halls()
 	at := slices.Index(halls, n.self.Hall)
 	if len(halls) > 1 {
 		other := halls[(at+1)%len(halls)]
-		if id, ok := n.Group.Pick(other, n.place()); ok && other != n.self.Hall {
+		if id, ok := n.Group.Pick(other, n.ringPosition()); ok && other != n.self.Hall {
 			return id, true
 		}
 	}
 	if fingers := n.Group.Fingers(); len(fingers) > 0 {
 		return fingers[0], true
 	}
-	id, ok := n.Group.Pick(n.self.Hall, n.place())
+	id, ok := n.Group.Pick(n.self.Hall, n.ringPosition())
 	return id, ok && id != n.self.ID
 }
 
-// place is where this daemon stands on its ring: neighbours get different
-// holders. A daemon that leaves tries them in turn.
-func (n *Node) place() uint64 {
+// ringPosition returns the position of this daemon on its ring, so that neighbours get different holders. A
+// daemon that has left the ring tries the holders in turn.
+func (n *Node) ringPosition() uint64 {
 	if rank := n.Group.Rank(); rank >= 0 {
 		return uint64(rank)
 	}
 	return n.turn
 }
 
-// holder is the daemon that was sent a bill's copy.
+// holder is the daemon that was sent the copy of a bill.
 type holder struct {
 	id   string
 	sent time.Time
-	// has tells that it said so.
-	has bool
+	// acknowledged is set once the daemon acknowledged acknowledged the copy.
+	acknowledged bool
 }
 
-// addBill holds a bill here and with the buddy.
+// addBill stores a bill and sends a copy to another daemon.
 func (n *Node) addBill(b bill.Bill, now time.Time) {
 	n.Ledger.Add(b, now)
-	if buddy, ok := n.buddy(); ok {
-		n.holders[b.Key] = holder{id: buddy, sent: now}
+	if buddy, ok := n.copyHolder(); ok {
+		n.copyHolders[b.Key] = holder{id: buddy, sent: now}
 		n.send(buddy, Copies{Bills: []bill.Bill{b}})
 	} else {
 		n.orders = append(n.orders, BillAlone{Key: b.Key})
@@ -54,81 +54,81 @@
 	n.flush(now)
 }
 
-// billAgain sends a bill's copy to a second daemon, since the first one does
-// not answer: it may be gone or paused without anybody knowing yet.
+// billAgain sends the copy of a bill to a second daemon. The first one has not answered and may have
+// failed or be paused without having been detected yet.
 func (n *Node) billAgain(key string, now time.Time) {
 	b, held := n.Ledger.Get(key)
-	first := n.holders[key].id
+	previous := n.copyHolders[key].id
 	if !held {
 		return
 	}
 	for _, id := range n.Group.Fingers() {
-		if id != first {
-			n.holders[key] = holder{id: id, sent: now}
+		if id != previous {
+			n.copyHolders[key] = holder{id: id, sent: now}
 			n.send(id, Copies{Bills: []bill.Bill{b}})
 			return
 		}
 	}
 }
 
-// recopiesPerTick bounds how many bills find a new holder at one tick.
-const recopiesPerTick = bill.MaxBatch
+// maxResendsPerTick is the maximum number of copies sent again in one tick.
+const maxResendsPerTick = bill.MaxBatch
 
-// recopyAfter is how long the answer to a copy may take.
-const recopyAfter = time.Second
+// copyAckTimeout is how long the acknowledgement of a copy may take.
+const copyAckTimeout = time.Second
 
-// recopy sends copies again that were lost or whose holder is gone.
-func (n *Node) recopy(now time.Time) {
-	buddy, ok := n.buddy()
+// resendCopies sends copies again whose message was lost or whose holder has failed.
+func (n *Node) resendCopies(now time.Time) {
+	buddy, ok := n.copyHolder()
 	if !ok {
 		return
 	}
-	var again []bill.Bill
+	var resend []bill.Bill
 	n.Ledger.Each(func(b bill.Bill) bool {
-		h := n.holders[b.Key]
-		held := n.Group.Usable(h.id) && (h.has || now.Sub(h.sent) < recopyAfter)
+		h := n.copyHolders[b.Key]
+		held := n.Group.Usable(h.id) && (h.acknowledged || now.Sub(h.sent) < copyAckTimeout)
 		if !held && h.id != n.self.ID {
-			n.holders[b.Key] = holder{id: buddy, sent: now}
-			again = append(again, b)
+			n.copyHolders[b.Key] = holder{id: buddy, sent: now}
+			resend = append(resend, b)
 		}
-		return len(again) < recopiesPerTick
+		return len(resend) < maxResendsPerTick
 	})
-	if len(again) > 0 {
-		n.send(buddy, Copies{Bills: again})
+	if len(resend) > 0 {
+		n.send(buddy, Copies{Bills: resend})
 	}
 }
 
-// copiesHeld notes that another daemon has bills of this one. One that stops
-// is rid of them then.
-func (n *Node) copiesHeld(from string, keys []string) {
+// handleCopiesHeld handles the acknowledgement of copies. After the start of the shutdown it means that the
+// other daemon has taken the bills over.
+func (n *Node) handleCopiesHeld(from string, keys []string) {
 	if n.stopped {
 		n.Ledger.Drop(keys)
 	}
 	for _, key := range keys {
-		if h := n.holders[key]; h.id == from {
-			h.has = true
-			n.holders[key] = h
+		if h := n.copyHolders[key]; h.id == from {
+			h.acknowledged = true
+			n.copyHolders[key] = h
 		}
 		n.orders = append(n.orders, BillSafe{Key: key})
 	}
 }
 
-// flush orders the next batch to be written if one is due.
+// flush requests a write of the next batch of bills if one is due.
 func (n *Node) flush(now time.Time) {
 	if batch := n.Ledger.Batch(now, n.stopped); len(batch) > 0 {
 		n.orders = append(n.orders, WriteBills{Bills: batch})
 	}
 }
 
-// billsWritten settles a batch and tells the holders of its copies.
+// billsWritten removes the bills of a batch and notifies the holders of their copies.
 func (n *Node) billsWritten(found []string, now time.Time) {
 	release := map[string][]string{}
 	for _, key := range n.Ledger.Done(found, now) {
 		n.orders = append(n.orders, BillSafe{Key: key})
-		if h := n.holders[key]; h.id != "" {
+		if h := n.copyHolders[key]; h.id != "" {
 			release[h.id] = append(release[h.id], key)
 		}
-		delete(n.holders, key)
+		delete(n.copyHolders, key)
 	}
 	holders := make([]string, 0, len(release))
 	for id := range release {
@@ -141,8 +141,8 @@
 	n.flush(now)
 }
 
-// copiesFrom holds, or takes over, another daemon's bills.
-func (n *Node) copiesFrom(from string, m Copies, now time.Time) {
+// handleCopies stores, or takes over, the bills of another daemon.
+func (n *Node) handleCopies(from string, m Copies, now time.Time) {
 	if m.Adopt {
 		for _, b := range m.Bills {
 			n.Ledger.Add(b, now)
@@ -158,8 +158,8 @@
 	n.flush(now)
 }
 
-// adopt takes over the bills of daemons that are gone, and, without a copy of
-// their own, those that their origin should have had written by now.
+// adopt takes over the bills of daemons that have failed. It also takes over the bills that a live
+// daemon should have written by now; no copies are made of those.
 func (n *Node) adopt(now time.Time) {
 	adopted := n.Copies.Adopt(n.Group.Usable, now)
 	for _, b := range adopted.Orphans {
@@ -167,6 +167,6 @@
 	}
 	for _, b := range adopted.Overdue {
 		n.Ledger.Add(b, now)
-		n.holders[b.Key] = holder{id: n.self.ID}
+		n.copyHolders[b.Key] = holder{id: n.self.ID}
 	}
 }
