--- a/core/node/event.go
+++ b/core/node/event.go
@@ -21,9 +21,9 @@
 // Flush is delivered every FlushEvery while bills are held, to write those that are due.
 type Flush struct{}
 
-// StoodStill reports that the VM was suspended: the clock of the process stopped for this time
+// Suspended reports that the VM was suspended: the clock of the process stopped for this time
 // while real time went on.
-type StoodStill struct{ For time.Duration }
+type Suspended struct{ For time.Duration }
 
 // Received is a message from another daemon. From is the identity in its certificate.
 type Received struct {
@@ -73,7 +73,7 @@
 
 func (Tick) event()          {}
 func (Flush) event()         {}
-func (StoodStill) event()    {}
+func (Suspended) event()     {}
 func (Received) event()      {}
 func (ReadDone) event()      {}
 func (VMsKnown) event()      {}
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -117,7 +117,7 @@
 	}
 	n.lastEventAt = now
 	switch e := e.(type) {
-	case StoodStill:
+	case Suspended:
 		n.resumedAt, n.resumedTurn = now, n.turn
 		n.Store.Older(e.For)
 	case Tick:
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -276,7 +276,7 @@
 	}
 	l.stood += d
 	l.Log.Warn().Dur("for", d).Msg("control: the VM stood still: nothing is served until the table is confirmed")
-	l.feed(node.StoodStill{For: d}, now)
+	l.feed(node.Suspended{For: d}, now)
 	l.publish(now)
 }
 
--- a/daemon/peer/pause_test.go
+++ b/daemon/peer/pause_test.go
@@ -189,7 +189,7 @@
 	if n.Doubt(now) {
 		t.Fatal("in doubt before")
 	}
-	n.Handle(node.StoodStill{For: 20 * time.Second}, now)
+	n.Handle(node.Suspended{For: 20 * time.Second}, now)
 	if age := now.Sub(n.Store.ConfirmedAt(replication.Config)); !n.Doubt(now) || age < 20*time.Second {
 		t.Errorf("after the standstill: in doubt %v, confirmed %v ago", n.Doubt(now), age)
 	}
