--- a/core/node/node.go
+++ b/core/node/node.go
@@ -22,9 +22,9 @@
 	TickEvery = time.Second
 	// PausedAfter is the time without any event after which the process is taken to have been paused.
 	PausedAfter = 3 * time.Second
-	// DoubtFor is how long a process that was paused tries to confirm its table before it treats
+	// ConfirmTimeout is how long a process that was paused tries to confirm its table before it treats
 	// itself as disconnected.
-	DoubtFor = 5 * time.Second
+	ConfirmTimeout = 5 * time.Second
 	// FlushEvery is the interval between flushes while bills are held.
 	FlushEvery = 50 * time.Millisecond
 	// OverdueAfter is the age of the table, per tick of its read interval, from which daemons that are
@@ -149,7 +149,7 @@
 
 // recentlyResumed reports whether the node resumed so recently that its inbox may still hold messages from
 // before the pause.
-func (n *Node) recentlyResumed(now time.Time) bool { return now.Sub(n.resumedAt) < DoubtFor }
+func (n *Node) recentlyResumed(now time.Time) bool { return now.Sub(n.resumedAt) < ConfirmTimeout }
 
 // LastEvent returns the time of the last event.
 func (n *Node) LastEvent() time.Time { return n.lastEventAt }
