--- a/core/node/event.go
+++ b/core/node/event.go
@@ -84,8 +84,8 @@
 func (ServerLeaving) event() {}
 func (Leave) event()         {}
 
-// Order is an output of the state machine, carried out by the code that drives it.
-type Order interface{ order() }
+// Action is an output of the state machine, carried out by the code that drives it.
+type Action interface{ order() }
 
 // Send sends a message to another daemon.
 type Send struct {
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -84,7 +84,7 @@
 	// copyHolders maps the key of each bill to the daemon that has its copy.
 	copyHolders map[string]holder
 	stopped     bool
-	orders      []Order
+	orders      []Action
 	// lastEventAt is the time of the last event, resumedAt the end of the last pause, and
 	// resumedTurn the turn at that time.
 	lastEventAt time.Time
@@ -110,7 +110,7 @@
 }
 
 // Handle processes an event and returns the orders that follow from it.
-func (n *Node) Handle(e Event, now time.Time) []Order {
+func (n *Node) Handle(e Event, now time.Time) []Action {
 	n.orders = nil
 	if now.Sub(n.lastEventAt) > PausedAfter {
 		n.resumedAt, n.resumedTurn = now, n.turn
--- a/daemon/peer/links_test.go
+++ b/daemon/peer/links_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-func (l *links) obey(id string, o node.Order) {
+func (l *links) obey(id string, o node.Action) {
 	switch o := o.(type) {
 	case node.Send:
 		l.send(id, o)
