--- a/core/node/message.go
+++ b/core/node/message.go
@@ -47,8 +47,8 @@
 	AgeMS    uint64
 }
 
-// TallyUp carries the sums of a subtree to its parent.
-type TallyUp struct {
+// SubtreeSums carries the sums of a subtree to its parent.
+type SubtreeSums struct {
 	_    struct{} `cbor:",toarray"`
 	Sums aggregation.Sums
 }
@@ -88,7 +88,7 @@
 func (Heartbeat) message()   {}
 func (Fetch) message()       {}
 func (Deliver) message()     {}
-func (TallyUp) message()     {}
+func (SubtreeSums) message() {}
 func (TallyDown) message()   {}
 func (TallyAcross) message() {}
 func (Copies) message()      {}
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -281,7 +281,7 @@
 	own.Oldest = n.Store.Get(replication.Config).Number
 	total := n.Tree.Sum(own, n.Group.Children(), now)
 	if parent, ok := n.Group.Parent(); ok {
-		n.send(parent, TallyUp{Sums: total})
+		n.send(parent, SubtreeSums{Sums: total})
 		return
 	}
 	hallTotal := n.Tree.Root(aggregation.Hall{Sums: total, Status: aggregation.Status{
@@ -316,7 +316,7 @@
 		n.handleFetch(r.From, m, now)
 	case Deliver:
 		n.handleDeliver(m, now)
-	case TallyUp:
+	case SubtreeSums:
 		n.Tree.Child(r.From, m.Sums, now)
 	case TallyDown:
 		n.handleTotals(r.From, m, now)
--- a/daemon/peer/codec.go
+++ b/daemon/peer/codec.go
@@ -64,7 +64,7 @@
 		t = tagFetch
 	case node.Deliver:
 		t = tagDeliver
-	case node.TallyUp:
+	case node.SubtreeSums:
 		t = tagTallyUp
 	case node.TallyDown:
 		t = tagTallyDown
@@ -146,7 +146,7 @@
 	tagHeartbeat:   decode[node.Heartbeat],
 	tagFetch:       decode[node.Fetch],
 	tagDeliver:     decode[node.Deliver],
-	tagTallyUp:     decode[node.TallyUp],
+	tagTallyUp:     decode[node.SubtreeSums],
 	tagTallyDown:   decode[node.TallyDown],
 	tagTallyAcross: decode[node.TallyAcross],
 	tagCopies:      decode[node.Copies],
