--- a/core/node/message.go
+++ b/core/node/message.go
@@ -53,8 +53,8 @@
 	Sums aggregation.Sums
 }
 
-// TallyDown carries the totals of all data halls from a parent to its children.
-type TallyDown struct {
+// TotalsReport carries the totals of all data halls from a parent to its children.
+type TotalsReport struct {
 	_      struct{} `cbor:",toarray"`
 	Totals aggregation.Totals
 }
@@ -85,12 +85,12 @@
 	Keys []string
 }
 
-func (Heartbeat) message()   {}
-func (Fetch) message()       {}
-func (Deliver) message()     {}
-func (SubtreeSums) message() {}
-func (TallyDown) message()   {}
-func (TallyAcross) message() {}
-func (Copies) message()      {}
-func (CopiesHeld) message()  {}
-func (Release) message()     {}
+func (Heartbeat) message()    {}
+func (Fetch) message()        {}
+func (Deliver) message()      {}
+func (SubtreeSums) message()  {}
+func (TotalsReport) message() {}
+func (TallyAcross) message()  {}
+func (Copies) message()       {}
+func (CopiesHeld) message()   {}
+func (Release) message()      {}
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -303,7 +303,7 @@
 func (n *Node) sendTotals(now time.Time) {
 	totals, _ := n.Tree.Totals(now)
 	for _, id := range n.Group.Children() {
-		n.send(id, TallyDown{Totals: totals})
+		n.send(id, TotalsReport{Totals: totals})
 	}
 }
 
@@ -318,7 +318,7 @@
 		n.handleDeliver(m, now)
 	case SubtreeSums:
 		n.Tree.Child(r.From, m.Sums, now)
-	case TallyDown:
+	case TotalsReport:
 		n.handleTotals(r.From, m, now)
 	case TallyAcross:
 		n.Tree.Learn(m.Hall, now)
@@ -398,7 +398,7 @@
 	}
 }
 
-func (n *Node) handleTotals(from string, m TallyDown, now time.Time) {
+func (n *Node) handleTotals(from string, m TotalsReport, now time.Time) {
 	if parent, ok := n.Group.Parent(); ok && parent == from {
 		n.Tree.FromParent(m.Totals, now)
 		n.sendTotals(now)
--- a/daemon/peer/codec.go
+++ b/daemon/peer/codec.go
@@ -66,7 +66,7 @@
 		t = tagDeliver
 	case node.SubtreeSums:
 		t = tagTallyUp
-	case node.TallyDown:
+	case node.TotalsReport:
 		t = tagTallyDown
 	case node.TallyAcross:
 		t = tagTallyAcross
@@ -147,7 +147,7 @@
 	tagFetch:       decode[node.Fetch],
 	tagDeliver:     decode[node.Deliver],
 	tagTallyUp:     decode[node.SubtreeSums],
-	tagTallyDown:   decode[node.TallyDown],
+	tagTallyDown:   decode[node.TotalsReport],
 	tagTallyAcross: decode[node.TallyAcross],
 	tagCopies:      decode[node.Copies],
 	tagCopiesHeld:  decode[node.CopiesHeld],
