--- a/core/node/message.go
+++ b/core/node/message.go
@@ -59,8 +59,8 @@
 	Totals aggregation.Totals
 }
 
-// TallyAcross carries the total of a data hall to the root daemons of the other halls.
-type TallyAcross struct {
+// HallReport carries the total of a data hall to the root daemons of the other halls.
+type HallReport struct {
 	_    struct{} `cbor:",toarray"`
 	Hall aggregation.Hall
 }
@@ -90,7 +90,7 @@
 func (Deliver) message()      {}
 func (SubtreeSums) message()  {}
 func (TotalsReport) message() {}
-func (TallyAcross) message()  {}
+func (HallReport) message()   {}
 func (Copies) message()       {}
 func (CopiesHeld) message()   {}
 func (Release) message()      {}
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -295,7 +295,7 @@
 		}
 		// Alternates between the first two daemons of the hall, in case one of them has failed.
 		if first := n.Group.First(hall, readersPerHall); len(first) > 0 {
-			n.send(first[int(n.turn)%len(first)], TallyAcross{Hall: hallTotal})
+			n.send(first[int(n.turn)%len(first)], HallReport{Hall: hallTotal})
 		}
 	}
 }
@@ -320,7 +320,7 @@
 		n.Tree.Child(r.From, m.Sums, now)
 	case TotalsReport:
 		n.handleTotals(r.From, m, now)
-	case TallyAcross:
+	case HallReport:
 		n.Tree.Learn(m.Hall, now)
 	case Copies:
 		n.handleCopies(r.From, m, now)
--- a/daemon/peer/codec.go
+++ b/daemon/peer/codec.go
@@ -68,7 +68,7 @@
 		t = tagTallyUp
 	case node.TotalsReport:
 		t = tagTallyDown
-	case node.TallyAcross:
+	case node.HallReport:
 		t = tagTallyAcross
 	case node.Copies:
 		t = tagCopies
@@ -148,7 +148,7 @@
 	tagDeliver:     decode[node.Deliver],
 	tagTallyUp:     decode[node.SubtreeSums],
 	tagTallyDown:   decode[node.TotalsReport],
-	tagTallyAcross: decode[node.TallyAcross],
+	tagTallyAcross: decode[node.HallReport],
 	tagCopies:      decode[node.Copies],
 	tagCopiesHeld:  decode[node.CopiesHeld],
 	tagRelease:     decode[node.Release],
