--- a/core/node/event.go
+++ b/core/node/event.go
@@ -104,9 +104,9 @@
 // WriteBills writes bills in one transaction that requires all their keys to be absent.
 type WriteBills struct{ Bills []bill.Bill }
 
-// BillSafe reports that a bill survives the loss of this daemon: another daemon holds a copy, or
+// BillDurable reports that a bill survives the loss of this daemon: another daemon holds a copy, or
 // the platform has it.
-type BillSafe struct{ Key string }
+type BillDurable struct{ Key string }
 
 // BillAlone reports that there is no other daemon to hold a copy of a bill.
 type BillAlone struct{ Key string }
@@ -114,9 +114,9 @@
 // Changed reports that a newer document has been accepted.
 type Changed struct{ Document replication.Document }
 
-func (Send) order()       {}
-func (Read) order()       {}
-func (WriteBills) order() {}
-func (BillSafe) order()   {}
-func (BillAlone) order()  {}
-func (Changed) order()    {}
+func (Send) order()        {}
+func (Read) order()        {}
+func (WriteBills) order()  {}
+func (BillDurable) order() {}
+func (BillAlone) order()   {}
+func (Changed) order()     {}
--- a/core/node/node_bills.go
+++ b/core/node/node_bills.go
@@ -109,7 +109,7 @@
 			h.acknowledged = true
 			n.copyHolders[key] = h
 		}
-		n.orders = append(n.orders, BillSafe{Key: key})
+		n.orders = append(n.orders, BillDurable{Key: key})
 	}
 }
 
@@ -124,7 +124,7 @@
 func (n *Node) billsWritten(found []string, now time.Time) {
 	release := map[string][]string{}
 	for _, key := range n.Ledger.Done(found, now) {
-		n.orders = append(n.orders, BillSafe{Key: key})
+		n.orders = append(n.orders, BillDurable{Key: key})
 		if h := n.copyHolders[key]; h.id != "" {
 			release[h.id] = append(release[h.id], key)
 		}
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -380,7 +380,7 @@
 			l.read(o)
 		case node.WriteBills:
 			l.writeBills(o.Bills)
-		case node.BillSafe:
+		case node.BillDurable:
 			l.tellSafe(o.Key, true)
 		case node.BillAlone:
 			l.tellSafe(o.Key, false)
--- a/daemon/peer/links_test.go
+++ b/daemon/peer/links_test.go
@@ -189,7 +189,7 @@
 		l.read(id, o)
 	case node.WriteBills:
 		l.write(id, o)
-	case node.BillSafe:
+	case node.BillDurable:
 		l.safe[o.Key] = true
 	case node.Changed:
 		if o.Document.Topic == replication.VMs {
