--- a/core/node/event.go
+++ b/core/node/event.go
@@ -108,15 +108,15 @@
 // the platform has it.
 type BillDurable struct{ Key string }
 
-// BillAlone reports that there is no other daemon to hold a copy of a bill.
-type BillAlone struct{ Key string }
+// BillNotReplicated reports that there is no other daemon to hold a copy of a bill.
+type BillNotReplicated struct{ Key string }
 
 // Changed reports that a newer document has been accepted.
 type Changed struct{ Document replication.Document }
 
-func (Send) order()        {}
-func (Read) order()        {}
-func (WriteBills) order()  {}
-func (BillDurable) order() {}
-func (BillAlone) order()   {}
-func (Changed) order()     {}
+func (Send) order()              {}
+func (Read) order()              {}
+func (WriteBills) order()        {}
+func (BillDurable) order()       {}
+func (BillNotReplicated) order() {}
+func (Changed) order()           {}
--- a/core/node/node_bills.go
+++ b/core/node/node_bills.go
@@ -49,7 +49,7 @@
 		n.copyHolders[b.Key] = holder{id: buddy, sent: now}
 		n.send(buddy, Copies{Bills: []bill.Bill{b}})
 	} else {
-		n.orders = append(n.orders, BillAlone{Key: b.Key})
+		n.orders = append(n.orders, BillNotReplicated{Key: b.Key})
 	}
 	n.flush(now)
 }
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -382,7 +382,7 @@
 			l.writeBills(o.Bills)
 		case node.BillDurable:
 			l.tellSafe(o.Key, true)
-		case node.BillAlone:
+		case node.BillNotReplicated:
 			l.tellSafe(o.Key, false)
 		case node.Changed:
 			l.changed(o.Document, now)
