--- a/core/node/event.go
+++ b/core/node/event.go
@@ -54,8 +54,8 @@
 // BillAdded adds a bill that has to reach the platform.
 type BillAdded struct{ Bill bill.Bill }
 
-// BillAgain reports that no daemon acknowledged the copy of a bill in time.
-type BillAgain struct{ Key string }
+// BillCopyTimedOut reports that no daemon acknowledged the copy of a bill in time.
+type BillCopyTimedOut struct{ Key string }
 
 // BillsWritten is the result of a successful WriteBills. Found lists the keys that were already in
 // the store.
@@ -71,18 +71,18 @@
 // Leave starts the shutdown of the daemon: it hands over the bills that are not written yet.
 type Leave struct{}
 
-func (Tick) event()          {}
-func (Flush) event()         {}
-func (Suspended) event()     {}
-func (Received) event()      {}
-func (ReadDone) event()      {}
-func (VMsKnown) event()      {}
-func (BillAdded) event()     {}
-func (BillAgain) event()     {}
-func (BillsWritten) event()  {}
-func (BillsFailed) event()   {}
-func (ServerLeaving) event() {}
-func (Leave) event()         {}
+func (Tick) event()             {}
+func (Flush) event()            {}
+func (Suspended) event()        {}
+func (Received) event()         {}
+func (ReadDone) event()         {}
+func (VMsKnown) event()         {}
+func (BillAdded) event()        {}
+func (BillCopyTimedOut) event() {}
+func (BillsWritten) event()     {}
+func (BillsFailed) event()      {}
+func (ServerLeaving) event()    {}
+func (Leave) event()            {}
 
 // Action is an output of the state machine, carried out by the code that drives it.
 type Action interface{ order() }
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -133,7 +133,7 @@
 		n.Group.List(e.Entries, now)
 	case BillAdded:
 		n.addBill(e.Bill, now)
-	case BillAgain:
+	case BillCopyTimedOut:
 		n.billAgain(e.Key, now)
 	case BillsWritten:
 		n.billsWritten(e.Found, now)
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -149,7 +149,7 @@
 
 // BillAgain has a second daemon asked to hold a bill, since the first one has
 // not answered.
-func (c *Control) BillAgain(key string) { c.post(nodeEvent{node.BillAgain{Key: key}}) }
+func (c *Control) BillAgain(key string) { c.post(nodeEvent{node.BillCopyTimedOut{Key: key}}) }
 
 func (c *Control) post(e event) {
 	select {
--- a/daemon/peer/pause_test.go
+++ b/daemon/peer/pause_test.go
@@ -171,7 +171,7 @@
 	if l.safe["b"] {
 		t.Fatal("the bill is safe with a daemon that is gone")
 	}
-	l.feed("entry-000", node.BillAgain{Key: "b"})
+	l.feed("entry-000", node.BillCopyTimedOut{Key: "b"})
 	l.run(25 * time.Millisecond)
 	if !l.safe["b"] {
 		t.Error("no second daemon has the bill")
