--- a/core/node/message.go
+++ b/core/node/message.go
@@ -17,13 +17,13 @@
 	// Hall and Addr are set on probes, so that a member that is in no VM list yet can be added.
 	Hall string
 	Addr string
-	// Ask requests an answer. Turn is the sender's turn, which the answer repeats: the sender then knows
+	// WantsReply requests an answer. Turn is the sender's turn, which the answer repeats: the sender then knows
 	// that the answer was not sent before the sender was paused.
-	Ask     bool
-	Turn    uint64
-	Offers  []replication.Offer
-	Updates []member.Update
-	Leaving []LeavingServer
+	WantsReply bool
+	Turn       uint64
+	Offers     []replication.Offer
+	Updates    []member.Update
+	Leaving    []LeavingServer
 }
 
 // LeavingServer reports that a backend server declines new requests.
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -194,7 +194,7 @@
 // probe returns a heartbeat that requests an answer.
 func (n *Node) probe(now time.Time) Heartbeat {
 	m := n.heartbeat(now)
-	m.Ask, m.Turn = true, n.turn
+	m.WantsReply, m.Turn = true, n.turn
 	m.Hall, m.Addr = n.self.Hall, n.self.Addr
 	return m
 }
@@ -336,7 +336,7 @@
 	for _, u := range m.Updates {
 		n.Group.Apply(u, now)
 	}
-	trusted := !n.recentlyResumed(now) || (!m.Ask && m.Turn > n.resumedTurn)
+	trusted := !n.recentlyResumed(now) || (!m.WantsReply && m.Turn > n.resumedTurn)
 	for _, o := range m.Offers {
 		if n.Store.Hear(o, trusted, now) {
 			n.send(from, Fetch{Topic: o.Topic})
@@ -345,7 +345,7 @@
 	for _, l := range m.Leaving {
 		n.handleServerLeaving(l.ID, now.Add(-time.Duration(l.AgeMS)*time.Millisecond), now)
 	}
-	if !m.Ask {
+	if !m.WantsReply {
 		return
 	}
 	answer := n.heartbeat(now)
--- a/daemon/peer/codec_test.go
+++ b/daemon/peer/codec_test.go
@@ -23,7 +23,7 @@
 // messages has one of each type.
 var messages = []peer.Message{
 	node.Heartbeat{
-		Incarnation: 7, Hall: "h", Addr: "127.0.0.1:1", Ask: true, Turn: 3,
+		Incarnation: 7, Hall: "h", Addr: "127.0.0.1:1", WantsReply: true, Turn: 3,
 		Offers:  []replication.Offer{{Topic: replication.VMs, Number: 4, Sum: 5, AgeMS: 6}},
 		Updates: []member.Update{{ID: "a", Incarnation: 2, State: member.Down}},
 		Leaving: []node.LeavingServer{{ID: "e", AgeMS: 1}},
