--- a/core/node/event.go
+++ b/core/node/event.go
@@ -97,8 +97,8 @@
 // Read fetches the newest document of a topic from the platform.
 type Read struct {
 	Topic replication.Topic
-	// Have is the number of the document already held.
-	Have uint64
+	// HeldNumber is the number of the document already held.
+	HeldNumber uint64
 }
 
 // WriteBills writes bills in one transaction that requires all their keys to be absent.
--- a/daemon/control/control_io.go
+++ b/daemon/control/control_io.go
@@ -30,11 +30,11 @@
 		var err error
 		switch o.Topic {
 		case replication.Config:
-			done.Number, done.Data, err = l.readConfig(o.Have)
+			done.Number, done.Data, err = l.readConfig(o.HeldNumber)
 		case replication.VMs:
-			done.Number, done.Data, err = l.readVMs(o.Have)
+			done.Number, done.Data, err = l.readVMs(o.HeldNumber)
 		case replication.Quality:
-			done.Number, done.Data, err = l.readQuality(o.Have, held)
+			done.Number, done.Data, err = l.readQuality(o.HeldNumber, held)
 		}
 		if err != nil {
 			done.Failed = true
--- a/daemon/peer/links_test.go
+++ b/daemon/peer/links_test.go
@@ -232,7 +232,7 @@
 	case o.Topic == replication.VMs:
 		done.Number = l.platform.listNumber
 	}
-	if !done.Failed && done.Number > o.Have {
+	if !done.Failed && done.Number > o.HeldNumber {
 		done.Data = []byte(fmt.Sprintf("%s %d", o.Topic, done.Number))
 	}
 	l.after(2*time.Millisecond, delivery{to: id, event: done})
