--- a/core/node/event.go
+++ b/core/node/event.go
@@ -41,8 +41,8 @@
 	At time.Time
 	// Failed is set if the platform gave no answer.
 	Failed bool
-	// After is the delay that the platform asked for before the next read, 0 if none.
-	After time.Duration
+	// RetryAfter is the delay that the platform asked for before the next read, 0 if none.
+	RetryAfter time.Duration
 }
 
 // VMsKnown holds the entry VMs of a VM list. It follows Changed for the topic VMs.
--- a/core/node/node_reads.go
+++ b/core/node/node_reads.go
@@ -79,7 +79,7 @@
 	r.busy = false
 	if d.Failed {
 		r.backoff = min(max(r.backoff*2, minReadBackoff), maxReadBackoff)
-		r.notBefore = now.Add(max(d.After, r.backoff))
+		r.notBefore = now.Add(max(d.RetryAfter, r.backoff))
 		return
 	}
 	r.backoff = 0
--- a/daemon/control/control_io.go
+++ b/daemon/control/control_io.go
@@ -38,7 +38,7 @@
 		}
 		if err != nil {
 			done.Failed = true
-			done.After = retryAfter(err)
+			done.RetryAfter = retryAfter(err)
 			l.Log.Debug().Str("topic", o.Topic.String()).Err(err).Msg("control: a read failed")
 		}
 		// An answer is as old as its question, also if the VM stood still meanwhile.
--- a/daemon/peer/links_test.go
+++ b/daemon/peer/links_test.go
@@ -224,7 +224,7 @@
 	done := node.ReadDone{Topic: o.Topic, At: l.now}
 	switch {
 	case l.platform.overRate(l.now):
-		done.Failed, done.After = true, time.Second
+		done.Failed, done.RetryAfter = true, time.Second
 	case l.platformFails(id):
 		done.Failed = true
 	case o.Topic == replication.Config:
