--- a/core/node/event.go
+++ b/core/node/event.go
@@ -62,7 +62,7 @@
 type BillsWritten struct{ Found []string }
 
 // BillsFailed is the result of a WriteBills that failed or whose outcome is unknown.
-type BillsFailed struct{ After time.Duration }
+type BillsFailed struct{ RetryAfter time.Duration }
 
 // ServerLeaving reports a backend server that declined a request of this daemon because it is
 // shutting down.
--- a/daemon/control/control_io.go
+++ b/daemon/control/control_io.go
@@ -115,7 +115,7 @@
 			l.post(nodeEvent{node.BillsWritten{Found: billKeys(conflict.Failed)}})
 		default:
 			l.Log.Debug().Err(err).Msg("control: bills are not written yet")
-			l.post(nodeEvent{node.BillsFailed{After: retryAfter(err)}})
+			l.post(nodeEvent{node.BillsFailed{RetryAfter: retryAfter(err)}})
 		}
 	}()
 }
