--- a/core/node/node.go
+++ b/core/node/node.go
@@ -18,8 +18,8 @@
 
 // Intervals and time limits.
 const (
-	// TickEvery is the interval between ticks.
-	TickEvery = time.Second
+	// TickInterval is the interval between ticks.
+	TickInterval = time.Second
 	// PausedAfter is the time without any event after which the process is taken to have been paused.
 	PausedAfter = 3 * time.Second
 	// ConfirmTimeout is how long a process that was paused tries to confirm its table before it treats
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -222,7 +222,7 @@
 }
 
 func (l *loop) run() {
-	tick := clock.NewTicker(node.TickEvery)
+	tick := clock.NewTicker(node.TickInterval)
 	flush := clock.NewTicker(node.FlushEvery)
 	poll := clock.NewTicker(pollEvery)
 	publish := clock.NewTicker(publishEvery)
--- a/daemon/peer/links_test.go
+++ b/daemon/peer/links_test.go
@@ -136,7 +136,7 @@
 	// The settings name two seeds, for starts while the platform is down.
 	n.Seeds = append(n.Seeds, l.platform.list[:min(2, len(l.platform.list))]...)
 	l.nodes[id] = n
-	l.after(time.Duration(l.rng.Int64N(int64(node.TickEvery))), delivery{to: id, event: node.Tick{}})
+	l.after(time.Duration(l.rng.Int64N(int64(node.TickInterval))), delivery{to: id, event: node.Tick{}})
 }
 
 func (l *links) kill(id string) {
@@ -291,7 +291,7 @@
 		return
 	}
 	if _, ok := d.event.(node.Tick); ok {
-		l.after(node.TickEvery, delivery{to: d.to, event: node.Tick{}})
+		l.after(node.TickInterval, delivery{to: d.to, event: node.Tick{}})
 		l.after(node.FlushEvery, delivery{to: d.to, event: node.Flush{}})
 		d.event = node.Tick{Own: l.own(d.to)}
 	}
