--- a/core/node/node.go
+++ b/core/node/node.go
@@ -25,8 +25,8 @@
 	// ConfirmTimeout is how long a process that was paused tries to confirm its table before it treats
 	// itself as disconnected.
 	ConfirmTimeout = 5 * time.Second
-	// FlushEvery is the interval between flushes while bills are held.
-	FlushEvery = 50 * time.Millisecond
+	// FlushInterval is the interval between flushes while bills are held.
+	FlushInterval = 50 * time.Millisecond
 	// OverdueAfter is the age of the table, per tick of its read interval, from which daemons that are
 	// not the readers of their data hall read it from the platform themselves, a few at a time.
 	OverdueAfter = 3 * time.Second
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -223,7 +223,7 @@
 
 func (l *loop) run() {
 	tick := clock.NewTicker(node.TickInterval)
-	flush := clock.NewTicker(node.FlushEvery)
+	flush := clock.NewTicker(node.FlushInterval)
 	poll := clock.NewTicker(pollEvery)
 	publish := clock.NewTicker(publishEvery)
 	defer tick.Stop()
--- a/daemon/peer/links_test.go
+++ b/daemon/peer/links_test.go
@@ -292,7 +292,7 @@
 	}
 	if _, ok := d.event.(node.Tick); ok {
 		l.after(node.TickInterval, delivery{to: d.to, event: node.Tick{}})
-		l.after(node.FlushEvery, delivery{to: d.to, event: node.Flush{}})
+		l.after(node.FlushInterval, delivery{to: d.to, event: node.Flush{}})
 		d.event = node.Tick{Own: l.own(d.to)}
 	}
 	l.feed(d.to, d.event)
