--- a/core/node/node.go
+++ b/core/node/node.go
@@ -30,8 +30,8 @@
 	// OverdueAfter is the age of the table, per tick of its read interval, from which daemons that are
 	// not the readers of their data hall read it from the platform themselves, a few at a time.
 	OverdueAfter = 3 * time.Second
-	// LeavingFor is how long a report of a leaving backend server is valid if it is not repeated.
-	LeavingFor = time.Minute
+	// LeavingTTL is how long a report of a leaving backend server is valid if it is not repeated.
+	LeavingTTL = time.Minute
 )
 
 // Intervals between reads from the platform, in ticks.
@@ -185,7 +185,7 @@
 		n.maybeRead(topic, now)
 	}
 	for id, at := range n.leaving {
-		if now.Sub(at) > LeavingFor {
+		if now.Sub(at) > LeavingTTL {
 			delete(n.leaving, id)
 		}
 	}
@@ -411,7 +411,7 @@
 	if at.After(was) {
 		n.leaving[id] = at
 	}
-	if !known && now.Sub(at) < LeavingFor {
+	if !known && now.Sub(at) < LeavingTTL {
 		n.announce(now)
 	}
 }
