--- a/core/node/node.go
+++ b/core/node/node.go
@@ -20,8 +20,8 @@
 const (
 	// TickInterval is the interval between ticks.
 	TickInterval = time.Second
-	// PausedAfter is the time without any event after which the process is taken to have been paused.
-	PausedAfter = 3 * time.Second
+	// PauseThreshold is the time without any event after which the process is taken to have been paused.
+	PauseThreshold = 3 * time.Second
 	// ConfirmTimeout is how long a process that was paused tries to confirm its table before it treats
 	// itself as disconnected.
 	ConfirmTimeout = 5 * time.Second
@@ -112,7 +112,7 @@
 // Handle processes an event and returns the orders that follow from it.
 func (n *Node) Handle(e Event, now time.Time) []Action {
 	n.orders = nil
-	if now.Sub(n.lastEventAt) > PausedAfter {
+	if now.Sub(n.lastEventAt) > PauseThreshold {
 		n.resumedAt, n.resumedTurn = now, n.turn
 	}
 	n.lastEventAt = now
