--- a/core/node/node.go
+++ b/core/node/node.go
@@ -27,9 +27,9 @@
 	ConfirmTimeout = 5 * time.Second
 	// FlushInterval is the interval between flushes while bills are held.
 	FlushInterval = 50 * time.Millisecond
-	// OverdueAfter is the age of the table, per tick of its read interval, from which daemons that are
+	// OverdueAge is the age of the table, per tick of its read interval, from which daemons that are
 	// not the readers of their data hall read it from the platform themselves, a few at a time.
-	OverdueAfter = 3 * time.Second
+	OverdueAge = 3 * time.Second
 	// LeavingTTL is how long a report of a leaving backend server is valid if it is not repeated.
 	LeavingTTL = time.Minute
 )
--- a/core/node/node_reads.go
+++ b/core/node/node_reads.go
@@ -66,7 +66,7 @@
 	if topic == replication.Quality {
 		return false
 	}
-	overdue := OverdueAfter * time.Duration(readIntervalTicks(topic))
+	overdue := OverdueAge * time.Duration(readIntervalTicks(topic))
 	if now.Sub(n.Store.ConfirmedAt(topic)) < overdue {
 		return false
 	}
