--- a/core/node/event.go
+++ b/core/node/event.go
@@ -12,13 +12,13 @@
 // Event is an input of the state machine.
 type Event interface{ event() }
 
-// Tick is delivered once per TickEvery.
+// Tick is delivered once per TickInterval.
 type Tick struct {
 	// Own holds the counters of this daemon.
 	Own aggregation.Sums
 }
 
-// Flush is delivered every FlushEvery while bills are held, to write those that are due.
+// Flush is delivered every FlushInterval while bills are held, to write those that are due.
 type Flush struct{}
 
 // Suspended reports that the VM was suspended: the clock of the process stopped for this time
@@ -85,7 +85,7 @@
 func (Leave) event()            {}
 
 // Action is an output of the state machine, carried out by the code that drives it.
-type Action interface{ order() }
+type Action interface{ action() }
 
 // Send sends a message to another daemon.
 type Send struct {
@@ -114,9 +114,9 @@
 // Changed reports that a newer document has been accepted.
 type Changed struct{ Document replication.Document }
 
-func (Send) order()              {}
-func (Read) order()              {}
-func (WriteBills) order()        {}
-func (BillDurable) order()       {}
-func (BillNotReplicated) order() {}
-func (Changed) order()           {}
+func (Send) action()              {}
+func (Read) action()              {}
+func (WriteBills) action()        {}
+func (BillDurable) action()       {}
+func (BillNotReplicated) action() {}
+func (Changed) action()           {}
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -1,5 +1,5 @@
 // Package node combines membership, replicated documents, aggregated counters and bills of one
-// daemon into a state machine without I/O. It takes an event and a time and returns orders. The
+// daemon into a state machine without I/O. It takes an event and a time and returns actions. The
 // daemon, the fuzz tests and the benchmarks drive the same code.
 package node
 
@@ -84,7 +84,7 @@
 	// copyHolders maps the key of each bill to the daemon that has its copy.
 	copyHolders map[string]holder
 	stopped     bool
-	orders      []Action
+	actions     []Action
 	// lastEventAt is the time of the last event, resumedAt the end of the last pause, and
 	// resumedTurn the turn at that time.
 	lastEventAt time.Time
@@ -109,9 +109,9 @@
 	}
 }
 
-// Handle processes an event and returns the orders that follow from it.
+// Handle processes an event and returns the actions that follow from it.
 func (n *Node) Handle(e Event, now time.Time) []Action {
-	n.orders = nil
+	n.actions = nil
 	if now.Sub(n.lastEventAt) > PauseThreshold {
 		n.resumedAt, n.resumedTurn = now, n.turn
 	}
@@ -144,7 +144,7 @@
 	case Leave:
 		n.leave(now)
 	}
-	return n.orders
+	return n.actions
 }
 
 // recentlyResumed reports whether the node resumed so recently that its inbox may still hold messages from
@@ -161,7 +161,7 @@
 
 func (n *Node) send(to string, m Message) {
 	if addr := n.Group.Addr(to); addr != "" && to != n.self.ID {
-		n.orders = append(n.orders, Send{To: to, Addr: addr, Message: m})
+		n.actions = append(n.actions, Send{To: to, Addr: addr, Message: m})
 	}
 }
 
@@ -259,7 +259,7 @@
 	for i := range min(readersPerHall, len(n.Seeds)) {
 		seed := n.Seeds[(int(n.turn)+i)%len(n.Seeds)]
 		if seed.ID != n.self.ID {
-			n.orders = append(n.orders, Send{To: seed.ID, Addr: seed.Addr, Message: n.probe(now)})
+			n.actions = append(n.actions, Send{To: seed.ID, Addr: seed.Addr, Message: n.probe(now)})
 		}
 	}
 }
@@ -383,7 +383,7 @@
 	if err := n.Store.Accept(doc, confirmed); err != nil {
 		return
 	}
-	n.orders = append(n.orders, Changed{Document: doc})
+	n.actions = append(n.actions, Changed{Document: doc})
 	n.announce(now)
 }
 
--- a/core/node/node_bills.go
+++ b/core/node/node_bills.go
@@ -49,7 +49,7 @@
 		n.copyHolders[b.Key] = holder{id: buddy, sent: now}
 		n.send(buddy, Copies{Bills: []bill.Bill{b}})
 	} else {
-		n.orders = append(n.orders, BillNotReplicated{Key: b.Key})
+		n.actions = append(n.actions, BillNotReplicated{Key: b.Key})
 	}
 	n.flush(now)
 }
@@ -109,14 +109,14 @@
 			h.acknowledged = true
 			n.copyHolders[key] = h
 		}
-		n.orders = append(n.orders, BillDurable{Key: key})
+		n.actions = append(n.actions, BillDurable{Key: key})
 	}
 }
 
 // flush requests a write of the next batch of bills if one is due.
 func (n *Node) flush(now time.Time) {
 	if batch := n.Ledger.Batch(now, n.stopped); len(batch) > 0 {
-		n.orders = append(n.orders, WriteBills{Bills: batch})
+		n.actions = append(n.actions, WriteBills{Bills: batch})
 	}
 }
 
@@ -124,7 +124,7 @@
 func (n *Node) billsWritten(found []string, now time.Time) {
 	release := map[string][]string{}
 	for _, key := range n.Ledger.Done(found, now) {
-		n.orders = append(n.orders, BillDurable{Key: key})
+		n.actions = append(n.actions, BillDurable{Key: key})
 		if h := n.copyHolders[key]; h.id != "" {
 			release[h.id] = append(release[h.id], key)
 		}
--- a/core/node/node_reads.go
+++ b/core/node/node_reads.go
@@ -31,7 +31,7 @@
 		return
 	}
 	r.busy, r.since = true, now
-	n.orders = append(n.orders, Read{Topic: topic, HeldNumber: n.Store.Get(topic).Number})
+	n.actions = append(n.actions, Read{Topic: topic, HeldNumber: n.Store.Get(topic).Number})
 }
 
 // Delay of the first read of a daemon that has no VM list yet. It contacts its seeds first, so that
