--- a/core/node/node.go
+++ b/core/node/node.go
@@ -154,8 +154,8 @@
 // LastEvent returns the time of the last event.
 func (n *Node) LastEvent() time.Time { return n.lastEventAt }
 
-// Doubt reports whether the table has not been confirmed since the last pause.
-func (n *Node) Doubt(now time.Time) bool {
+// Unconfirmed reports whether the table has not been confirmed since the last pause.
+func (n *Node) Unconfirmed(now time.Time) bool {
 	return n.recentlyResumed(now) && n.Store.ConfirmedAt(replication.Config).Before(n.resumedAt)
 }
 
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -463,7 +463,7 @@
 		Table:       l.table,
 		ConfirmedAt: l.node.Store.ConfirmedAt(replication.Config),
 		PublishedAt: l.ticked,
-		Unconfirmed: l.node.Doubt(now),
+		Unconfirmed: l.node.Unconfirmed(now),
 		Hall:        l.Settings.Hall,
 		Ages:        route.Ages{Steady: l.Settings.SteadyAge, RollingOut: l.Settings.RollingOutAge},
 		Quality:     l.quality,
--- a/daemon/control/placer.go
+++ b/daemon/control/placer.go
@@ -39,7 +39,7 @@
 // that had the last order has reported again.
 func (l *loop) drivePlacement(now time.Time) {
 	p := l.placer
-	if l.node.Group.Rank() != 0 || p.busy || now.Before(p.next) || l.node.Doubt(now) {
+	if l.node.Group.Rank() != 0 || p.busy || now.Before(p.next) || l.node.Unconfirmed(now) {
 		return
 	}
 	if b := l.servers.byID[p.asked]; b != nil && !b.reportedAt.After(p.at) {
--- a/daemon/peer/pause_test.go
+++ b/daemon/peer/pause_test.go
@@ -34,11 +34,11 @@
 			}
 			l.run(time.Millisecond)
 			holds := n.Store.Get(replication.Config).Number
-			if holds < 2 && !n.Doubt(l.now) && l.now.Sub(n.LastEvent()) < time.Second {
+			if holds < 2 && !n.Unconfirmed(l.now) && l.now.Sub(n.LastEvent()) < time.Second {
 				t.Fatalf("seed %d: after a pause the daemon trusts generation %d", seed, holds)
 			}
 		}
-		if n.Doubt(l.now) || n.Store.Get(replication.Config).Number != 2 {
+		if n.Unconfirmed(l.now) || n.Store.Get(replication.Config).Number != 2 {
 			t.Fatalf("seed %d: the daemon still doubts, or missed the edit", seed)
 		}
 	}
@@ -55,7 +55,7 @@
 	l.platform.cutHalls["hall-1"] = true
 	l.run(30 * time.Second)
 	n := l.nodes["entry-001"]
-	if n.Doubt(l.now) {
+	if n.Unconfirmed(l.now) {
 		t.Error("a daemon that was cut off, but never paused, doubts its table")
 	}
 	if age := l.now.Sub(n.Store.ConfirmedAt(replication.Config)); age < 28*time.Second {
@@ -186,19 +186,19 @@
 	n := node.New(member.Listed{ID: "entry-1", Hall: "h"}, 1, now)
 	n.Handle(node.ReadDone{Topic: replication.Config, Number: 1, Data: []byte("table"), At: now}, now)
 	now = now.Add(100 * time.Millisecond)
-	if n.Doubt(now) {
+	if n.Unconfirmed(now) {
 		t.Fatal("in doubt before")
 	}
 	n.Handle(node.Suspended{For: 20 * time.Second}, now)
-	if age := now.Sub(n.Store.ConfirmedAt(replication.Config)); !n.Doubt(now) || age < 20*time.Second {
-		t.Errorf("after the standstill: in doubt %v, confirmed %v ago", n.Doubt(now), age)
+	if age := now.Sub(n.Store.ConfirmedAt(replication.Config)); !n.Unconfirmed(now) || age < 20*time.Second {
+		t.Errorf("after the standstill: in doubt %v, confirmed %v ago", n.Unconfirmed(now), age)
 	}
 	n.Handle(node.ReadDone{Topic: replication.Config, Number: 1, At: now.Add(-time.Millisecond)}, now.Add(time.Second))
-	if !n.Doubt(now.Add(time.Second)) {
+	if !n.Unconfirmed(now.Add(time.Second)) {
 		t.Error("a read from before confirms the table")
 	}
 	n.Handle(node.ReadDone{Topic: replication.Config, Number: 2, Data: []byte("newer"), At: now.Add(time.Second)}, now.Add(2*time.Second))
-	if n.Doubt(now.Add(2 * time.Second)) {
+	if n.Unconfirmed(now.Add(2 * time.Second)) {
 		t.Error("still in doubt")
 	}
 }
