--- a/core/node/event.go
+++ b/core/node/event.go
@@ -37,8 +37,8 @@
 	// Number is that of the newest document. Data is nil if that is the document already held.
 	Number uint64
 	Data   []byte
-	// At is when the read was sent: the document was the newest one at that time.
-	At time.Time
+	// SentAt is when the read was sent: the document was the newest one at that time.
+	SentAt time.Time
 	// Failed is set if the platform gave no answer.
 	Failed bool
 	// RetryAfter is the delay that the platform asked for before the next read, 0 if none.
--- a/core/node/node_reads.go
+++ b/core/node/node_reads.go
@@ -84,8 +84,8 @@
 	}
 	r.backoff = 0
 	if d.Data == nil {
-		n.Store.Confirm(d.Topic, d.Number, d.At)
+		n.Store.Confirm(d.Topic, d.Number, d.SentAt)
 		return
 	}
-	n.accept(replication.NewDocument(d.Topic, d.Number, d.Data), d.At, now)
+	n.accept(replication.NewDocument(d.Topic, d.Number, d.Data), d.SentAt, now)
 }
--- a/daemon/control/control_io.go
+++ b/daemon/control/control_io.go
@@ -26,7 +26,7 @@
 func (l *loop) read(o node.Read) {
 	held := l.node.Store.Get(o.Topic).Data
 	go func() {
-		done, stood := node.ReadDone{Topic: o.Topic, At: time.Now()}, l.StoodStill.Now()
+		done, stood := node.ReadDone{Topic: o.Topic, SentAt: time.Now()}, l.StoodStill.Now()
 		var err error
 		switch o.Topic {
 		case replication.Config:
@@ -42,7 +42,7 @@
 			l.Log.Debug().Str("topic", o.Topic.String()).Err(err).Msg("control: a read failed")
 		}
 		// An answer is as old as its question, also if the VM stood still meanwhile.
-		done.At = done.At.Add(stood - l.StoodStill.Now())
+		done.SentAt = done.SentAt.Add(stood - l.StoodStill.Now())
 		l.post(nodeEvent{done})
 	}()
 }
--- a/daemon/peer/links_test.go
+++ b/daemon/peer/links_test.go
@@ -221,7 +221,7 @@
 
 func (l *links) read(id string, o node.Read) {
 	l.platform.reads++
-	done := node.ReadDone{Topic: o.Topic, At: l.now}
+	done := node.ReadDone{Topic: o.Topic, SentAt: l.now}
 	switch {
 	case l.platform.overRate(l.now):
 		done.Failed, done.RetryAfter = true, time.Second
--- a/daemon/peer/pause_test.go
+++ b/daemon/peer/pause_test.go
@@ -184,7 +184,7 @@
 func TestDaemonWhoseVMStoodStillDoubtsItsTable(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	n := node.New(member.Listed{ID: "entry-1", Hall: "h"}, 1, now)
-	n.Handle(node.ReadDone{Topic: replication.Config, Number: 1, Data: []byte("table"), At: now}, now)
+	n.Handle(node.ReadDone{Topic: replication.Config, Number: 1, Data: []byte("table"), SentAt: now}, now)
 	now = now.Add(100 * time.Millisecond)
 	if n.Unconfirmed(now) {
 		t.Fatal("in doubt before")
@@ -193,11 +193,11 @@
 	if age := now.Sub(n.Store.ConfirmedAt(replication.Config)); !n.Unconfirmed(now) || age < 20*time.Second {
 		t.Errorf("after the standstill: in doubt %v, confirmed %v ago", n.Unconfirmed(now), age)
 	}
-	n.Handle(node.ReadDone{Topic: replication.Config, Number: 1, At: now.Add(-time.Millisecond)}, now.Add(time.Second))
+	n.Handle(node.ReadDone{Topic: replication.Config, Number: 1, SentAt: now.Add(-time.Millisecond)}, now.Add(time.Second))
 	if !n.Unconfirmed(now.Add(time.Second)) {
 		t.Error("a read from before confirms the table")
 	}
-	n.Handle(node.ReadDone{Topic: replication.Config, Number: 2, Data: []byte("newer"), At: now.Add(time.Second)}, now.Add(2*time.Second))
+	n.Handle(node.ReadDone{Topic: replication.Config, Number: 2, Data: []byte("newer"), SentAt: now.Add(time.Second)}, now.Add(2*time.Second))
 	if n.Unconfirmed(now.Add(2 * time.Second)) {
 		t.Error("still in doubt")
 	}
