--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -149,7 +149,7 @@
 
 // BillAgain has a second daemon asked to hold a bill, since the first one has
 // not answered.
-func (c *Control) BillAgain(key string) { c.post(nodeEvent{node.BillAgain{Key: key}}) }
+func (c *Control) BillAgain(key string) { c.post(nodeEvent{node.BillCopyTimedOut{Key: key}}) }
 
 func (c *Control) post(e event) {
 	select {
@@ -222,8 +222,8 @@
 }
 
 func (l *loop) run() {
-	tick := clock.NewTicker(node.TickEvery)
-	flush := clock.NewTicker(node.FlushEvery)
+	tick := clock.NewTicker(node.TickInterval)
+	flush := clock.NewTicker(node.FlushInterval)
 	poll := clock.NewTicker(pollEvery)
 	publish := clock.NewTicker(publishEvery)
 	defer tick.Stop()
@@ -276,7 +276,7 @@
 	}
 	l.stood += d
 	l.Log.Warn().Dur("for", d).Msg("control: the VM stood still: nothing is served until the table is confirmed")
-	l.feed(node.StoodStill{For: d}, now)
+	l.feed(node.Suspended{For: d}, now)
 	l.publish(now)
 }
 
@@ -380,9 +380,9 @@
 			l.read(o)
 		case node.WriteBills:
 			l.writeBills(o.Bills)
-		case node.BillSafe:
+		case node.BillDurable:
 			l.tellSafe(o.Key, true)
-		case node.BillAlone:
+		case node.BillNotReplicated:
 			l.tellSafe(o.Key, false)
 		case node.Changed:
 			l.changed(o.Document, now)
@@ -463,7 +463,7 @@
 		Table:       l.table,
 		ConfirmedAt: l.node.Store.ConfirmedAt(replication.Config),
 		PublishedAt: l.ticked,
-		Unconfirmed: l.node.Doubt(now),
+		Unconfirmed: l.node.Unconfirmed(now),
 		Hall:        l.Settings.Hall,
 		Ages:        route.Ages{Steady: l.Settings.SteadyAge, RollingOut: l.Settings.RollingOutAge},
 		Quality:     l.quality,
--- a/daemon/control/control_io.go
+++ b/daemon/control/control_io.go
@@ -26,23 +26,23 @@
 func (l *loop) read(o node.Read) {
 	held := l.node.Store.Get(o.Topic).Data
 	go func() {
-		done, stood := node.ReadDone{Topic: o.Topic, At: time.Now()}, l.StoodStill.Now()
+		done, stood := node.ReadDone{Topic: o.Topic, SentAt: time.Now()}, l.StoodStill.Now()
 		var err error
 		switch o.Topic {
 		case replication.Config:
-			done.Number, done.Data, err = l.readConfig(o.Have)
+			done.Number, done.Data, err = l.readConfig(o.HeldNumber)
 		case replication.VMs:
-			done.Number, done.Data, err = l.readVMs(o.Have)
+			done.Number, done.Data, err = l.readVMs(o.HeldNumber)
 		case replication.Quality:
-			done.Number, done.Data, err = l.readQuality(o.Have, held)
+			done.Number, done.Data, err = l.readQuality(o.HeldNumber, held)
 		}
 		if err != nil {
 			done.Failed = true
-			done.After = retryAfter(err)
+			done.RetryAfter = retryAfter(err)
 			l.Log.Debug().Str("topic", o.Topic.String()).Err(err).Msg("control: a read failed")
 		}
 		// An answer is as old as its question, also if the VM stood still meanwhile.
-		done.At = done.At.Add(stood - l.StoodStill.Now())
+		done.SentAt = done.SentAt.Add(stood - l.StoodStill.Now())
 		l.post(nodeEvent{done})
 	}()
 }
@@ -115,7 +115,7 @@
 			l.post(nodeEvent{node.BillsWritten{Found: billKeys(conflict.Failed)}})
 		default:
 			l.Log.Debug().Err(err).Msg("control: bills are not written yet")
-			l.post(nodeEvent{node.BillsFailed{After: retryAfter(err)}})
+			l.post(nodeEvent{node.BillsFailed{RetryAfter: retryAfter(err)}})
 		}
 	}()
 }
--- a/daemon/peer/codec.go
+++ b/daemon/peer/codec.go
@@ -64,11 +64,11 @@
 		t = tagFetch
 	case node.Deliver:
 		t = tagDeliver
-	case node.TallyUp:
+	case node.SubtreeSums:
 		t = tagTallyUp
-	case node.TallyDown:
+	case node.TotalsReport:
 		t = tagTallyDown
-	case node.TallyAcross:
+	case node.HallReport:
 		t = tagTallyAcross
 	case node.Copies:
 		t = tagCopies
@@ -146,9 +146,9 @@
 	tagHeartbeat:   decode[node.Heartbeat],
 	tagFetch:       decode[node.Fetch],
 	tagDeliver:     decode[node.Deliver],
-	tagTallyUp:     decode[node.TallyUp],
-	tagTallyDown:   decode[node.TallyDown],
-	tagTallyAcross: decode[node.TallyAcross],
+	tagTallyUp:     decode[node.SubtreeSums],
+	tagTallyDown:   decode[node.TotalsReport],
+	tagTallyAcross: decode[node.HallReport],
 	tagCopies:      decode[node.Copies],
 	tagCopiesHeld:  decode[node.CopiesHeld],
 	tagRelease:     decode[node.Release],
--- a/daemon/peer/links_test.go
+++ b/daemon/peer/links_test.go
@@ -136,7 +136,7 @@
 	// The settings name two seeds, for starts while the platform is down.
 	n.Seeds = append(n.Seeds, l.platform.list[:min(2, len(l.platform.list))]...)
 	l.nodes[id] = n
-	l.after(time.Duration(l.rng.Int64N(int64(node.TickEvery))), delivery{to: id, event: node.Tick{}})
+	l.after(time.Duration(l.rng.Int64N(int64(node.TickInterval))), delivery{to: id, event: node.Tick{}})
 }
 
 func (l *links) kill(id string) {
@@ -181,7 +181,7 @@
 	}
 }
 
-func (l *links) obey(id string, o node.Order) {
+func (l *links) obey(id string, o node.Action) {
 	switch o := o.(type) {
 	case node.Send:
 		l.send(id, o)
@@ -189,7 +189,7 @@
 		l.read(id, o)
 	case node.WriteBills:
 		l.write(id, o)
-	case node.BillSafe:
+	case node.BillDurable:
 		l.safe[o.Key] = true
 	case node.Changed:
 		if o.Document.Topic == replication.VMs {
@@ -221,10 +221,10 @@
 
 func (l *links) read(id string, o node.Read) {
 	l.platform.reads++
-	done := node.ReadDone{Topic: o.Topic, At: l.now}
+	done := node.ReadDone{Topic: o.Topic, SentAt: l.now}
 	switch {
 	case l.platform.overRate(l.now):
-		done.Failed, done.After = true, time.Second
+		done.Failed, done.RetryAfter = true, time.Second
 	case l.platformFails(id):
 		done.Failed = true
 	case o.Topic == replication.Config:
@@ -232,7 +232,7 @@
 	case o.Topic == replication.VMs:
 		done.Number = l.platform.listNumber
 	}
-	if !done.Failed && done.Number > o.Have {
+	if !done.Failed && done.Number > o.HeldNumber {
 		done.Data = []byte(fmt.Sprintf("%s %d", o.Topic, done.Number))
 	}
 	l.after(2*time.Millisecond, delivery{to: id, event: done})
@@ -291,8 +291,8 @@
 		return
 	}
 	if _, ok := d.event.(node.Tick); ok {
-		l.after(node.TickEvery, delivery{to: d.to, event: node.Tick{}})
-		l.after(node.FlushEvery, delivery{to: d.to, event: node.Flush{}})
+		l.after(node.TickInterval, delivery{to: d.to, event: node.Tick{}})
+		l.after(node.FlushInterval, delivery{to: d.to, event: node.Flush{}})
 		d.event = node.Tick{Own: l.own(d.to)}
 	}
 	l.feed(d.to, d.event)
