--- a/core/table/error.go
+++ b/core/table/error.go
@@ -2,20 +2,20 @@
 
 import "ladderridge.example/core/fault"
 
-// Kind says what sort of error the package met.
+// Kind is the kind of an Error.
 type Kind int
 
 // The kinds of error.
 const (
-	// Malformed is a file that is not a table at all.
+	// Malformed is a file that cannot be read as a table.
 	Malformed Kind = iota
-	// Invalid is a table with one or more wrong cells; the cause lists all.
+	// Invalid is a table with invalid cells; the cause lists all of them.
 	Invalid
-	// Conflict is an edit made from a generation that is no longer the newest.
+	// Conflict is an edit based on a generation that is no longer the newest.
 	Conflict
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	return [...]string{"malformed", "invalid", "conflict"}[k]
 }
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -1,9 +1,9 @@
-// Package table holds what operators edit: which organisation may use which
-// model and version, with weights, limits, prices and quality targets, and
+// Package table holds the table that operators edit: which organisation may use
+// which model and version, with weights, limits, prices and quality targets, and
 // which calls of plain services may not be repeated.
 //
 // A Table is immutable. An edit makes a new Table; the number and digest of a
-// stored one travel with it as its Generation.
+// stored table are its Generation.
 package table
 
 import (
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// Everyone in the organisation column stands for every organisation.
+// Everyone stands for all organisations in the organisation column.
 const Everyone = "*"
 
-// Ref names one version of one model.
+// Ref identifies one version of one model.
 type Ref struct {
 	Model   string
 	Version string
 }
 
-// String is the reference as callers write it, "model@version".
+// String returns the reference as callers write it, "model@version".
 func (r Ref) String() string { return r.Model + "@" + r.Version }
 
 // Organisation is one customer with its keys and limits.
@@ -32,11 +32,12 @@
 	// KeyHashes are the hex SHA-256 sums of the bearer keys.
 	KeyHashes []string
 	Limits    Limits
-	// Priority orders organisations when requests must be shed: higher stays.
+	// Priority orders organisations when requests are shed: those of the lowest
+	// priority go first.
 	Priority int
 }
 
-// Limits bounds what one organisation may use in all halls together. Zero
+// Limits bounds the usage of one organisation in all data halls together. Zero
 // means no limit.
 type Limits struct {
 	RequestsPerSecond float64
@@ -44,32 +45,32 @@
 	Concurrency       int
 }
 
-// Version is one version of a model, for all organisations.
+// Version is the row of one version of a model, for all organisations.
 type Version struct {
 	Ref    Ref
 	Status Status
-	// Price is in micro-units of money for each generated token.
+	// Price is the price of a generated token, in millionths of the currency unit.
 	Price int64
-	// Quality is the operator's estimate in [0,1], used until ratings come.
+	// Quality is the operator's estimate in [0,1], used until there are ratings.
 	Quality float64
-	// MaxAge is how old the knowledge of a daemon may be for it to serve this
-	// version. Zero takes the daemon's default for the status.
+	// MaxAge is the maximum time since a daemon last confirmed its table at which
+	// it still serves this version. Zero means the daemon's default for the status.
 	MaxAge time.Duration
-	// Stages are the shares, in percent, of a roll-out's steps.
+	// Stages are the shares of new sessions in a roll-out, in percent.
 	Stages []float64
 	// Stage is the current index in Stages.
 	Stage int
-	// Copies is how many engines of each data hall are to have it loaded; 0
-	// leaves that to operators.
+	// Copies is the number of engines in each data hall that should have it
+	// loaded; 0 leaves that to operators.
 	Copies int
-	// StepAfter is how long a stage lasts at least before the daemons go on to
-	// the next one; 0 leaves the steps to operators.
+	// StepAfter is the minimum duration of a stage before the daemons advance to
+	// the next one; 0 leaves that to operators.
 	StepAfter time.Duration
-	// StepAnswers is how many answers a stage needs at least.
+	// StepAnswers is the minimum number of answers in a stage before the next.
 	StepAnswers int
 }
 
-// Share is the part in [0,1] of new sessions that a version in roll-out takes.
+// Share is the fraction of new sessions that a version in roll-out gets.
 func (v Version) Share() float64 {
 	if v.Status != RollingOut || len(v.Stages) == 0 {
 		return 0
@@ -84,44 +85,47 @@
 	Status       Status
 	// Weight is the relative share of new sessions among steady versions.
 	Weight int
-	// Target is the quality in [0,1] that answers must reach.
+	// Target is the required quality of answers, in [0,1].
 	Target float64
-	// Cascade, if not zero, lets the version be tried first although it does
-	// not reach the target: its answer is kept if the engine's own signal of
-	// its quality is at least this, or else a better version answers.
+	// Cascade, if not zero, allows the version to be tried first although it
+	// misses the target. It is the confidence threshold: if the engine reports a
+	// lower quality for its answer, a better version answers instead.
 	Cascade float64
 }
 
-// Call is a rule for the calls of a plain service. The longest path prefix
-// that matches is in force.
+// Call is a rule for calls of a plain service. Of several rules that match, the
+// one with the longest path prefix applies.
 type Call struct {
 	Organisation string
 	Service      string
 	// Method is an HTTP method, or "*" for any.
 	Method string
-	// Path is a prefix of the path behind the service's name.
+	// Path is a prefix of the path after the service's name.
 	Path string
-	// Once marks calls that run at most once and are never repeated.
+	// Once is set for calls that must run at most once and are never repeated.
 	Once bool
 }
 
-// Generation names one stored table: forward only, one digest a number.
+// Generation identifies one stored table. Numbers only increase, and each number
+// has one digest.
 type Generation struct {
 	Number uint64 `json:"number"`
 	Digest string `json:"digest"`
 }
 
-// Candidate is a version an organisation may use, both rows merged.
+// Candidate is a version that an organisation may use, merged from the version
+// row and the allow row.
 type Candidate struct {
 	Version Version
-	// Status is the later one of the two rows' statuses.
+	// Status is the later of the statuses of the two rows.
 	Status  Status
 	Weight  int
 	Target  float64
 	Cascade float64
 }
 
-// Tenant is everything a decision needs to know of one organisation.
+// Tenant is an organisation with the versions that it may use and the rules for
+// its calls.
 type Tenant struct {
 	Organisation Organisation
 	// Candidates are sorted by model, then by version.
@@ -130,7 +134,7 @@
 	Calls []Call
 }
 
-// Table is one whole table. Build one with New or Parse.
+// Table holds all rows and an index by organisation. Build one with New or Parse.
 type Table struct {
 	Organisations []Organisation
 	Versions      []Version
@@ -141,8 +145,8 @@
 	byKey   map[string]*Tenant
 }
 
-// New builds the index of a table whose exported fields are set. The rows must
-// not be changed afterwards.
+// New returns a table with the rows of t, indexed. The rows must not be changed
+// afterwards.
 func New(t Table) *Table {
 	t.tenants = make(map[string]*Tenant, len(t.Organisations))
 	t.byKey = make(map[string]*Tenant, len(t.Organisations))
@@ -196,13 +200,14 @@
 // TenantByKey returns the organisation that owns a bearer key, or nil.
 func (t *Table) TenantByKey(key string) *Tenant { return t.byKey[HashKey(key)] }
 
-// HashKey is the hex SHA-256 sum of a bearer key, as the table stores it.
+// HashKey returns the hex SHA-256 sum of a bearer key, as the table stores it.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Candidate returns what the tenant may do with one version.
+// Candidate returns the tenant's candidate for one version, or false if the
+// tenant may not use it.
 func (t *Tenant) Candidate(ref Ref) (Candidate, bool) {
 	i, ok := slices.BinarySearchFunc(t.Candidates, ref, func(c Candidate, r Ref) int {
 		return compareRefs(c.Version.Ref, r)
@@ -213,7 +218,8 @@
 	return t.Candidates[i], true
 }
 
-// Call returns the rule for a call, or false if the tenant may not make it.
+// Call returns the rule that applies to a call, or false if the tenant may not
+// make it.
 func (t *Tenant) Call(service, method, path string) (Call, bool) {
 	for _, c := range t.Calls {
 		if c.Service == service && (c.Method == "*" || c.Method == method) && strings.HasPrefix(path, c.Path) {
@@ -223,7 +229,7 @@
 	return Call{}, false
 }
 
-// WithVersion returns a table in which v replaces the version of its name.
+// WithVersion returns a table in which v replaces the version row of the same Ref.
 func (t *Table) WithVersion(v Version) *Table {
 	versions := slices.Clone(t.Versions)
 	for i := range versions {
@@ -234,7 +240,7 @@
 	return New(Table{Organisations: t.Organisations, Versions: versions, Allows: t.Allows, Calls: t.Calls})
 }
 
-// Version returns the version row of that name.
+// Version returns the version row of ref, or false if there is none.
 func (t *Table) Version(ref Ref) (Version, bool) {
 	for _, v := range t.Versions {
 		if v.Ref == ref {
@@ -244,7 +250,7 @@
 	return Version{}, false
 }
 
-// Digest is the hex SHA-256 sum of the table's canonical file.
+// Digest returns the hex SHA-256 sum of the table's canonical encoding.
 func (t *Table) Digest() string {
 	sum := sha256.Sum256(t.Encode())
 	return hex.EncodeToString(sum[:])
--- a/core/table/table_csv.go
+++ b/core/table/table_csv.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// MaxFileSize bounds a table file, in bytes.
+// MaxFileSize is the maximum size of a table file, in bytes.
 const MaxFileSize = 8 << 20
 
-// The columns of the table file, in the order in which it is written.
+// The columns of a table file, in the order in which Encode writes them.
 const (
 	colKind = iota
 	colOrganisation
@@ -51,7 +51,7 @@
 	"key_sha256", "service", "method", "path", "repeat",
 }
 
-// The kinds of row, in the order in which they are written.
+// The kinds of row, in the order in which Encode writes them.
 const (
 	kindOrganisation = "organisation"
 	kindVersion      = "version"
@@ -64,13 +64,13 @@
 	repeatOnce = "once"
 )
 
-// CellError is one wrong cell of a table file.
+// CellError describes one invalid cell of a table file.
 type CellError struct {
-	// Row counts from 1, the header included, as a spreadsheet shows it.
+	// Row is the row number as a spreadsheet shows it: the header is row 1.
 	Row int
 	// Column is the column's name.
 	Column string
-	// Text says what was wrong and what would be right.
+	// Text says what is wrong and how to correct it.
 	Text string
 }
 
@@ -79,8 +79,8 @@
 	return fmt.Sprintf("row %d, column %s: %s", e.Row, e.Column, e.Text)
 }
 
-// Parse reads a table file (CSV with a header row). It reports every wrong
-// cell at once, and returns a table only if there is none.
+// Parse parses a table file (CSV with a header row). If there are invalid cells,
+// the error lists all of them and no table is returned.
 func Parse(data []byte) (*Table, error) {
 	if len(data) > MaxFileSize {
 		return nil, &Error{Op: "parse table", Kind: Malformed, Err: fmt.Errorf("%d bytes, at most %d", len(data), MaxFileSize)}
@@ -108,8 +108,8 @@
 	return New(p.table), nil
 }
 
-// place remembers where a row of the file ended up, for later checks.
-type place struct {
+// rowRef is the row number of a parsed allow or call row and its organisation.
+type rowRef struct {
 	row  int
 	name string
 }
@@ -118,14 +118,15 @@
 	table   Table
 	columns [columnCount]int
 	errs    []error
-	allows  []place
-	calls   []place
+	allows  []rowRef
+	calls   []rowRef
 	current []string
 	rowNo   int
 	seen    map[string]int
 }
 
-func (p *parser) fail(row, column int, format string, args ...any) {
+// addError adds an error for one cell.
+func (p *parser) addError(row, column int, format string, args ...any) {
 	p.errs = append(p.errs, &CellError{Row: row, Column: columnNames[column], Text: fmt.Sprintf(format, args...)})
 }
 
@@ -140,13 +141,13 @@
 		case column < 0:
 			p.errs = append(p.errs, &CellError{Row: 1, Column: name, Text: "unknown column: the columns are " + strings.Join(columnNames, ", ")})
 		case p.columns[column] >= 0:
-			p.fail(1, column, "the column stands twice")
+			p.addError(1, column, "duplicate column: remove one")
 		default:
 			p.columns[column] = i
 		}
 	}
 	if p.columns[colKind] < 0 {
-		p.fail(1, colKind, "the column is missing")
+		p.addError(1, colKind, "the column is missing")
 	}
 }
 
@@ -165,17 +166,17 @@
 	case kindCall:
 		p.call()
 	default:
-		p.fail(n, colKind, "%q is unknown: write organisation, version, allow or call", kind)
+		p.addError(n, colKind, "%q is unknown: write organisation, version, allow or call", kind)
 	}
 }
 
-// unique reports a row that stands twice.
-func (p *parser) unique(key string) {
+// checkUnique adds an error if an earlier row has the same key.
+func (p *parser) checkUnique(key string) {
 	if p.seen == nil {
 		p.seen = map[string]int{}
 	}
 	if first, ok := p.seen[key]; ok {
-		p.fail(p.rowNo, colKind, "the same row stands already at row %d: remove one", first)
+		p.addError(p.rowNo, colKind, "duplicate of row %d: remove one", first)
 		return
 	}
 	p.seen[key] = p.rowNo
@@ -192,17 +193,17 @@
 		Priority: int(p.integer(colPriority, 100)),
 	}
 	if org.Name == Everyone {
-		p.fail(p.rowNo, colOrganisation, "an organisation cannot be called %q", Everyone)
+		p.addError(p.rowNo, colOrganisation, "an organisation cannot be called %q", Everyone)
 	}
 	for hash := range strings.FieldsSeq(p.text(colKeys)) {
 		if len(hash) != 64 || strings.Trim(hash, "0123456789abcdef") != "" {
-			p.fail(p.rowNo, colKeys, "%q is not a SHA-256 sum in lower-case hex: make one with `ladderridge keys hash`", hash)
+			p.addError(p.rowNo, colKeys, "%q is not a SHA-256 sum in lower-case hex: make one with `ladderridge keys hash`", hash)
 			continue
 		}
-		p.unique("key " + hash)
+		p.checkUnique("key " + hash)
 		org.KeyHashes = append(org.KeyHashes, hash)
 	}
-	p.unique(kindOrganisation + " " + org.Name)
+	p.checkUnique(kindOrganisation + " " + org.Name)
 	p.table.Organisations = append(p.table.Organisations, org)
 }
 
@@ -222,18 +223,18 @@
 	for field := range strings.FieldsSeq(p.text(colStages)) {
 		share, err := strconv.ParseFloat(field, 64)
 		if err != nil || !(share >= 0 && share <= 100) {
-			p.fail(p.rowNo, colStages, "%q is not a percentage: write shares such as `1 5 25 100`", field)
+			p.addError(p.rowNo, colStages, "%q is not a percentage: write shares such as `1 5 25 100`", field)
 			continue
 		}
 		v.Stages = append(v.Stages, share)
 	}
 	if v.Status == RollingOut && len(v.Stages) == 0 {
-		p.fail(p.rowNo, colStages, "a version that is rolling out needs stages, such as `1 5 25 100`")
+		p.addError(p.rowNo, colStages, "a version that is rolling out needs stages, such as `1 5 25 100`")
 	}
 	if v.Stage > 0 && v.Stage >= len(v.Stages) {
-		p.fail(p.rowNo, colStage, "there is no stage %d: there are %d, counted from 0", v.Stage, len(v.Stages))
+		p.addError(p.rowNo, colStage, "there is no stage %d: there are %d, counted from 0", v.Stage, len(v.Stages))
 	}
-	p.unique(kindVersion + " " + v.Ref.String())
+	p.checkUnique(kindVersion + " " + v.Ref.String())
 	p.table.Versions = append(p.table.Versions, v)
 }
 
@@ -246,8 +247,8 @@
 		Target:       p.number(colTarget, 1),
 		Cascade:      p.number(colCascade, 1),
 	}
-	p.unique(kindAllow + " " + a.Organisation + " " + a.Ref.String())
-	p.allows = append(p.allows, place{row: p.rowNo, name: a.Organisation})
+	p.checkUnique(kindAllow + " " + a.Organisation + " " + a.Ref.String())
+	p.allows = append(p.allows, rowRef{row: p.rowNo, name: a.Organisation})
 	p.table.Allows = append(p.table.Allows, a)
 }
 
@@ -262,21 +263,22 @@
 		c.Method = "*"
 	}
 	if !strings.HasPrefix(c.Path, "/") {
-		p.fail(p.rowNo, colPath, "%q does not start with a slash", c.Path)
+		p.addError(p.rowNo, colPath, "%q does not start with a slash", c.Path)
 	}
 	switch repeat := p.text(colRepeat); repeat {
 	case repeatYes:
 	case repeatOnce:
 		c.Once = true
 	default:
-		p.fail(p.rowNo, colRepeat, "%q is unknown: write yes, or once for calls that may not be repeated", repeat)
+		p.addError(p.rowNo, colRepeat, "%q is unknown: write yes, or once for calls that may not be repeated", repeat)
 	}
-	p.unique(strings.Join([]string{kindCall, c.Organisation, c.Service, c.Method, c.Path}, " "))
-	p.calls = append(p.calls, place{row: p.rowNo, name: c.Organisation})
+	p.checkUnique(strings.Join([]string{kindCall, c.Organisation, c.Service, c.Method, c.Path}, " "))
+	p.calls = append(p.calls, rowRef{row: p.rowNo, name: c.Organisation})
 	p.table.Calls = append(p.table.Calls, c)
 }
 
-// checkReferences reports rows that name what no other row defines.
+// checkReferences adds an error for each reference to an organisation or version
+// that has no row.
 func (p *parser) checkReferences() {
 	orgs := map[string]bool{}
 	for _, o := range p.table.Organisations {
@@ -288,15 +290,15 @@
 	}
 	for i, a := range p.table.Allows {
 		if !orgs[a.Organisation] {
-			p.fail(p.allows[i].row, colOrganisation, "%q has no organisation row: add one", a.Organisation)
+			p.addError(p.allows[i].row, colOrganisation, "%q has no organisation row: add one", a.Organisation)
 		}
 		if !versions[a.Ref] {
-			p.fail(p.allows[i].row, colVersion, "%s has no version row: add one", a.Ref)
+			p.addError(p.allows[i].row, colVersion, "%s has no version row: add one", a.Ref)
 		}
 	}
 	for i, c := range p.table.Calls {
 		if c.Organisation != Everyone && !orgs[c.Organisation] {
-			p.fail(p.calls[i].row, colOrganisation, "%q has no organisation row: add one, or write * for all", c.Organisation)
+			p.addError(p.calls[i].row, colOrganisation, "%q has no organisation row: add one, or write * for all", c.Organisation)
 		}
 	}
 }
@@ -312,10 +314,10 @@
 func (p *parser) name(column int) string {
 	s := p.text(column)
 	if s == "" {
-		p.fail(p.rowNo, column, "the cell is empty: a %s row needs it", p.text(colKind))
+		p.addError(p.rowNo, column, "the cell is empty: a %s row needs it", p.text(colKind))
 	}
 	if strings.ContainsAny(s, "@/\x00 \t\r\n") || len(s) > 100 {
-		p.fail(p.rowNo, column, "%q is not a name: use up to 100 characters without space, @ or /", s)
+		p.addError(p.rowNo, column, "%q is not a name: use up to 100 characters without space, @ or /", s)
 	}
 	return s
 }
@@ -327,7 +329,7 @@
 	}
 	status, err := ParseStatus(s)
 	if err != nil {
-		p.fail(p.rowNo, colStatus, "%v", err)
+		p.addError(p.rowNo, colStatus, "%v", err)
 	}
 	return status
 }
@@ -339,7 +341,7 @@
 	}
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(x) || x < 0 || x > high {
-		p.fail(p.rowNo, column, "%q is not a number from 0 to %g", s, high)
+		p.addError(p.rowNo, column, "%q is not a number from 0 to %g", s, high)
 		return 0
 	}
 	return x
@@ -352,7 +354,7 @@
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n < 0 || n > high {
-		p.fail(p.rowNo, column, "%q is not a whole number from 0 to %d", s, high)
+		p.addError(p.rowNo, column, "%q is not a whole number from 0 to %d", s, high)
 		return 0
 	}
 	return n
@@ -365,7 +367,7 @@
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil || d < 0 {
-		p.fail(p.rowNo, column, "%q is not a duration such as 15s or 10m", s)
+		p.addError(p.rowNo, column, "%q is not a duration such as 15s or 10m", s)
 		return 0
 	}
 	return d
--- a/core/table/table_diff.go
+++ b/core/table/table_diff.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
-// Change is one difference between two tables.
+// Change is the difference of one row between two tables.
 type Change struct {
-	// Row names the row, such as "allow acme chat@v2".
+	// Row identifies the row, such as "allow acme chat@v2".
 	Row string
-	// Cells says what differs; it is empty for a whole row added or removed.
+	// Cells lists the cells that differ; it is empty if the row was added or
+	// removed.
 	Cells []CellChange
-	// Added and Removed mark whole rows.
+	// Added and Removed are set if the row is in only one of the tables.
 	Added   bool
 	Removed bool
 }
@@ -23,7 +24,7 @@
 	New    string
 }
 
-// String shows the change on one line, as `ladderridge table diff` does.
+// String formats the change on one line, as `ladderridge table diff` prints it.
 func (c Change) String() string {
 	switch {
 	case c.Added:
--- a/core/table/table_encode.go
+++ b/core/table/table_encode.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Encode writes the table as its canonical file: rows sorted, every column.
+// Encode returns the canonical encoding of the table: a CSV file with every
+// column and the rows sorted.
 func (t *Table) Encode() []byte {
 	var buf bytes.Buffer
 	w := csv.NewWriter(&buf)
@@ -19,12 +20,12 @@
 	for _, r := range rows {
 		records = append(records, r.cells[:])
 	}
-	// A bytes.Buffer cannot fail, so neither can the writer.
+	// Writing to a bytes.Buffer cannot fail.
 	_ = w.WriteAll(records)
 	return buf.Bytes()
 }
 
-// row is one line of the canonical file with the key that names it.
+// row is one row of the canonical file with the key that identifies it.
 type row struct {
 	key   string
 	cells [columnCount]string
--- a/core/table/table_test.go
+++ b/core/table/table_test.go
@@ -45,11 +45,11 @@
 		t.Error(diff)
 	}
 	if first.Digest() != second.Digest() {
-		t.Error("the digest changed by writing and reading")
+		t.Error("the digest changed by encoding and parsing")
 	}
 }
 
-func TestParseReportsEveryFaultWithRowAndColumn(t *testing.T) {
+func TestParseReportsEveryInvalidCellWithRowAndColumn(t *testing.T) {
 	rows := `organisation,voluntas,,,,,,,,,,,fast,,,,,
 version,,roster,v1,stedy,,,20,1.5,,,,,,,,,
 allow,nobody,roster,v9,,50,0.8,,,,,,,,,,,
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestParseRefusesWhatIsNoTable(t *testing.T) {
+func TestParseRejectsMalformedFiles(t *testing.T) {
 	for name, data := range map[string]string{
 		"empty":          "",
 		"unknown column": "kind,colour\n",
@@ -83,13 +83,13 @@
 		"broken quotes":  "kind\n\"organisation\n",
 	} {
 		if _, err := table.Parse([]byte(data)); err == nil {
-			t.Errorf("%s: a table was read", name)
+			t.Errorf("%s: parsed without an error", name)
 		}
 	}
 }
 
-// FuzzParse checks that a file is refused with a typed error or read into a
-// table that reads back as itself.
+// FuzzParse checks that a file is either rejected with a typed error or parsed into
+// a table that keeps its digest when it is encoded and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(header + small))
 	f.Add([]byte("kind\nversion\n"))
@@ -104,15 +104,15 @@
 		}
 		second, err := table.Parse(first.Encode())
 		if err != nil {
-			t.Fatalf("the table does not read back: %v", err)
+			t.Fatalf("the encoded table does not parse: %v", err)
 		}
 		if first.Digest() != second.Digest() {
-			t.Fatal("the table reads back as another one")
+			t.Fatal("the digest changed by encoding and parsing")
 		}
 	})
 }
 
-func TestDiffSaysWhatAnEditChanges(t *testing.T) {
+func TestDiffListsChangesOfAnEdit(t *testing.T) {
 	before := parse(t, small)
 	after := parse(t, strings.NewReplacer("roster,v1,steady", "roster,v1,withdrawn", "call,voluntas", "call,*").Replace(small))
 	var got []string
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestTheLongestPathRules(t *testing.T) {
+func TestRuleWithLongestPathApplies(t *testing.T) {
 	tenant := parse(t, small).Tenant("voluntas")
 	for path, once := range map[string]bool{"/checkout": true, "/checkout/7": true, "/audit": false} {
 		c, ok := tenant.Call("broker", "POST", path)
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestLaterStatusIsInForce checks that of the version's and the allow row's
-// status the later one counts, for every pair.
-func TestLaterStatusIsInForce(t *testing.T) {
+// TestLaterStatusApplies checks for every pair of statuses that the later one of the
+// version row and the allow row applies.
+func TestLaterStatusApplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		statuses := []table.Status{table.Steady, table.RollingOut, table.Retiring, table.Withdrawn}
 		a, b := rapid.SampledFrom(statuses).Draw(t, "version"), rapid.SampledFrom(statuses).Draw(t, "allow")
