--- a/core/table/table.go
+++ b/core/table/table.go
@@ -93,9 +93,9 @@
 	Cascade float64
 }
 
-// Call is a rule for calls of a plain service. Of several rules that match, the
+// CallRule is a rule for calls of a plain service. Of several rules that match, the
 // one with the longest path prefix applies.
-type Call struct {
+type CallRule struct {
 	Organisation string
 	Service      string
 	// Method is an HTTP method, or "*" for any.
@@ -131,7 +131,7 @@
 	// Candidates are sorted by model, then by version.
 	Candidates []Candidate
 	// Calls are sorted by descending path length.
-	Calls []Call
+	Calls []CallRule
 }
 
 // Table holds all rows and an index by organisation. Build one with New or Parse.
@@ -139,7 +139,7 @@
 	Organisations []Organisation
 	Versions      []Version
 	Allows        []Allow
-	Calls         []Call
+	Calls         []CallRule
 
 	tenants map[string]*Tenant
 	byKey   map[string]*Tenant
@@ -190,7 +190,7 @@
 		}
 	}
 	for _, tenant := range t.tenants {
-		slices.SortStableFunc(tenant.Calls, func(a, b Call) int { return len(b.Path) - len(a.Path) })
+		slices.SortStableFunc(tenant.Calls, func(a, b CallRule) int { return len(b.Path) - len(a.Path) })
 	}
 }
 
@@ -220,13 +220,13 @@
 
 // Call returns the rule that applies to a call, or false if the tenant may not
 // make it.
-func (t *Tenant) Call(service, method, path string) (Call, bool) {
+func (t *Tenant) Call(service, method, path string) (CallRule, bool) {
 	for _, c := range t.Calls {
 		if c.Service == service && (c.Method == "*" || c.Method == method) && strings.HasPrefix(path, c.Path) {
 			return c, true
 		}
 	}
-	return Call{}, false
+	return CallRule{}, false
 }
 
 // WithVersion returns a table in which v replaces the version row of the same Ref.
--- a/core/table/table_csv.go
+++ b/core/table/table_csv.go
@@ -253,7 +253,7 @@
 }
 
 func (p *parser) call() {
-	c := Call{
+	c := CallRule{
 		Organisation: p.name(colOrganisation),
 		Service:      p.name(colService),
 		Method:       p.text(colMethod),
--- a/core/table/table_encode.go
+++ b/core/table/table_encode.go
@@ -103,7 +103,7 @@
 	return r
 }
 
-func callRow(c Call) row {
+func callRow(c CallRule) row {
 	r := row{key: strings.Join([]string{kindCall, c.Organisation, c.Service, c.Method, c.Path}, " ")}
 	r.cells[colKind] = kindCall
 	r.cells[colOrganisation] = c.Organisation
--- a/core/table/table_test.go
+++ b/core/table/table_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(first, second, cmpopts.IgnoreUnexported(table.Table{}), cmpopts.EquateEmpty(), cmpopts.SortSlices(func(a, b table.Call) bool { return a.Path < b.Path })); diff != "" {
+	if diff := cmp.Diff(first, second, cmpopts.IgnoreUnexported(table.Table{}), cmpopts.EquateEmpty(), cmpopts.SortSlices(func(a, b table.CallRule) bool { return a.Path < b.Path })); diff != "" {
 		t.Error(diff)
 	}
 	if first.Digest() != second.Digest() {
--- a/daemon/front/call.go
+++ b/daemon/front/call.go
@@ -21,7 +21,7 @@
 	// path is the service's own, target the same as it came, with the query.
 	path   string
 	target string
-	rule   table.Call
+	rule   table.CallRule
 	server *route.Server
 }
 
