--- a/core/route/decide.go
+++ b/core/route/decide.go
@@ -288,7 +288,7 @@
 // DecideCall chooses the server for a call of a plain service.
 func DecideCall(v *View, tenant *table.Tenant, service, method, path string, seed uint64, avoid []string, now time.Time) (Decision, table.CallRule) {
 	d := Decision{Steps: []Step{{Kind: StepTenant, Text: tenant.Organisation.Name, Value: float64(v.Generation.Number)}}}
-	rule, ok := tenant.Call(service, method, path)
+	rule, ok := tenant.CallRule(service, method, path)
 	if !ok {
 		d.Outcome = Refuse{Code: CallNotAllowed, Text: "this organisation may not call " + method + " " + service + path}
 		return d, rule
--- a/core/route/gate.go
+++ b/core/route/gate.go
@@ -37,7 +37,7 @@
 	if tenant == nil {
 		return refused(op, CallNotAllowed, "organisation %s is no longer in the table", organisation)
 	}
-	if _, ok := tenant.Call(service, method, path); !ok {
+	if _, ok := tenant.CallRule(service, method, path); !ok {
 		return refused(op, CallNotAllowed, "%s may no longer call %s%s", organisation, service, path)
 	}
 	if v.unconfirmed(now) {
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -218,9 +218,9 @@
 	return t.Candidates[i], true
 }
 
-// Call returns the rule that applies to a call, or false if the tenant may not
+// CallRule returns the rule that applies to a call, or false if the tenant may not
 // make it.
-func (t *Tenant) Call(service, method, path string) (CallRule, bool) {
+func (t *Tenant) CallRule(service, method, path string) (CallRule, bool) {
 	for _, c := range t.Calls {
 		if c.Service == service && (c.Method == "*" || c.Method == method) && strings.HasPrefix(path, c.Path) {
 			return c, true
--- a/core/table/table_test.go
+++ b/core/table/table_test.go
@@ -132,12 +132,12 @@
 func TestRuleWithLongestPathApplies(t *testing.T) {
 	tenant := parse(t, small).Tenant("voluntas")
 	for path, once := range map[string]bool{"/checkout": true, "/checkout/7": true, "/audit": false} {
-		c, ok := tenant.Call("broker", "POST", path)
+		c, ok := tenant.CallRule("broker", "POST", path)
 		if !ok || c.Once != once {
 			t.Errorf("POST %s: once is %v (%v), want %v", path, c.Once, ok, once)
 		}
 	}
-	if _, ok := tenant.Call("other", "GET", "/"); ok {
+	if _, ok := tenant.CallRule("other", "GET", "/"); ok {
 		t.Error("a service without a rule may be called")
 	}
 }
