--- a/core/table/table.go
+++ b/core/table/table.go
@@ -130,8 +130,8 @@
 	Organisation Organisation
 	// Candidates are sorted by model, then by version.
 	Candidates []Candidate
-	// Calls are sorted by descending path length.
-	Calls []CallRule
+	// CallRules are sorted by descending path length.
+	CallRules []CallRule
 }
 
 // Table holds all rows and an index by organisation. Build one with New or Parse.
@@ -185,12 +185,12 @@
 	for _, c := range t.Calls {
 		for name, tenant := range t.tenants {
 			if c.Organisation == Everyone || c.Organisation == name {
-				tenant.Calls = append(tenant.Calls, c)
+				tenant.CallRules = append(tenant.CallRules, c)
 			}
 		}
 	}
 	for _, tenant := range t.tenants {
-		slices.SortStableFunc(tenant.Calls, func(a, b CallRule) int { return len(b.Path) - len(a.Path) })
+		slices.SortStableFunc(tenant.CallRules, func(a, b CallRule) int { return len(b.Path) - len(a.Path) })
 	}
 }
 
@@ -221,7 +221,7 @@
 // CallRule returns the rule that applies to a call, or false if the tenant may not
 // make it.
 func (t *Tenant) CallRule(service, method, path string) (CallRule, bool) {
-	for _, c := range t.Calls {
+	for _, c := range t.CallRules {
 		if c.Service == service && (c.Method == "*" || c.Method == method) && strings.HasPrefix(path, c.Path) {
 			return c, true
 		}
