--- a/core/table/table.go
+++ b/core/table/table.go
@@ -139,7 +139,7 @@
 	Organisations []Organisation
 	Versions      []Version
 	Allows        []Allow
-	Calls         []CallRule
+	CallRules     []CallRule
 
 	tenants map[string]*Tenant
 	byKey   map[string]*Tenant
@@ -182,7 +182,7 @@
 }
 
 func (t *Table) indexCalls() {
-	for _, c := range t.Calls {
+	for _, c := range t.CallRules {
 		for name, tenant := range t.tenants {
 			if c.Organisation == Everyone || c.Organisation == name {
 				tenant.CallRules = append(tenant.CallRules, c)
@@ -237,7 +237,7 @@
 			versions[i] = v
 		}
 	}
-	return New(Table{Organisations: t.Organisations, Versions: versions, Allows: t.Allows, Calls: t.Calls})
+	return New(Table{Organisations: t.Organisations, Versions: versions, Allows: t.Allows, CallRules: t.CallRules})
 }
 
 // Version returns the version row of ref, or false if there is none.
--- a/core/table/table_csv.go
+++ b/core/table/table_csv.go
@@ -274,7 +274,7 @@
 	}
 	p.checkUnique(strings.Join([]string{kindCall, c.Organisation, c.Service, c.Method, c.Path}, " "))
 	p.calls = append(p.calls, rowRef{row: p.rowNo, name: c.Organisation})
-	p.table.Calls = append(p.table.Calls, c)
+	p.table.CallRules = append(p.table.CallRules, c)
 }
 
 // checkReferences adds an error for each reference to an organisation or version
@@ -296,7 +296,7 @@
 			p.addError(p.allows[i].row, colVersion, "%s has no version row: add one", a.Ref)
 		}
 	}
-	for i, c := range p.table.Calls {
+	for i, c := range p.table.CallRules {
 		if c.Organisation != Everyone && !orgs[c.Organisation] {
 			p.addError(p.calls[i].row, colOrganisation, "%q has no organisation row: add one, or write * for all", c.Organisation)
 		}
--- a/core/table/table_encode.go
+++ b/core/table/table_encode.go
@@ -43,7 +43,7 @@
 	for _, a := range t.Allows {
 		rows = append(rows, allowRow(a))
 	}
-	for _, c := range t.Calls {
+	for _, c := range t.CallRules {
 		rows = append(rows, callRow(c))
 	}
 	order := []string{kindOrganisation, kindVersion, kindAllow, kindCall}
--- a/daemon/cmd/ladderridge/cmd_table.go
+++ b/daemon/cmd/ladderridge/cmd_table.go
@@ -57,7 +57,7 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%g\n", a.Organisation, a.Ref, a.Status, a.Weight, a.Target)
 	}
 	fmt.Fprintln(w, "\nORGANISATION\tMAY CALL\tREPEAT")
-	for _, c := range t.Calls {
+	for _, c := range t.CallRules {
 		repeat := "yes"
 		if c.Once {
 			repeat = "once"
@@ -124,7 +124,7 @@
 				return err
 			}
 			fmt.Printf("%s is right: %d organisations, %d versions, %d allow rows, %d call rows\n",
-				args[0], len(t.Organisations), len(t.Versions), len(t.Allows), len(t.Calls))
+				args[0], len(t.Organisations), len(t.Versions), len(t.Allows), len(t.CallRules))
 			return nil
 		},
 	}
--- a/daemon/scenario/cluster_test.go
+++ b/daemon/scenario/cluster_test.go
@@ -133,7 +133,7 @@
 			{Organisation: "voluntas", Ref: v2, Weight: 1, Target: 0.8},
 			{Organisation: "licence-desk", Ref: v1, Weight: 1, Target: 0.8},
 		},
-		Calls: []table.CallRule{
+		CallRules: []table.CallRule{
 			{Organisation: "*", Service: "broker", Method: "POST", Path: "/checkout", Once: true},
 			{Organisation: "*", Service: "broker", Method: "*", Path: "/"},
 		},
