--- a/core/table/table.go
+++ b/core/table/table.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Everyone stands for all organisations in the organisation column.
-const Everyone = "*"
+// AllOrganisations stands for all organisations in the organisation column.
+const AllOrganisations = "*"
 
 // Ref identifies one version of one model.
 type Ref struct {
@@ -184,7 +184,7 @@
 func (t *Table) indexCalls() {
 	for _, c := range t.CallRules {
 		for name, tenant := range t.tenants {
-			if c.Organisation == Everyone || c.Organisation == name {
+			if c.Organisation == AllOrganisations || c.Organisation == name {
 				tenant.CallRules = append(tenant.CallRules, c)
 			}
 		}
--- a/core/table/table_csv.go
+++ b/core/table/table_csv.go
@@ -192,8 +192,8 @@
 		},
 		Priority: int(p.integer(colPriority, 100)),
 	}
-	if org.Name == Everyone {
-		p.addError(p.rowNo, colOrganisation, "an organisation cannot be called %q", Everyone)
+	if org.Name == AllOrganisations {
+		p.addError(p.rowNo, colOrganisation, "an organisation cannot be called %q", AllOrganisations)
 	}
 	for hash := range strings.FieldsSeq(p.text(colKeys)) {
 		if len(hash) != 64 || strings.Trim(hash, "0123456789abcdef") != "" {
@@ -297,7 +297,7 @@
 		}
 	}
 	for i, c := range p.table.CallRules {
-		if c.Organisation != Everyone && !orgs[c.Organisation] {
+		if c.Organisation != AllOrganisations && !orgs[c.Organisation] {
 			p.addError(p.calls[i].row, colOrganisation, "%q has no organisation row: add one, or write * for all", c.Organisation)
 		}
 	}
