--- a/core/table/table.go
+++ b/core/table/table.go
@@ -158,7 +158,7 @@
 		}
 	}
 	t.indexAllows()
-	t.indexCalls()
+	t.indexCallRules()
 	return &t
 }
 
@@ -181,7 +181,7 @@
 	}
 }
 
-func (t *Table) indexCalls() {
+func (t *Table) indexCallRules() {
 	for _, c := range t.CallRules {
 		for name, tenant := range t.tenants {
 			if c.Organisation == AllOrganisations || c.Organisation == name {
