--- a/core/member/member.go
+++ b/core/member/member.go
@@ -1,13 +1,13 @@
-// Package member keeps what one daemon knows of the other daemons: who they
-// are, in which data hall, and whether they live.
+// Package member maintains the view that one daemon has of the other daemons: their identity, data
+// hall and liveness.
 //
-// The list of VMs lags, so it only says who exists. Whether a member lives is
-// found by probes: the members of a data hall stand on a ring in the order of
-// the hash of their ids, and each one probes the one that follows it at every
-// tick and one further finger in turn, so that the work of a daemon does not
-// grow with the number of daemons. What it finds travels as updates on the
-// probes themselves. Incarnations, as in the SWIM protocol (Das, Gupta and
-// Motivala, 2002), let a suspected member speak for itself.
+// The VM list of the platform lags behind, so it only defines which daemons exist. Failures are
+// detected by probes. The members of a data hall form a ring ordered by the hash of their ids. At
+// every tick each member probes its successor and one more finger in turn, where the fingers are the
+// members at the distances 1, 2, 4, 8 and so on, as in Chord. The work of a daemon therefore does not
+// grow with the number of daemons. Results are disseminated as updates on the probe messages.
+// Incarnation numbers, as in the SWIM protocol (Das, Gupta and Motivala, 2002), let a suspected
+// member refute the suspicion.
 package member
 
 import (
@@ -19,37 +19,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what is believed of a member.
+// State is the believed state of a member.
 type State uint8
 
 // The states of a member.
 const (
-	// Alive members answer, or have not been probed yet.
+	// Alive members answer probes, or have not been probed yet.
 	Alive State = iota
-	// Suspect members have not answered for a while.
+	// Suspect members have not answered for SuspectAfter.
 	Suspect
-	// Down members are no longer counted on.
+	// Down members have not refuted a suspicion in time and are no longer used.
 	Down
-	// Left members have said that they stop.
+	// Left members have announced their shutdown.
 	Left
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	return [...]string{"alive", "suspect", "down", "left"}[s]
 }
 
-// The times that membership goes by.
+// Time limits of failure detection.
 const (
-	// SuspectAfter is how long a probe may go unanswered.
+	// SuspectAfter is how long a probe may stay unanswered before the member is suspected.
 	SuspectAfter = 2500 * time.Millisecond
-	// DownAfter is how long a suspect has to speak for itself.
+	// DownAfter is how long a suspected member has to refute the suspicion.
 	DownAfter = 3 * time.Second
-	// ForgetAfter is how long a member that no list names is remembered.
+	// ForgetAfter is how long a member that is in no VM list is kept after its last message.
 	ForgetAfter = time.Minute
 )
 
-// Listed is an entry VM of the platform's list.
+// Listed is an entry VM in the VM list of the platform.
 type Listed struct {
 	ID      string
 	Hall    string
@@ -57,7 +57,7 @@
 	Leaving bool
 }
 
-// Update is a claim about a member that travels among daemons.
+// Update is a statement about the state of a member that is spread among the daemons.
 type Update struct {
 	_           struct{} `cbor:",toarray"`
 	ID          string
@@ -65,49 +65,49 @@
 	State       State
 }
 
-// Member is what is known of one daemon.
+// Member is the known state of one daemon.
 type Member struct {
 	ID          string
 	Hall        string
 	Addr        string
 	Incarnation uint64
 	State       State
-	// Leaving is what the platform's list says.
+	// Leaving is set if the VM list says that the VM is being shut down.
 	Leaving bool
 
-	listed  bool
-	hash    uint64
-	heard   time.Time
-	since   time.Time
-	pending time.Time
+	listed          bool
+	hash            uint64
+	lastMessageAt   time.Time
+	stateSince      time.Time
+	unansweredSince time.Time
 }
 
-// Hash is the hash of the member's id, by which the ring is ordered.
+// Hash returns the hash of the member's id, which defines its position on the ring.
 func (m Member) Hash() uint64 { return m.hash }
 
-// usable reports whether the member is counted on.
+// usable reports whether the member is in use: it is alive or only suspected.
 func (m *Member) usable() bool { return m.State == Alive || m.State == Suspect }
 
-// queued is an update with the number of times it is still to be sent.
-type queued struct {
-	update Update
-	left   int
+// queued is an update with the number of transmissions left.
+type queuedUpdate struct {
+	update    Update
+	remaining int
 }
 
-// Group is the membership that one daemon knows. It is owned by one goroutine.
+// Group is the membership as one daemon knows it. It must be used by one goroutine only.
 type Group struct {
 	self    string
 	hall    string
 	members map[string]*Member
-	// ring has the usable members of the own data hall by hash, self included.
+	// ring holds the usable members of the local data hall ordered by hash, including this daemon.
 	ring  []*Member
 	halls map[string][]*Member
-	queue []queued
+	queue []queuedUpdate
 	turn  int
 }
 
-// New starts a group that knows only itself. The incarnation must be greater
-// than that of any earlier process of the same id: its start time serves.
+// New returns a group that contains only this daemon. The incarnation must be greater than that of
+// any earlier process with the same id, for example the start time of the process.
 func New(self Listed, incarnation uint64, now time.Time) *Group {
 	g := &Group{self: self.ID, hall: self.Hall, members: map[string]*Member{}}
 	m := g.add(self, now)
@@ -118,12 +118,12 @@
 }
 
 func (g *Group) add(l Listed, now time.Time) *Member {
-	m := &Member{ID: l.ID, Hall: l.Hall, Addr: l.Addr, hash: xxhash.Sum64String(l.ID), heard: now, since: now}
+	m := &Member{ID: l.ID, Hall: l.Hall, Addr: l.Addr, hash: xxhash.Sum64String(l.ID), lastMessageAt: now, stateSince: now}
 	g.members[l.ID] = m
 	return m
 }
 
-// rebuild derives the rings from the members.
+// rebuild recomputes the rings from the members.
 func (g *Group) rebuild() {
 	g.halls = map[string][]*Member{}
 	for _, m := range g.members {
@@ -139,8 +139,8 @@
 	g.ring = g.halls[g.hall]
 }
 
-// List takes the platform's list: new members are added, those it no longer
-// names are forgotten once they are down or were not heard for a while.
+// List applies the VM list of the platform. New members are added; members that are no longer listed
+// are removed once they are down or have not been heard from for ForgetAfter.
 func (g *Group) List(list []Listed, now time.Time) {
 	for _, m := range g.members {
 		m.listed = m.ID == g.self
@@ -152,20 +152,20 @@
 		}
 		m.listed, m.Leaving, m.Addr, m.Hall = true, l.Leaving, l.Addr, l.Hall
 	}
-	g.forget(now)
+	g.removeUnlisted(now)
 	g.rebuild()
 }
 
-func (g *Group) forget(now time.Time) {
+func (g *Group) removeUnlisted(now time.Time) {
 	for id, m := range g.members {
-		if !m.listed && (!m.usable() || now.Sub(m.heard) > ForgetAfter) {
+		if !m.listed && (!m.usable() || now.Sub(m.lastMessageAt) > ForgetAfter) {
 			delete(g.members, id)
 		}
 	}
 }
 
-// Heard notes a message that came from a member itself. A member that no list
-// names yet is added: its certificate has shown that it belongs here.
+// Heard records a message received from a member itself. A member that is in no VM list yet is added,
+// since its certificate has authenticated it.
 func (g *Group) Heard(l Listed, incarnation uint64, now time.Time) {
 	m := g.members[l.ID]
 	if m == nil {
@@ -176,7 +176,7 @@
 		m.Incarnation = incarnation
 		g.rebuild()
 	}
-	m.heard, m.pending = now, time.Time{}
+	m.lastMessageAt, m.unansweredSince = now, time.Time{}
 	if l.Addr != "" {
 		m.Addr = l.Addr
 	}
@@ -185,15 +185,15 @@
 		g.rebuild()
 	}
 	if m.Incarnation == 0 {
-		// Its first message is no news for the others.
+		// The first message of a member need not be announced to others.
 		m.Incarnation = incarnation
 	}
 	if incarnation > m.Incarnation {
-		g.set(m, Update{ID: m.ID, Incarnation: incarnation, State: Alive}, now)
+		g.apply(m, Update{ID: m.ID, Incarnation: incarnation, State: Alive}, now)
 	}
 }
 
-// Apply takes an update from another daemon.
+// Apply applies an update received from another daemon.
 func (g *Group) Apply(u Update, now time.Time) {
 	m := g.members[u.ID]
 	if m == nil {
@@ -205,11 +205,11 @@
 	}
 	newer := u.Incarnation > m.Incarnation || (u.Incarnation == m.Incarnation && u.State > m.State)
 	if newer {
-		g.set(m, u, now)
+		g.apply(m, u, now)
 	}
 }
 
-// refute answers a false claim about this daemon with a higher incarnation.
+// refute answers a false statement about this daemon with a higher incarnation.
 func (g *Group) refute(self *Member, u Update) {
 	if u.State == Alive || self.State == Left || u.Incarnation < self.Incarnation {
 		return
@@ -218,44 +218,44 @@
 	g.enqueue(Update{ID: self.ID, Incarnation: self.Incarnation, State: Alive})
 }
 
-func (g *Group) set(m *Member, u Update, now time.Time) {
-	was := m.usable()
-	m.Incarnation, m.State, m.since = u.Incarnation, u.State, now
+func (g *Group) apply(m *Member, u Update, now time.Time) {
+	wasUsable := m.usable()
+	m.Incarnation, m.State, m.stateSince = u.Incarnation, u.State, now
 	g.enqueue(u)
-	if was != m.usable() {
+	if wasUsable != m.usable() {
 		g.rebuild()
 	}
 }
 
-// repeats is how often an update is sent for each doubling of the group.
-const repeats = 3
+// repeats is how many times an update is sent per doubling of the group size.
+const transmitFactor = 3
 
 func (g *Group) enqueue(u Update) {
-	left := repeats * bits.Len(uint(len(g.ring)+1))
+	remaining := transmitFactor * bits.Len(uint(len(g.ring)+1))
 	for i := range g.queue {
 		if g.queue[i].update.ID == u.ID {
-			g.queue[i] = queued{update: u, left: left}
+			g.queue[i] = queuedUpdate{update: u, remaining: remaining}
 			return
 		}
 	}
-	g.queue = append(g.queue, queued{update: u, left: left})
+	g.queue = append(g.queue, queuedUpdate{update: u, remaining: remaining})
 }
 
-// Updates returns up to n updates to put on a message, fewest sent first.
+// Updates returns up to n updates to send with a message. Those that were sent least often come first.
 func (g *Group) Updates(n int) []Update {
-	slices.SortStableFunc(g.queue, func(a, b queued) int { return b.left - a.left })
+	slices.SortStableFunc(g.queue, func(a, b queuedUpdate) int { return b.remaining - a.remaining })
 	n = min(n, len(g.queue))
 	out := make([]Update, 0, n)
 	for i := range n {
 		out = append(out, g.queue[i].update)
-		g.queue[i].left--
+		g.queue[i].remaining--
 	}
-	g.queue = slices.DeleteFunc(g.queue, func(q queued) bool { return q.left <= 0 })
+	g.queue = slices.DeleteFunc(g.queue, func(q queuedUpdate) bool { return q.remaining <= 0 })
 	return out
 }
 
-// Believes returns the update to send to a member that this daemon wrongly
-// holds to be gone, so that it can refute it.
+// Believes returns the update to send to a member that this daemon wrongly believes not to be alive,
+// so that the member can refute it.
 func (g *Group) Believes(id string) (Update, bool) {
 	m := g.members[id]
 	if m == nil || m.State == Alive {
@@ -264,44 +264,44 @@
 	return Update{ID: id, Incarnation: m.Incarnation, State: m.State}, true
 }
 
-// Tick finds who has not answered in time and returns the members to probe.
+// Tick detects members that have not answered in time and returns the members to probe.
 func (g *Group) Tick(now time.Time) []string {
 	for _, m := range g.members {
 		switch {
 		case m.ID == g.self:
-		case m.State == Alive && !m.pending.IsZero() && now.Sub(m.pending) >= SuspectAfter:
-			g.set(m, Update{ID: m.ID, Incarnation: m.Incarnation, State: Suspect}, now)
-		case m.State == Suspect && now.Sub(m.since) >= DownAfter:
-			g.set(m, Update{ID: m.ID, Incarnation: m.Incarnation, State: Down}, now)
+		case m.State == Alive && !m.unansweredSince.IsZero() && now.Sub(m.unansweredSince) >= SuspectAfter:
+			g.apply(m, Update{ID: m.ID, Incarnation: m.Incarnation, State: Suspect}, now)
+		case m.State == Suspect && now.Sub(m.stateSince) >= DownAfter:
+			g.apply(m, Update{ID: m.ID, Incarnation: m.Incarnation, State: Down}, now)
 		}
 	}
 	g.turn++
 	return g.probes(now)
 }
 
-// nearProbes is how many of the following members are probed at every tick.
-const nearProbes = 1
+// nearProbes is how many successors on the ring are probed at every tick.
+const successorProbes = 1
 
 func (g *Group) probes(now time.Time) []string {
 	fingers := g.Fingers()
-	targets := slices.Clone(fingers[:min(nearProbes, len(fingers))])
-	if far := len(fingers) - nearProbes; far > 0 {
-		targets = append(targets, fingers[nearProbes+g.turn%far])
+	targets := slices.Clone(fingers[:min(successorProbes, len(fingers))])
+	if far := len(fingers) - successorProbes; far > 0 {
+		targets = append(targets, fingers[successorProbes+g.turn%far])
 	}
 	for _, id := range targets {
-		if m := g.members[id]; m.pending.IsZero() {
-			m.pending = now
+		if m := g.members[id]; m.unansweredSince.IsZero() {
+			m.unansweredSince = now
 		}
 	}
-	if lost := g.returning(); lost != "" {
-		targets = append(targets, lost)
+	if down := g.downMember(); down != "" {
+		targets = append(targets, down)
 	}
 	return targets
 }
 
-// returning picks a listed member that is down, in turn: it may be back, and
-// those who know may all have started anew since, with nobody left to tell it.
-func (g *Group) returning() string {
+// returning returns a listed member that is down, or "", taking them in turn. The member may be back
+// up, and the daemons that knew it may all have restarted since, so that no other daemon probes it.
+func (g *Group) downMember() string {
 	var down []string
 	for _, m := range g.members {
 		if m.State == Down && m.listed {
@@ -315,9 +315,9 @@
 	return down[g.turn%len(down)]
 }
 
-// Fingers are the members at the distances 1, 2, 4, 8 ... on the ring.
+// Fingers returns the members at the distances 1, 2, 4, 8 and so on along the ring.
 func (g *Group) Fingers() []string {
-	n, at := len(g.ring), g.index()
+	n, at := len(g.ring), g.ringIndex()
 	if at < 0 {
 		return nil
 	}
@@ -328,26 +328,26 @@
 	return out
 }
 
-func (g *Group) index() int {
+func (g *Group) ringIndex() int {
 	return slices.IndexFunc(g.ring, func(m *Member) bool { return m.ID == g.self })
 }
 
-// fanOut is the number of children in the tree that tallies climb.
+// fanOut is the number of children per node of the aggregation tree.
 const fanOut = 3
 
-// Parent is the member above this one in the data hall's tree; the root, the
-// first of the ring, has none.
+// Parent returns the parent of this daemon in the aggregation tree of its data hall. The root, which
+// is the first member of the ring, has none.
 func (g *Group) Parent() (string, bool) {
-	at := g.index()
+	at := g.ringIndex()
 	if at <= 0 {
 		return "", false
 	}
 	return g.ring[(at-1)/fanOut].ID, true
 }
 
-// Children are the members below this one in the data hall's tree.
+// Children returns the children of this daemon in the aggregation tree of its data hall.
 func (g *Group) Children() []string {
-	at := g.index()
+	at := g.ringIndex()
 	if at < 0 {
 		return nil
 	}
@@ -358,13 +358,13 @@
 	return out
 }
 
-// Rank is this member's place among those of its data hall, from 0.
-func (g *Group) Rank() int { return g.index() }
+// Rank returns the position of this daemon on the ring of its data hall, from 0, or -1 if it has left.
+func (g *Group) Rank() int { return g.ringIndex() }
 
-// Size is the number of usable members in the own data hall, self included.
+// Size returns the number of usable members of the local data hall, including this daemon.
 func (g *Group) Size() int { return len(g.ring) }
 
-// Set is the sum of the hashes of the own data hall's usable members.
+// Set returns a checksum of the usable members of the local data hall: the sum of their hashes.
 func (g *Group) Set() uint64 {
 	sum := uint64(0)
 	for _, m := range g.ring {
@@ -373,7 +373,7 @@
 	return sum
 }
 
-// Missing is how many listed members of the own data hall are not counted on.
+// Missing returns the number of listed members of the local data hall that are not usable.
 func (g *Group) Missing() int {
 	n := 0
 	for _, m := range g.members {
@@ -384,7 +384,7 @@
 	return n
 }
 
-// Halls are the data halls that have usable members, in order of name.
+// Halls returns the data halls that have usable members, in order of name.
 func (g *Group) Halls() []string {
 	out := make([]string, 0, len(g.halls))
 	for hall := range g.halls {
@@ -394,7 +394,7 @@
 	return out
 }
 
-// First returns up to n members that lead the ring of a data hall.
+// First returns the first n members on the ring of a data hall, or fewer if there are not as many.
 func (g *Group) First(hall string, n int) []string {
 	ring := g.halls[hall]
 	out := make([]string, 0, n)
@@ -404,7 +404,7 @@
 	return out
 }
 
-// Pick returns the usable member of a data hall at a place that seed chooses.
+// Pick returns the usable member of a data hall that a seed selects.
 func (g *Group) Pick(hall string, seed uint64) (string, bool) {
 	ring := g.halls[hall]
 	if len(ring) == 0 {
@@ -413,13 +413,13 @@
 	return ring[seed%uint64(len(ring))].ID, true
 }
 
-// Usable reports whether a member is counted on.
+// Usable reports whether a member is in use: it is alive or only suspected.
 func (g *Group) Usable(id string) bool {
 	m := g.members[id]
 	return m != nil && m.usable()
 }
 
-// Addr is where a member is reached, or "".
+// Addr returns the address of a member, or "" if it is unknown.
 func (g *Group) Addr(id string) string {
 	if m := g.members[id]; m != nil {
 		return m.Addr
@@ -427,10 +427,10 @@
 	return ""
 }
 
-// Self is what this daemon says of itself.
+// Self returns the state of this daemon as it announces it.
 func (g *Group) Self() Member { return *g.members[g.self] }
 
-// Leave makes this daemon say that it stops.
+// Leave announces that this daemon shuts down.
 func (g *Group) Leave() {
 	self := g.members[g.self]
 	self.State = Left
@@ -438,7 +438,7 @@
 	g.rebuild()
 }
 
-// Members returns what is known of every member, in order of id.
+// Members returns all known members, in order of id.
 func (g *Group) Members() []Member {
 	out := make([]Member, 0, len(g.members))
 	for _, m := range g.members {
