--- a/core/member/member.go
+++ b/core/member/member.go
@@ -164,9 +164,9 @@
 	}
 }
 
-// Heard records a message received from a member itself. A member that is in no VM list yet is added,
+// ObserveMessage records a message received from a member itself. A member that is in no VM list yet is added,
 // since its certificate has authenticated it.
-func (g *Group) Heard(l Listed, incarnation uint64, now time.Time) {
+func (g *Group) ObserveMessage(l Listed, incarnation uint64, now time.Time) {
 	m := g.members[l.ID]
 	if m == nil {
 		if l.Addr == "" {
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -332,7 +332,7 @@
 }
 
 func (n *Node) handleHeartbeat(from string, m Heartbeat, now time.Time) {
-	n.Group.Heard(member.Listed{ID: from, Hall: m.Hall, Addr: m.Addr}, m.Incarnation, now)
+	n.Group.ObserveMessage(member.Listed{ID: from, Hall: m.Hall, Addr: m.Addr}, m.Incarnation, now)
 	for _, u := range m.Updates {
 		n.Group.Apply(u, now)
 	}
