--- a/core/member/member.go
+++ b/core/member/member.go
@@ -139,9 +139,9 @@
 	g.ring = g.halls[g.hall]
 }
 
-// List applies the VM list of the platform. New members are added; members that are no longer listed
+// SetListed applies the VM list of the platform. New members are added; members that are no longer listed
 // are removed once they are down or have not been heard from for ForgetAfter.
-func (g *Group) List(list []Listed, now time.Time) {
+func (g *Group) SetListed(list []Listed, now time.Time) {
 	for _, m := range g.members {
 		m.listed = m.ID == g.self
 	}
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -130,7 +130,7 @@
 		n.readDone(e, now)
 	case VMsKnown:
 		n.halls = max(e.Halls, 1)
-		n.Group.List(e.Entries, now)
+		n.Group.SetListed(e.Entries, now)
 	case BillAdded:
 		n.addBill(e.Bill, now)
 	case BillCopyTimedOut:
