--- a/core/member/member.go
+++ b/core/member/member.go
@@ -254,9 +254,9 @@
 	return out
 }
 
-// Believes returns the update to send to a member that this daemon wrongly believes not to be alive,
+// NotAliveUpdate returns the update to send to a member that this daemon wrongly believes not to be alive,
 // so that the member can refute it.
-func (g *Group) Believes(id string) (Update, bool) {
+func (g *Group) NotAliveUpdate(id string) (Update, bool) {
 	m := g.members[id]
 	if m == nil || m.State == Alive {
 		return Update{}, false
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -169,7 +169,7 @@
 	n.turn++
 	for _, id := range n.Group.Tick(now) {
 		m := n.probe(now)
-		if u, gone := n.Group.Believes(id); gone {
+		if u, gone := n.Group.NotAliveUpdate(id); gone {
 			// The member can refute this update if it is wrong.
 			m.Updates = append(m.Updates, u)
 		}
@@ -350,7 +350,7 @@
 	}
 	answer := n.heartbeat(now)
 	answer.Turn = m.Turn
-	if u, wrong := n.Group.Believes(from); wrong {
+	if u, wrong := n.Group.NotAliveUpdate(from); wrong {
 		answer.Updates = append(answer.Updates, u)
 	}
 	n.send(from, answer)
