--- a/core/member/member.go
+++ b/core/member/member.go
@@ -364,8 +364,8 @@
 // Size returns the number of usable members of the local data hall, including this daemon.
 func (g *Group) Size() int { return len(g.ring) }
 
-// Set returns a checksum of the usable members of the local data hall: the sum of their hashes.
-func (g *Group) Set() uint64 {
+// MemberChecksum returns a checksum of the usable members of the local data hall: the sum of their hashes.
+func (g *Group) MemberChecksum() uint64 {
 	sum := uint64(0)
 	for _, m := range g.ring {
 		sum += m.hash
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -286,7 +286,7 @@
 	}
 	hallTotal := n.Tree.Root(aggregation.Hall{Sums: total, Status: aggregation.Status{
 		Name: n.self.Hall, Members: uint32(n.Group.Size()), Daemons: total.Daemons, Down: uint32(n.Group.Missing()),
-		Complete: total.Set == n.Group.Set(), Oldest: total.Oldest,
+		Complete: total.Set == n.Group.MemberChecksum(), Oldest: total.Oldest,
 	}}, now)
 	n.sendTotals(now)
 	for _, hall := range n.Group.Halls() {
