--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -1,6 +1,6 @@
-// Package trace writes decisions down and runs them again. A trace is a text
-// file of JSON objects, one a line: a view, and then the requests that were
-// decided by it, with what came out. docs/TRACES.md describes the format.
+// Package trace records routing decisions and replays them. A trace is a text file
+// with one JSON object per line: a view, followed by the requests that were decided
+// by it, with their outcomes. docs/TRACES.md describes the format.
 package trace
 
 import (
@@ -18,18 +18,18 @@
 	"ladderridge.example/core/table"
 )
 
-// Kind says what sort of error the package met.
+// Kind is the kind of an Error.
 type Kind string
 
 // The kinds of error.
 const (
-	// Malformed is a line that is no part of a trace.
+	// Malformed is a trace that cannot be read.
 	Malformed Kind = "malformed trace"
-	// Differs is a decision that comes out otherwise than the trace states.
-	Differs Kind = "decision differs"
+	// Mismatch is a decision that differs from the recorded one.
+	Mismatch Kind = "decision differs"
 )
 
-// String names the kind.
+// String returns the text of the kind.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
@@ -41,15 +41,15 @@
 	Request *Request `json:"request,omitempty"`
 }
 
-// View is everything that decisions are made from.
+// View is the recorded form of a route.View.
 type View struct {
 	Generation uint64 `json:"generation"`
-	// Table is the table's file.
+	// Table is the content of the table file.
 	Table       string    `json:"table"`
 	Hall        string    `json:"hall"`
 	ConfirmedAt time.Time `json:"confirmed_at"`
 	PublishedAt time.Time `json:"published_at,omitzero"`
-	Doubt       bool      `json:"doubt,omitempty"`
+	Unconfirmed bool      `json:"doubt,omitempty"`
 	SteadyAge   string    `json:"steady_age,omitempty"`
 	RollingAge  string    `json:"rolling_out_age,omitempty"`
 	Servers     []Server  `json:"servers"`
@@ -58,7 +58,7 @@
 	BadFor      []Quality `json:"bad_for,omitempty"`
 }
 
-// Server is one backend server of a view.
+// Server is the recorded form of a backend server of a view.
 type Server struct {
 	ID           string    `json:"id"`
 	Hall         string    `json:"hall"`
@@ -71,7 +71,7 @@
 	EjectedUntil time.Time `json:"ejected_until,omitzero"`
 }
 
-// Quality is an estimate of one version by one organisation.
+// Quality is the quality estimate of one version for one organisation.
 type Quality struct {
 	Organisation string  `json:"organisation"`
 	Kind         string  `json:"kind,omitempty"`
@@ -80,7 +80,7 @@
 	High         float64 `json:"high,omitempty"`
 }
 
-// Request is one decision, with its stated outcome.
+// Request is one request with the recorded decision.
 type Request struct {
 	At           time.Time `json:"at"`
 	ID           string    `json:"id"`
@@ -94,21 +94,21 @@
 	Avoid        []string  `json:"avoid,omitempty"`
 	Cascade      bool      `json:"cascade,omitempty"`
 	Above        float64   `json:"above,omitempty"`
-	// InFlight is what the daemon had under way on servers then.
+	// InFlight is the daemon's own load of the servers at the time.
 	InFlight []InFlight `json:"in_flight,omitempty"`
 	Outcome  Outcome    `json:"outcome"`
-	// Steps are compared if there are any.
+	// Steps are compared in a replay unless the list is empty.
 	Steps []route.Step `json:"steps,omitempty"`
 }
 
-// InFlight is the daemon's own load of one server.
+// InFlight is the number of the daemon's own requests in flight on one server.
 type InFlight struct {
 	Server   string `json:"server"`
 	Requests int64  `json:"requests"`
 }
 
-// Outcome is what a decision comes to. Server may be left out of a trace that
-// is written by hand: then any one will do.
+// Outcome is the outcome of a decision. A trace written by hand may omit Server:
+// then any server matches.
 type Outcome struct {
 	// Kind is send, wait or refuse.
 	Kind    string     `json:"kind"`
@@ -117,7 +117,7 @@
 	Code    route.Code `json:"code,omitempty"`
 }
 
-// OutcomeOf writes a decision's outcome down.
+// OutcomeOf returns the recorded form of an outcome.
 func OutcomeOf(o route.Outcome) Outcome {
 	switch o := o.(type) {
 	case route.Send:
@@ -135,17 +135,17 @@
 	return table.Ref{Model: model, Version: version}
 }
 
-// maxLine bounds a line of a trace, in bytes.
+// maxLine is the maximum length of a line of a trace, in bytes.
 const maxLine = 16 << 20
 
-// Result is what a replay found.
+// Result counts the views and requests that a replay has read.
 type Result struct {
 	Views    int
 	Requests int
 }
 
-// Replay decides every request of a trace again. It fails at the first one
-// that comes out otherwise, and says at which step.
+// Replay repeats the decision for every request of a trace. It fails at the first
+// one that differs from the record; the error names the step.
 func Replay(r io.Reader) (Result, error) {
 	var res Result
 	var view *route.View
@@ -180,22 +180,22 @@
 		return line, &Error{Op: "read line", Kind: Malformed, Err: err}
 	}
 	if (line.View == nil) == (line.Request == nil) {
-		return line, &Error{Op: "read line", Kind: Malformed, Err: errors.New("a line has one view or one request")}
+		return line, &Error{Op: "read line", Kind: Malformed, Err: errors.New("a line must have either a view or a request")}
 	}
 	return line, nil
 }
 
-// replay decides a request again and compares.
+// replay repeats the decision for a request and compares it with the record.
 func (r *Request) replay(v *route.View) error {
 	const op = "replay request"
 	if v == nil {
-		return &Error{Op: op, Kind: Malformed, Err: errors.New("no view comes before " + r.ID)}
+		return &Error{Op: op, Kind: Malformed, Err: errors.New("no view before request " + r.ID)}
 	}
 	tenant := v.Table.Tenant(r.Organisation)
 	if tenant == nil {
 		return &Error{Op: op, Kind: Malformed, Err: errors.New("the table has no organisation " + r.Organisation)}
 	}
-	r.setLoads(v)
+	r.restoreInFlight(v)
 	req := route.Request{
 		ID: r.ID, Tenant: tenant, Model: r.Model, Kind: r.Kind, Session: r.Session, Prefix: r.Prefix,
 		Seed: r.Seed, Avoid: r.Avoid, Cascade: r.Cascade, Above: r.Above,
@@ -206,7 +206,7 @@
 	return r.compare(route.Decide(v, req, r.At))
 }
 
-func (r *Request) setLoads(v *route.View) {
+func (r *Request) restoreInFlight(v *route.View) {
 	loads := map[string]int64{}
 	for _, l := range r.InFlight {
 		loads[l.Server] = l.Requests
@@ -224,7 +224,7 @@
 			break
 		}
 		if i >= len(r.Steps) || i >= len(d.Steps) || r.Steps[i] != d.Steps[i] {
-			return r.differs(fmt.Sprintf("step %d is %q, stated was %q", i+1, stepAt(d.Steps, i), stepAt(r.Steps, i)))
+			return r.mismatch(fmt.Sprintf("step %d is %q, recorded was %q", i+1, stepAt(d.Steps, i), stepAt(r.Steps, i)))
 		}
 	}
 	got, want := OutcomeOf(d.Outcome), r.Outcome
@@ -232,7 +232,7 @@
 		got.Server = ""
 	}
 	if got != want {
-		return r.differs(fmt.Sprintf("the outcome is %+v, stated was %+v", got, want))
+		return r.mismatch(fmt.Sprintf("the outcome is %+v, recorded was %+v", got, want))
 	}
 	return nil
 }
@@ -244,11 +244,11 @@
 	return steps[i].String()
 }
 
-func (r *Request) differs(text string) error {
-	return &Error{Op: "replay request " + r.ID, Kind: Differs, Err: errors.New(text)}
+func (r *Request) mismatch(text string) error {
+	return &Error{Op: "replay request " + r.ID, Kind: Mismatch, Err: errors.New(text)}
 }
 
-// view builds the view that decisions are made from.
+// view returns the route.View that was recorded.
 func (v *View) view() (*route.View, error) {
 	t, err := table.Parse([]byte(v.Table))
 	if err != nil {
@@ -256,7 +256,7 @@
 	}
 	out := &route.View{
 		Generation: table.Generation{Number: v.Generation}, Table: t, Hall: v.Hall,
-		ConfirmedAt: v.ConfirmedAt, PublishedAt: v.PublishedAt, Unconfirmed: v.Doubt,
+		ConfirmedAt: v.ConfirmedAt, PublishedAt: v.PublishedAt, Unconfirmed: v.Unconfirmed,
 		Engines: map[table.Ref][]*route.Server{}, Services: map[string][]*route.Server{},
 		Quality: map[route.QualityKey]route.Estimate{}, Guarded: map[table.Ref]string{}, BadFor: map[route.QualityKey]bool{},
 	}
@@ -305,23 +305,23 @@
 	return route.QualityKey{Organisation: q.Organisation, Kind: q.Kind, Ref: parseRef(q.Version)}
 }
 
-// ViewOf writes a view down.
+// ViewOf returns the recorded form of a view.
 func ViewOf(v *route.View) View {
 	out := View{
 		Generation: v.Generation.Number, Table: string(v.Table.Encode()), Hall: v.Hall,
-		ConfirmedAt: v.ConfirmedAt, PublishedAt: v.PublishedAt, Doubt: v.Unconfirmed,
+		ConfirmedAt: v.ConfirmedAt, PublishedAt: v.PublishedAt, Unconfirmed: v.Unconfirmed,
 		SteadyAge: v.Ages.Steady.String(), RollingAge: v.Ages.RollingOut.String(),
 	}
 	servers := map[string]*Server{}
 	for ref, list := range v.Engines {
 		for _, s := range list {
-			w := writeServer(servers, s)
+			w := addServer(servers, s)
 			w.Loaded = append(w.Loaded, ref.String())
 		}
 	}
 	for service, list := range v.Services {
 		for _, s := range list {
-			writeServer(servers, s).Service = service
+			addServer(servers, s).Service = service
 		}
 	}
 	for _, s := range servers {
@@ -342,7 +342,7 @@
 	return out
 }
 
-func writeServer(servers map[string]*Server, s *route.Server) *Server {
+func addServer(servers map[string]*Server, s *route.Server) *Server {
 	w := servers[s.ID]
 	if w == nil {
 		w = &Server{
@@ -354,8 +354,8 @@
 	return w
 }
 
-// RequestOf writes a decision down. The view's loads must not have changed
-// since it was made: see Freeze.
+// RequestOf returns the recorded form of a request and its decision. The load
+// counters of the view must not have changed since the decision: see Freeze.
 func RequestOf(v *route.View, r route.Request, at time.Time, d route.Decision) Request {
 	out := Request{
 		At: at, ID: r.ID, Organisation: r.Tenant.Organisation.Name, Model: r.Model, Kind: r.Kind, Session: r.Session,
@@ -378,8 +378,8 @@
 	return out
 }
 
-// Freeze returns a copy of a view whose loads no longer change, so that a
-// decision by it can be written down just as it was made. back leads from a
+// Freeze returns a copy of a view whose load counters no longer change, so that a
+// decision by it is recorded with the loads that it was made from. back maps each
 // server of the copy to the original.
 func Freeze(v *route.View) (frozen *route.View, back map[*route.Server]*route.Server) {
 	w := *v
@@ -390,10 +390,10 @@
 		for _, s := range list {
 			c := copies[s]
 			if c == nil {
-				still := *s
-				still.State = &route.ServerState{}
-				still.State.InFlight.Store(s.State.InFlight.Load())
-				c = &still
+				clone := *s
+				clone.State = &route.ServerState{}
+				clone.State.InFlight.Store(s.State.InFlight.Load())
+				c = &clone
 				copies[s], back[c] = c, s
 			}
 			w.Engines[ref] = append(w.Engines[ref], c)
--- a/core/trace/trace_test.go
+++ b/core/trace/trace_test.go
@@ -20,7 +20,7 @@
 
 var now = time.Unix(1_800_000_000, 0).UTC()
 
-func draw(t *rapid.T) (*route.View, route.Request) {
+func drawDecision(t *rapid.T) (*route.View, route.Request) {
 	tab := table.Table{Organisations: []table.Organisation{{Name: "o"}}}
 	v := &route.View{
 		Generation: table.Generation{Number: 3}, Hall: "a", ConfirmedAt: now.Add(-time.Second),
@@ -40,7 +40,7 @@
 	return v, route.Request{ID: rapid.StringN(1, 6, 6).Draw(t, "id"), Tenant: v.Table.Tenant("o"), Model: route.Auto, Seed: rapid.Uint64().Draw(t, "seed")}
 }
 
-func write(t interface{ Fatal(...any) }, lines ...trace.Line) *bytes.Buffer {
+func encode(t interface{ Fatal(...any) }, lines ...trace.Line) *bytes.Buffer {
 	var buf bytes.Buffer
 	for _, l := range lines {
 		if err := json.NewEncoder(&buf).Encode(l); err != nil {
@@ -50,15 +50,15 @@
 	return &buf
 }
 
-// TestWrittenDecisionsReplay writes any decision down and replays it; with a
-// changed step or outcome it must not pass.
-func TestWrittenDecisionsReplay(t *testing.T) {
+// TestRecordedDecisionsReplay records drawn decisions and replays them. The replay
+// must fail if a step or the outcome of the record is changed.
+func TestRecordedDecisionsReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v, r := draw(t)
+		v, r := drawDecision(t)
 		frozen, _ := trace.Freeze(v)
 		d := route.Decide(frozen, r, now)
 		view, request := trace.ViewOf(frozen), trace.RequestOf(frozen, r, now, d)
-		if _, err := trace.Replay(write(t, trace.Line{View: &view}, trace.Line{Request: &request})); err != nil {
+		if _, err := trace.Replay(encode(t, trace.Line{View: &view}, trace.Line{Request: &request})); err != nil {
 			t.Fatal(err)
 		}
 		step, outcome := request, request
@@ -66,16 +66,16 @@
 		step.Steps[len(step.Steps)-1].Text += " changed"
 		outcome.Outcome.Version += "9"
 		for _, changed := range []trace.Request{step, outcome} {
-			_, err := trace.Replay(write(t, trace.Line{View: &view}, trace.Line{Request: &changed}))
-			if !fault.Is(err, trace.Differs) {
+			_, err := trace.Replay(encode(t, trace.Line{View: &view}, trace.Line{Request: &changed}))
+			if !fault.Is(err, trace.Mismatch) {
 				t.Fatalf("a changed trace replays with %v", err)
 			}
 		}
 	})
 }
 
-// TestRecordedTraces replays the traces that are kept.
-func TestRecordedTraces(t *testing.T) {
+// TestTraceFilesReplay replays the traces in testdata.
+func TestTraceFilesReplay(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no traces: %v", err)
@@ -93,10 +93,10 @@
 	}
 }
 
-func TestMalformedTraces(t *testing.T) {
+func TestMalformedTracesAreRejected(t *testing.T) {
 	for _, text := range []string{"x\n", "{}\n", `{"request":{"id":"r"}}` + "\n", `{"view":{"table":"colour\n"}}` + "\n"} {
 		if _, err := trace.Replay(bytes.NewBufferString(text)); err == nil {
-			t.Errorf("%q replays", text)
+			t.Errorf("%q replays without an error", text)
 		}
 	}
 }
