--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -101,7 +101,7 @@
 		"all leaving":      {func(v *route.View, _ *route.Request) { markAllLeaving(v) }, route.NoCapacity},
 		"all tried":        {func(_ *route.View, r *route.Request) { r.Avoid = []string{"roster@v1-1", "roster@v1-2"} }, route.NoCapacity},
 		"paused":           {func(v *route.View, _ *route.Request) { v.PublishedAt = now.Add(-time.Minute) }, route.StaleConfig},
-		"in doubt":         {func(v *route.View, _ *route.Request) { v.Unconfirmed = true }, route.StaleConfig},
+		"unconfirmed":      {func(v *route.View, _ *route.Request) { v.Unconfirmed = true }, route.StaleConfig},
 		"too old":          {func(v *route.View, _ *route.Request) { v.ConfirmedAt, v.Ages.Steady = now.Add(-time.Hour), time.Minute }, route.StaleConfig},
 		"pinned elsewhere": {func(_ *route.View, r *route.Request) { r.Pin = v2 }, route.SessionVersionGone},
 	} {
