--- a/core/bill/bill.go
+++ b/core/bill/bill.go
@@ -1,10 +1,9 @@
 // Package bill keeps the bills that the platform has not acknowledged yet.
 //
-// Each request is billed under its own key by a conditional write that creates
-// the key or finds it there, so a bill may be written any number of times by
-// any daemon and counts once. Until the platform has it, a bill is held by the
-// daemon that served the request and, as a copy, by one other daemon, which
-// writes it should the first one go.
+// Each request is billed under its own key by a conditional write, which either creates the key or
+// finds it present. Writes are therefore idempotent: any daemon may repeat them, and each bill counts
+// once. Until the platform has a bill, it is held by the daemon that served the request, and one other
+// daemon holds a copy, which it writes if the first daemon fails.
 package bill
 
 import (
@@ -13,7 +12,7 @@
 	"time"
 )
 
-// Bill is what one request costs.
+// Bill is the cost of one request.
 type Bill struct {
 	_            struct{} `cbor:",toarray"`
 	Key          string
@@ -23,49 +22,48 @@
 	Tokens       int64
 	// Cost is in micro-units of money.
 	Cost int64
-	// UnixMS is when the answer ended.
+	// UnixMS is when the response ended.
 	UnixMS int64
 }
 
-// The bounds of the ledger.
+// Limits and delays.
 const (
-	// MaxPending is how many bills a daemon holds before it stops taking work.
+	// MaxPending is the number of pending bills at which a daemon stops accepting requests.
 	MaxPending = 100_000
-	// MaxCopies is how many bills of other daemons it holds.
+	// MaxCopies is the maximum number of copies that a daemon holds for other daemons.
 	MaxCopies = 150_000
-	// MaxBatch is how many bills go into one transaction.
+	// MaxBatch is the maximum number of bills in one transaction.
 	MaxBatch = 100
 	// FlushAfter is how long a bill waits for others to share its transaction.
 	FlushAfter = 200 * time.Millisecond
-	// AdoptAfter is how long a silent daemon's copies wait before their holder
-	// writes them. Writing one twice does no harm.
+	// AdoptAfter is the age of a copy from which its holder writes it if the origin has failed. It is safe
+	// if the origin writes it as well.
 	AdoptAfter = 10 * time.Second
-	// OverdueAfter is how long a copy waits at most, also when its origin
-	// lives: it may have started anew and know nothing of the bill.
+	// OverdueAfter is the age of a copy from which its holder writes it even if the origin is alive: the
+	// origin may have restarted and lost the bill.
 	OverdueAfter = 30 * time.Second
-	// retryFloor and retryCeiling bound the pause after a failed write.
-	retryFloor   = 200 * time.Millisecond
-	retryCeiling = 5 * time.Second
+	// minBackoff and maxBackoff bound the back-off after a failed write.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
 )
 
-// Ledger holds the bills of one daemon. It is owned by one goroutine.
+// Ledger holds the pending bills of one daemon. It must be used by one goroutine only.
 type Ledger struct {
-	pending map[string]Bill
-	order   []string
-	flying  []Bill
-	// due is when the next batch may go.
-	due   time.Time
-	pause time.Duration
-	// Written counts bills acknowledged by the platform; Found those that were
-	// there already.
+	pending  map[string]Bill
+	order    []string
+	inFlight []Bill
+	// due is when the next batch may be written.
+	due     time.Time
+	backoff time.Duration
+	// Written counts the bills that this daemon wrote; Found those that were already in the store.
 	Written int64
 	Found   int64
 }
 
-// NewLedger returns an empty ledger.
+// NewLedger returns an empty set of pending bills.
 func NewLedger() *Ledger { return &Ledger{pending: map[string]Bill{}} }
 
-// Add holds a bill. A bill that is held already counts once.
+// Add adds a bill. Adding a bill that is pending already has no effect.
 func (l *Ledger) Add(b Bill, now time.Time) {
 	if _, ok := l.pending[b.Key]; ok {
 		return
@@ -77,41 +75,43 @@
 	l.order = append(l.order, b.Key)
 }
 
-// Get returns a bill that is held.
+// Get returns a pending bill.
 func (l *Ledger) Get(key string) (Bill, bool) {
 	b, ok := l.pending[key]
 	return b, ok
 }
 
-// Pending is how many bills the platform has not acknowledged.
+// Pending returns the number of bills that the platform has not acknowledged.
 func (l *Ledger) Pending() int { return len(l.pending) }
 
-// Full reports whether the daemon holds as many bills as it may.
+// Full reports whether MaxPending is reached.
 func (l *Ledger) Full() bool { return len(l.pending) >= MaxPending }
 
-// Batch returns the bills to write now, if any are due and none are being
-// written. End the batch with Done or Failed.
-func (l *Ledger) Batch(now time.Time, hurry bool) []Bill {
-	if len(l.flying) > 0 || len(l.pending) == 0 {
+// Batch returns the bills to write now, or nil if none are due or a batch is being written already.
+// The result of the write is passed to Settle or BatchFailed. With immediate set, a batch need not
+// wait for FlushAfter.
+func (l *Ledger) Batch(now time.Time, immediate bool) []Bill {
+	if len(l.inFlight) > 0 || len(l.pending) == 0 {
 		return nil
 	}
-	early := l.pause == 0 && (hurry || len(l.pending) >= MaxBatch)
+	early := l.backoff == 0 && (immediate || len(l.pending) >= MaxBatch)
 	if now.Before(l.due) && !early {
 		return nil
 	}
 	for _, key := range l.order[:min(len(l.order), MaxBatch)] {
-		l.flying = append(l.flying, l.pending[key])
+		l.inFlight = append(l.inFlight, l.pending[key])
 	}
-	return l.flying
+	return l.inFlight
 }
 
-// Done ends a batch that took effect, or whose keys in found were there
-// before: those are billed already, and the others stay to be written.
+// Done ends a batch that was written, or that was not written because the keys in found were in the
+// store already. In the latter case only the bills of these keys are settled and the others stay
+// pending. It returns the keys of the settled bills.
 func (l *Ledger) Done(found []string, now time.Time) []string {
 	settled := found
 	if len(found) == 0 {
-		settled = make([]string, 0, len(l.flying))
-		for _, b := range l.flying {
+		settled = make([]string, 0, len(l.inFlight))
+		for _, b := range l.inFlight {
 			settled = append(settled, b.Key)
 		}
 		l.Written += int64(len(settled))
@@ -119,7 +119,7 @@
 		l.Found += int64(len(found))
 	}
 	l.Drop(settled)
-	l.flying, l.pause = nil, 0
+	l.inFlight, l.backoff = nil, 0
 	l.due = now
 	if len(found) == 0 && len(l.pending) < MaxBatch {
 		l.due = now.Add(FlushAfter)
@@ -127,7 +127,7 @@
 	return settled
 }
 
-// Drop forgets bills that another daemon has taken over.
+// Drop removes bills that another daemon has taken over.
 func (l *Ledger) Drop(keys []string) {
 	for _, key := range keys {
 		delete(l.pending, key)
@@ -138,15 +138,15 @@
 	})
 }
 
-// Failed ends a batch that may or may not have taken effect. It is tried again
-// after the time the platform asked for, or a growing pause.
-func (l *Ledger) Failed(after time.Duration, now time.Time) {
-	l.flying = nil
-	l.pause = min(max(l.pause*2, retryFloor), retryCeiling)
-	l.due = now.Add(max(after, l.pause))
+// Failed ends a batch whose write failed or has an unknown outcome. It is retried after the delay that
+// the platform asked for, or after an exponential back-off if that is longer.
+func (l *Ledger) Failed(retryAfter time.Duration, now time.Time) {
+	l.inFlight = nil
+	l.backoff = min(max(l.backoff*2, minBackoff), maxBackoff)
+	l.due = now.Add(max(retryAfter, l.backoff))
 }
 
-// Each calls f with the bills held, the oldest first, until f returns false.
+// Each calls f with the pending bills, the oldest first, until f returns false.
 func (l *Ledger) Each(f func(Bill) bool) {
 	for _, key := range l.order {
 		if !f(l.pending[key]) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// Bills returns every bill held, the oldest first, for a hand-over.
+// Bills returns all pending bills, the oldest first, for a hand-over.
 func (l *Ledger) Bills() []Bill {
 	out := make([]Bill, 0, len(l.pending))
 	l.Each(func(b Bill) bool {
@@ -165,66 +165,66 @@
 	return out
 }
 
-// copied is a bill held for another daemon, with when it came.
-type copied struct {
-	bill Bill
-	at   time.Time
+// copied is the copy of a bill with its time of arrival.
+type heldCopy struct {
+	bill       Bill
+	receivedAt time.Time
 }
 
-// Copies holds bills for other daemons. It is owned by one goroutine.
+// Copies holds copies of bills for other daemons. It must be used by one goroutine only.
 type Copies struct {
-	from map[string]map[string]copied
+	byOrigin map[string]map[string]heldCopy
 }
 
 // NewCopies returns an empty set.
-func NewCopies() *Copies { return &Copies{from: map[string]map[string]copied{}} }
+func NewCopies() *Copies { return &Copies{byOrigin: map[string]map[string]heldCopy{}} }
 
-// Hold keeps copies of another daemon's bills, as far as there is room, and
-// reports whether it kept them all.
+// Hold stores copies of another daemon's bills and reports whether all of them fitted within
+// MaxCopies.
 func (c *Copies) Hold(origin string, bills []Bill, now time.Time) bool {
-	held := c.from[origin]
+	held := c.byOrigin[origin]
 	if held == nil {
-		held = map[string]copied{}
-		c.from[origin] = held
+		held = map[string]heldCopy{}
+		c.byOrigin[origin] = held
 	}
 	for _, b := range bills {
 		if c.Held() >= MaxCopies {
 			return false
 		}
-		held[b.Key] = copied{bill: b, at: now}
+		held[b.Key] = heldCopy{bill: b, receivedAt: now}
 	}
 	return true
 }
 
-// Release drops copies that the platform has acknowledged to their origin.
+// Release drops copies of bills that the platform has acknowledged to their origin.
 func (c *Copies) Release(origin string, keys []string) {
-	held := c.from[origin]
+	held := c.byOrigin[origin]
 	for _, key := range keys {
 		delete(held, key)
 	}
 	if len(held) == 0 {
-		delete(c.from, origin)
+		delete(c.byOrigin, origin)
 	}
 }
 
-// Adopted are copies that their holder writes itself now.
+// Adopted holds the bills that the holder of their copies now writes itself.
 type Adopted struct {
-	// Orphans are bills of daemons that are gone.
+	// Orphans are bills of daemons that have failed.
 	Orphans []Bill
-	// Overdue are bills of daemons that may still hold them too.
+	// Overdue are bills of daemons that are alive and may hold them too.
 	Overdue []Bill
 }
 
-// Adopt takes the copies out that this daemon is to write itself. The answer
-// of usable says which daemons are not gone.
+// Adopt removes and returns the copies that this daemon has to write itself. The function usable
+// reports whether a daemon is alive.
 func (c *Copies) Adopt(usable func(id string) bool, now time.Time) Adopted {
 	var out Adopted
-	for origin, held := range c.from {
-		lives := usable(origin)
+	for origin, held := range c.byOrigin {
+		alive := usable(origin)
 		for key, kept := range held {
-			age := now.Sub(kept.at)
+			age := now.Sub(kept.receivedAt)
 			switch {
-			case !lives && age >= AdoptAfter:
+			case !alive && age >= AdoptAfter:
 				out.Orphans = append(out.Orphans, kept.bill)
 			case age >= OverdueAfter:
 				out.Overdue = append(out.Overdue, kept.bill)
@@ -234,7 +234,7 @@
 			delete(held, key)
 		}
 		if len(held) == 0 {
-			delete(c.from, origin)
+			delete(c.byOrigin, origin)
 		}
 	}
 	sortBills(out.Orphans)
@@ -242,10 +242,10 @@
 	return out
 }
 
-// All returns every copy held, in order of key, for a hand-over.
+// All returns all copies, in order of key, for a hand-over.
 func (c *Copies) All() []Bill {
 	var out []Bill
-	for _, held := range c.from {
+	for _, held := range c.byOrigin {
 		for _, kept := range held {
 			out = append(out, kept.bill)
 		}
@@ -258,10 +258,10 @@
 	slices.SortFunc(bills, func(a, b Bill) int { return cmp.Compare(a.Key, b.Key) })
 }
 
-// Held is how many copies are held.
+// Held returns the number of copies.
 func (c *Copies) Held() int {
 	n := 0
-	for _, held := range c.from {
+	for _, held := range c.byOrigin {
 		n += len(held)
 	}
 	return n
--- a/core/bill/bill_test.go
+++ b/core/bill/bill_test.go
@@ -12,8 +12,8 @@
 	"ladderridge.example/core/bill"
 )
 
-// TestEveryBillCountsOnce drives a ledger against a platform that loses
-// answers, fails and has some bills already.
+// TestEveryBillCountsOnce writes bills to a platform that loses answers, fails, and has some of the
+// bills already.
 func TestEveryBillCountsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := bill.NewLedger()
