--- a/core/bill/bill.go
+++ b/core/bill/bill.go
@@ -81,8 +81,8 @@
 	return b, ok
 }
 
-// Pending returns the number of bills that the platform has not acknowledged.
-func (l *Ledger) Pending() int { return len(l.pending) }
+// Len returns the number of bills that the platform has not acknowledged.
+func (l *Ledger) Len() int { return len(l.pending) }
 
 // Full reports whether MaxPending is reached.
 func (l *Ledger) Full() bool { return len(l.pending) >= MaxPending }
--- a/core/bill/bill_test.go
+++ b/core/bill/bill_test.go
@@ -68,8 +68,8 @@
 			now = now.Add(6 * time.Second)
 			write(false, false)
 		}
-		if l.Pending() > 0 || len(platform) != added {
-			t.Fatalf("of %d bills %d are written and %d pending", added, len(platform), l.Pending())
+		if l.Len() > 0 || len(platform) != added {
+			t.Fatalf("of %d bills %d are written and %d pending", added, len(platform), l.Len())
 		}
 		for key, n := range platform {
 			if n != 1 {
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -249,7 +249,7 @@
 			l.tick(begun)
 		case <-flush.C:
 			begun = time.Now()
-			if l.node.Ledger.Pending() > 0 {
+			if l.node.Ledger.Len() > 0 {
 				l.feed(node.Flush{}, begun)
 			}
 		case <-poll.C:
--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -111,7 +111,7 @@
 // Pending returns how many bills the platform has not acknowledged.
 func (c *Control) Pending() (int, error) {
 	n := 0
-	err := c.askLoop(func(l *loop) { n = l.node.Ledger.Pending() })
+	err := c.askLoop(func(l *loop) { n = l.node.Ledger.Len() })
 	return n, err
 }
 
@@ -126,7 +126,7 @@
 	d := Dump{
 		ID: l.Settings.ID, Hall: l.Settings.Hall, Generation: l.gen, Rank: l.node.Group.Rank(),
 		Halls: l.dumpHalls(now), Shares: l.Snapshot().Shares,
-		PendingBills: l.node.Ledger.Pending(), CopiesHeld: l.node.Copies.Held(),
+		PendingBills: l.node.Ledger.Len(), CopiesHeld: l.node.Copies.Held(),
 		BillsWritten: l.node.Ledger.Written, BillsFound: l.node.Ledger.Found,
 		DroppedFacts: l.DroppedFacts.Load(), BusyMS: float64(l.Busy.Load()) / float64(time.Millisecond),
 		PlatformCall: l.Platform.Calls.Load(), PlatformByte: l.Platform.Bytes.Load(),
