--- a/core/bill/bill.go
+++ b/core/bill/bill.go
@@ -47,8 +47,8 @@
 	maxBackoff = 5 * time.Second
 )
 
-// Ledger holds the pending bills of one daemon. It must be used by one goroutine only.
-type Ledger struct {
+// Pending holds the pending bills of one daemon. It must be used by one goroutine only.
+type Pending struct {
 	pending  map[string]Bill
 	order    []string
 	inFlight []Bill
@@ -61,10 +61,10 @@
 }
 
 // NewLedger returns an empty set of pending bills.
-func NewLedger() *Ledger { return &Ledger{pending: map[string]Bill{}} }
+func NewLedger() *Pending { return &Pending{pending: map[string]Bill{}} }
 
 // Add adds a bill. Adding a bill that is pending already has no effect.
-func (l *Ledger) Add(b Bill, now time.Time) {
+func (l *Pending) Add(b Bill, now time.Time) {
 	if _, ok := l.pending[b.Key]; ok {
 		return
 	}
@@ -76,21 +76,21 @@
 }
 
 // Get returns a pending bill.
-func (l *Ledger) Get(key string) (Bill, bool) {
+func (l *Pending) Get(key string) (Bill, bool) {
 	b, ok := l.pending[key]
 	return b, ok
 }
 
 // Len returns the number of bills that the platform has not acknowledged.
-func (l *Ledger) Len() int { return len(l.pending) }
+func (l *Pending) Len() int { return len(l.pending) }
 
 // Full reports whether MaxPending is reached.
-func (l *Ledger) Full() bool { return len(l.pending) >= MaxPending }
+func (l *Pending) Full() bool { return len(l.pending) >= MaxPending }
 
 // Batch returns the bills to write now, or nil if none are due or a batch is being written already.
 // The result of the write is passed to Settle or BatchFailed. With immediate set, a batch need not
 // wait for FlushAfter.
-func (l *Ledger) Batch(now time.Time, immediate bool) []Bill {
+func (l *Pending) Batch(now time.Time, immediate bool) []Bill {
 	if len(l.inFlight) > 0 || len(l.pending) == 0 {
 		return nil
 	}
@@ -107,7 +107,7 @@
 // Done ends a batch that was written, or that was not written because the keys in found were in the
 // store already. In the latter case only the bills of these keys are settled and the others stay
 // pending. It returns the keys of the settled bills.
-func (l *Ledger) Done(found []string, now time.Time) []string {
+func (l *Pending) Done(found []string, now time.Time) []string {
 	settled := found
 	if len(found) == 0 {
 		settled = make([]string, 0, len(l.inFlight))
@@ -128,7 +128,7 @@
 }
 
 // Drop removes bills that another daemon has taken over.
-func (l *Ledger) Drop(keys []string) {
+func (l *Pending) Drop(keys []string) {
 	for _, key := range keys {
 		delete(l.pending, key)
 	}
@@ -140,14 +140,14 @@
 
 // Failed ends a batch whose write failed or has an unknown outcome. It is retried after the delay that
 // the platform asked for, or after an exponential back-off if that is longer.
-func (l *Ledger) Failed(retryAfter time.Duration, now time.Time) {
+func (l *Pending) Failed(retryAfter time.Duration, now time.Time) {
 	l.inFlight = nil
 	l.backoff = min(max(l.backoff*2, minBackoff), maxBackoff)
 	l.due = now.Add(max(retryAfter, l.backoff))
 }
 
 // Each calls f with the pending bills, the oldest first, until f returns false.
-func (l *Ledger) Each(f func(Bill) bool) {
+func (l *Pending) Each(f func(Bill) bool) {
 	for _, key := range l.order {
 		if !f(l.pending[key]) {
 			return
@@ -156,7 +156,7 @@
 }
 
 // Bills returns all pending bills, the oldest first, for a hand-over.
-func (l *Ledger) Bills() []Bill {
+func (l *Pending) Bills() []Bill {
 	out := make([]Bill, 0, len(l.pending))
 	l.Each(func(b Bill) bool {
 		out = append(out, b)
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -72,7 +72,7 @@
 	Group  *member.Group
 	Store  replication.Store
 	Tree   *aggregation.Tree
-	Ledger *bill.Ledger
+	Ledger *bill.Pending
 	Copies *bill.Copies
 
 	self    member.Listed
