--- a/core/bill/bill.go
+++ b/core/bill/bill.go
@@ -60,8 +60,8 @@
 	Found   int64
 }
 
-// NewLedger returns an empty set of pending bills.
-func NewLedger() *Pending { return &Pending{pending: map[string]Bill{}} }
+// NewPending returns an empty set of pending bills.
+func NewPending() *Pending { return &Pending{pending: map[string]Bill{}} }
 
 // Add adds a bill. Adding a bill that is pending already has no effect.
 func (l *Pending) Add(b Bill, now time.Time) {
--- a/core/bill/bill_test.go
+++ b/core/bill/bill_test.go
@@ -16,7 +16,7 @@
 // bills already.
 func TestEveryBillCountsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := bill.NewLedger()
+		l := bill.NewPending()
 		now := time.Unix(1_800_000_000, 0)
 		platform := map[string]int{}
 		added := 0
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -98,7 +98,7 @@
 	return &Node{
 		Group:       member.New(self, incarnation, now),
 		Tree:        aggregation.NewTree(),
-		Ledger:      bill.NewLedger(),
+		Ledger:      bill.NewPending(),
 		Copies:      bill.NewCopies(),
 		self:        self,
 		halls:       1,
--- a/daemon/peer/core_measure_test.go
+++ b/daemon/peer/core_measure_test.go
@@ -102,7 +102,7 @@
 func TestCapacityOfBills(t *testing.T) {
 	const many = 100_000
 	before := liveHeap()
-	ledger := bill.NewLedger()
+	ledger := bill.NewPending()
 	for i := range many {
 		ledger.Add(longBill(i), time.Time{})
 	}
