--- a/core/bill/bill.go
+++ b/core/bill/bill.go
@@ -104,10 +104,10 @@
 	return l.inFlight
 }
 
-// Done ends a batch that was written, or that was not written because the keys in found were in the
+// Settle ends a batch that was written, or that was not written because the keys in found were in the
 // store already. In the latter case only the bills of these keys are settled and the others stay
 // pending. It returns the keys of the settled bills.
-func (l *Pending) Done(found []string, now time.Time) []string {
+func (l *Pending) Settle(found []string, now time.Time) []string {
 	settled := found
 	if len(found) == 0 {
 		settled = make([]string, 0, len(l.inFlight))
--- a/core/bill/bill_test.go
+++ b/core/bill/bill_test.go
@@ -44,7 +44,7 @@
 				l.Failed(0, now)
 				return
 			}
-			l.Done(found, now)
+			l.Settle(found, now)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(t *rapid.T) {
--- a/core/node/node_bills.go
+++ b/core/node/node_bills.go
@@ -123,7 +123,7 @@
 // billsWritten removes the bills of a batch and notifies the holders of their copies.
 func (n *Node) billsWritten(found []string, now time.Time) {
 	release := map[string][]string{}
-	for _, key := range n.Ledger.Done(found, now) {
+	for _, key := range n.Ledger.Settle(found, now) {
 		n.actions = append(n.actions, BillDurable{Key: key})
 		if h := n.copyHolders[key]; h.id != "" {
 			release[h.id] = append(release[h.id], key)
