--- a/core/bill/bill.go
+++ b/core/bill/bill.go
@@ -138,9 +138,9 @@
 	})
 }
 
-// Failed ends a batch whose write failed or has an unknown outcome. It is retried after the delay that
+// BatchFailed ends a batch whose write failed or has an unknown outcome. It is retried after the delay that
 // the platform asked for, or after an exponential back-off if that is longer.
-func (l *Pending) Failed(retryAfter time.Duration, now time.Time) {
+func (l *Pending) BatchFailed(retryAfter time.Duration, now time.Time) {
 	l.inFlight = nil
 	l.backoff = min(max(l.backoff*2, minBackoff), maxBackoff)
 	l.due = now.Add(max(retryAfter, l.backoff))
--- a/core/bill/bill_test.go
+++ b/core/bill/bill_test.go
@@ -26,7 +26,7 @@
 				return
 			}
 			if failed {
-				l.Failed(0, now)
+				l.BatchFailed(0, now)
 				return
 			}
 			var found []string
@@ -41,7 +41,7 @@
 				}
 			}
 			if lost {
-				l.Failed(0, now)
+				l.BatchFailed(0, now)
 				return
 			}
 			l.Settle(found, now)
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -138,7 +138,7 @@
 	case BillsWritten:
 		n.billsWritten(e.Found, now)
 	case BillsFailed:
-		n.Ledger.Failed(e.RetryAfter, now)
+		n.Ledger.BatchFailed(e.RetryAfter, now)
 	case ServerLeaving:
 		n.handleServerLeaving(e.ID, now, now)
 	case Leave:
