--- a/core/node/node.go
+++ b/core/node/node.go
@@ -69,11 +69,11 @@
 	// Seeds are the daemons to contact while no VM list is known. Set them before the first event.
 	Seeds []member.Listed
 
-	Group  *member.Group
-	Store  replication.Store
-	Tree   *aggregation.Tree
-	Ledger *bill.Pending
-	Copies *bill.Copies
+	Group   *member.Group
+	Store   replication.Store
+	Tree    *aggregation.Tree
+	Pending *bill.Pending
+	Copies  *bill.Copies
 
 	self    member.Listed
 	halls   int
@@ -98,7 +98,7 @@
 	return &Node{
 		Group:       member.New(self, incarnation, now),
 		Tree:        aggregation.NewTree(),
-		Ledger:      bill.NewPending(),
+		Pending:     bill.NewPending(),
 		Copies:      bill.NewCopies(),
 		self:        self,
 		halls:       1,
@@ -138,7 +138,7 @@
 	case BillsWritten:
 		n.billsWritten(e.Found, now)
 	case BillsFailed:
-		n.Ledger.BatchFailed(e.RetryAfter, now)
+		n.Pending.BatchFailed(e.RetryAfter, now)
 	case ServerLeaving:
 		n.handleServerLeaving(e.ID, now, now)
 	case Leave:
@@ -450,7 +450,7 @@
 		n.send(id, n.heartbeat(now))
 	}
 	buddy, ok := n.copyHolder()
-	bills := append(n.Ledger.Bills(), n.Copies.All()...)
+	bills := append(n.Pending.Bills(), n.Copies.All()...)
 	if len(bills) == 0 || !ok {
 		return
 	}
--- a/core/node/node_bills.go
+++ b/core/node/node_bills.go
@@ -44,7 +44,7 @@
 
 // addBill stores a bill and sends a copy to another daemon.
 func (n *Node) addBill(b bill.Bill, now time.Time) {
-	n.Ledger.Add(b, now)
+	n.Pending.Add(b, now)
 	if buddy, ok := n.copyHolder(); ok {
 		n.copyHolders[b.Key] = holder{id: buddy, sent: now}
 		n.send(buddy, Copies{Bills: []bill.Bill{b}})
@@ -57,7 +57,7 @@
 // billAgain sends the copy of a bill to a second daemon. The first one has not answered and may have
 // failed or be paused without having been detected yet.
 func (n *Node) billAgain(key string, now time.Time) {
-	b, held := n.Ledger.Get(key)
+	b, held := n.Pending.Get(key)
 	previous := n.copyHolders[key].id
 	if !held {
 		return
@@ -84,7 +84,7 @@
 		return
 	}
 	var resend []bill.Bill
-	n.Ledger.Each(func(b bill.Bill) bool {
+	n.Pending.Each(func(b bill.Bill) bool {
 		h := n.copyHolders[b.Key]
 		held := n.Group.Usable(h.id) && (h.acknowledged || now.Sub(h.sent) < copyAckTimeout)
 		if !held && h.id != n.self.ID {
@@ -102,7 +102,7 @@
 // other daemon has taken the bills over.
 func (n *Node) handleCopiesHeld(from string, keys []string) {
 	if n.stopped {
-		n.Ledger.Drop(keys)
+		n.Pending.Drop(keys)
 	}
 	for _, key := range keys {
 		if h := n.copyHolders[key]; h.id == from {
@@ -115,7 +115,7 @@
 
 // flush requests a write of the next batch of bills if one is due.
 func (n *Node) flush(now time.Time) {
-	if batch := n.Ledger.Batch(now, n.stopped); len(batch) > 0 {
+	if batch := n.Pending.Batch(now, n.stopped); len(batch) > 0 {
 		n.actions = append(n.actions, WriteBills{Bills: batch})
 	}
 }
@@ -123,7 +123,7 @@
 // billsWritten removes the bills of a batch and notifies the holders of their copies.
 func (n *Node) billsWritten(found []string, now time.Time) {
 	release := map[string][]string{}
-	for _, key := range n.Ledger.Settle(found, now) {
+	for _, key := range n.Pending.Settle(found, now) {
 		n.actions = append(n.actions, BillDurable{Key: key})
 		if h := n.copyHolders[key]; h.id != "" {
 			release[h.id] = append(release[h.id], key)
@@ -145,7 +145,7 @@
 func (n *Node) handleCopies(from string, m Copies, now time.Time) {
 	if m.Adopt {
 		for _, b := range m.Bills {
-			n.Ledger.Add(b, now)
+			n.Pending.Add(b, now)
 		}
 	} else if !n.Copies.Hold(from, m.Bills, now) {
 		return
@@ -166,7 +166,7 @@
 		n.addBill(b, now)
 	}
 	for _, b := range adopted.Overdue {
-		n.Ledger.Add(b, now)
+		n.Pending.Add(b, now)
 		n.copyHolders[b.Key] = holder{id: n.self.ID}
 	}
 }
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -249,7 +249,7 @@
 			l.tick(begun)
 		case <-flush.C:
 			begun = time.Now()
-			if l.node.Ledger.Len() > 0 {
+			if l.node.Pending.Len() > 0 {
 				l.feed(node.Flush{}, begun)
 			}
 		case <-poll.C:
@@ -471,7 +471,7 @@
 		BadFor:      l.guard.badFor,
 	}
 	l.servers.view(v, l.node.Leaving)
-	l.snapshot.Store(&Snapshot{View: v, Shares: l.shares(now), Acquainted: l.servers.acquainted(), BillsFull: l.node.Ledger.Full(), Seen: l.pooled(now), stood: l.stood})
+	l.snapshot.Store(&Snapshot{View: v, Shares: l.shares(now), Acquainted: l.servers.acquainted(), BillsFull: l.node.Pending.Full(), Seen: l.pooled(now), stood: l.stood})
 	if l.Published != nil {
 		l.Published()
 	}
--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -111,7 +111,7 @@
 // Pending returns how many bills the platform has not acknowledged.
 func (c *Control) Pending() (int, error) {
 	n := 0
-	err := c.askLoop(func(l *loop) { n = l.node.Ledger.Len() })
+	err := c.askLoop(func(l *loop) { n = l.node.Pending.Len() })
 	return n, err
 }
 
@@ -126,8 +126,8 @@
 	d := Dump{
 		ID: l.Settings.ID, Hall: l.Settings.Hall, Generation: l.gen, Rank: l.node.Group.Rank(),
 		Halls: l.dumpHalls(now), Shares: l.Snapshot().Shares,
-		PendingBills: l.node.Ledger.Len(), CopiesHeld: l.node.Copies.Held(),
-		BillsWritten: l.node.Ledger.Written, BillsFound: l.node.Ledger.Found,
+		PendingBills: l.node.Pending.Len(), CopiesHeld: l.node.Copies.Held(),
+		BillsWritten: l.node.Pending.Written, BillsFound: l.node.Pending.Found,
 		DroppedFacts: l.DroppedFacts.Load(), BusyMS: float64(l.Busy.Load()) / float64(time.Millisecond),
 		PlatformCall: l.Platform.Calls.Load(), PlatformByte: l.Platform.Bytes.Load(),
 		Guarded: map[string]string{},
--- a/daemon/peer/acts_test.go
+++ b/daemon/peer/acts_test.go
@@ -157,8 +157,8 @@
 				t.Fatalf("%s does not count on %s", id, other)
 			}
 		}
-		if n.Ledger.Len() > 0 {
-			t.Fatalf("%s still holds %d bills", id, n.Ledger.Len())
+		if n.Pending.Len() > 0 {
+			t.Fatalf("%s still holds %d bills", id, n.Pending.Len())
 		}
 		if age := w.now.Sub(n.Store.ConfirmedAt(replication.Config)); age > 10*time.Second {
 			t.Fatalf("%s confirmed its table %v ago", id, age)
