--- a/core/bill/bill.go
+++ b/core/bill/bill.go
@@ -49,7 +49,7 @@
 
 // Pending holds the pending bills of one daemon. It must be used by one goroutine only.
 type Pending struct {
-	pending  map[string]Bill
+	bills    map[string]Bill
 	order    []string
 	inFlight []Bill
 	// due is when the next batch may be written.
@@ -61,104 +61,104 @@
 }
 
 // NewPending returns an empty set of pending bills.
-func NewPending() *Pending { return &Pending{pending: map[string]Bill{}} }
+func NewPending() *Pending { return &Pending{bills: map[string]Bill{}} }
 
 // Add adds a bill. Adding a bill that is pending already has no effect.
-func (l *Pending) Add(b Bill, now time.Time) {
-	if _, ok := l.pending[b.Key]; ok {
+func (p *Pending) Add(b Bill, now time.Time) {
+	if _, ok := p.bills[b.Key]; ok {
 		return
 	}
-	if len(l.pending) == 0 && l.due.Before(now) {
-		l.due = now.Add(FlushAfter)
+	if len(p.bills) == 0 && p.due.Before(now) {
+		p.due = now.Add(FlushAfter)
 	}
-	l.pending[b.Key] = b
-	l.order = append(l.order, b.Key)
+	p.bills[b.Key] = b
+	p.order = append(p.order, b.Key)
 }
 
 // Get returns a pending bill.
-func (l *Pending) Get(key string) (Bill, bool) {
-	b, ok := l.pending[key]
+func (p *Pending) Get(key string) (Bill, bool) {
+	b, ok := p.bills[key]
 	return b, ok
 }
 
 // Len returns the number of bills that the platform has not acknowledged.
-func (l *Pending) Len() int { return len(l.pending) }
+func (p *Pending) Len() int { return len(p.bills) }
 
 // Full reports whether MaxPending is reached.
-func (l *Pending) Full() bool { return len(l.pending) >= MaxPending }
+func (p *Pending) Full() bool { return len(p.bills) >= MaxPending }
 
 // Batch returns the bills to write now, or nil if none are due or a batch is being written already.
 // The result of the write is passed to Settle or BatchFailed. With immediate set, a batch need not
 // wait for FlushAfter.
-func (l *Pending) Batch(now time.Time, immediate bool) []Bill {
-	if len(l.inFlight) > 0 || len(l.pending) == 0 {
+func (p *Pending) Batch(now time.Time, immediate bool) []Bill {
+	if len(p.inFlight) > 0 || len(p.bills) == 0 {
 		return nil
 	}
-	early := l.backoff == 0 && (immediate || len(l.pending) >= MaxBatch)
-	if now.Before(l.due) && !early {
+	early := p.backoff == 0 && (immediate || len(p.bills) >= MaxBatch)
+	if now.Before(p.due) && !early {
 		return nil
 	}
-	for _, key := range l.order[:min(len(l.order), MaxBatch)] {
-		l.inFlight = append(l.inFlight, l.pending[key])
+	for _, key := range p.order[:min(len(p.order), MaxBatch)] {
+		p.inFlight = append(p.inFlight, p.bills[key])
 	}
-	return l.inFlight
+	return p.inFlight
 }
 
 // Settle ends a batch that was written, or that was not written because the keys in found were in the
 // store already. In the latter case only the bills of these keys are settled and the others stay
 // pending. It returns the keys of the settled bills.
-func (l *Pending) Settle(found []string, now time.Time) []string {
+func (p *Pending) Settle(found []string, now time.Time) []string {
 	settled := found
 	if len(found) == 0 {
-		settled = make([]string, 0, len(l.inFlight))
-		for _, b := range l.inFlight {
+		settled = make([]string, 0, len(p.inFlight))
+		for _, b := range p.inFlight {
 			settled = append(settled, b.Key)
 		}
-		l.Written += int64(len(settled))
+		p.Written += int64(len(settled))
 	} else {
-		l.Found += int64(len(found))
+		p.Found += int64(len(found))
 	}
-	l.Drop(settled)
-	l.inFlight, l.backoff = nil, 0
-	l.due = now
-	if len(found) == 0 && len(l.pending) < MaxBatch {
-		l.due = now.Add(FlushAfter)
+	p.Drop(settled)
+	p.inFlight, p.backoff = nil, 0
+	p.due = now
+	if len(found) == 0 && len(p.bills) < MaxBatch {
+		p.due = now.Add(FlushAfter)
 	}
 	return settled
 }
 
 // Drop removes bills that another daemon has taken over.
-func (l *Pending) Drop(keys []string) {
+func (p *Pending) Drop(keys []string) {
 	for _, key := range keys {
-		delete(l.pending, key)
+		delete(p.bills, key)
 	}
-	l.order = slices.DeleteFunc(l.order, func(key string) bool {
-		_, ok := l.pending[key]
+	p.order = slices.DeleteFunc(p.order, func(key string) bool {
+		_, ok := p.bills[key]
 		return !ok
 	})
 }
 
 // BatchFailed ends a batch whose write failed or has an unknown outcome. It is retried after the delay that
 // the platform asked for, or after an exponential back-off if that is longer.
-func (l *Pending) BatchFailed(retryAfter time.Duration, now time.Time) {
-	l.inFlight = nil
-	l.backoff = min(max(l.backoff*2, minBackoff), maxBackoff)
-	l.due = now.Add(max(retryAfter, l.backoff))
+func (p *Pending) BatchFailed(retryAfter time.Duration, now time.Time) {
+	p.inFlight = nil
+	p.backoff = min(max(p.backoff*2, minBackoff), maxBackoff)
+	p.due = now.Add(max(retryAfter, p.backoff))
 }
 
 // Each calls f with the pending bills, the oldest first, until f returns false.
-func (l *Pending) Each(f func(Bill) bool) {
-	for _, key := range l.order {
-		if !f(l.pending[key]) {
+func (p *Pending) Each(f func(Bill) bool) {
+	for _, key := range p.order {
+		if !f(p.bills[key]) {
 			return
 		}
 	}
 }
 
 // Bills returns all pending bills, the oldest first, for a hand-over.
-func (l *Pending) Bills() []Bill {
-	out := make([]Bill, 0, len(l.pending))
-	l.Each(func(b Bill) bool {
+func (p *Pending) Bills() []Bill {
+	out := make([]Bill, 0, len(p.bills))
+	p.Each(func(b Bill) bool {
 		out = append(out, b)
 		return true
 	})
--- a/core/bill/bill_test.go
+++ b/core/bill/bill_test.go
@@ -16,17 +16,17 @@
 // bills already.
 func TestEveryBillCountsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := bill.NewPending()
+		pending := bill.NewPending()
 		now := time.Unix(1_800_000_000, 0)
 		platform := map[string]int{}
 		added := 0
 		write := func(lost, failed bool) {
-			batch := l.Batch(now, false)
+			batch := pending.Batch(now, false)
 			if len(batch) == 0 {
 				return
 			}
 			if failed {
-				l.BatchFailed(0, now)
+				pending.BatchFailed(0, now)
 				return
 			}
 			var found []string
@@ -41,15 +41,15 @@
 				}
 			}
 			if lost {
-				l.BatchFailed(0, now)
+				pending.BatchFailed(0, now)
 				return
 			}
-			l.Settle(found, now)
+			pending.Settle(found, now)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(t *rapid.T) {
 				for range rapid.IntRange(1, 150).Draw(t, "n") {
-					l.Add(bill.Bill{Key: fmt.Sprint(added)}, now)
+					pending.Add(bill.Bill{Key: fmt.Sprint(added)}, now)
 					added++
 				}
 			},
@@ -68,8 +68,8 @@
 			now = now.Add(6 * time.Second)
 			write(false, false)
 		}
-		if l.Len() > 0 || len(platform) != added {
-			t.Fatalf("of %d bills %d are written and %d pending", added, len(platform), l.Len())
+		if pending.Len() > 0 || len(platform) != added {
+			t.Fatalf("of %d bills %d are written and %d pending", added, len(platform), pending.Len())
 		}
 		for key, n := range platform {
 			if n != 1 {
