--- a/core/retry/budget_test.go
+++ b/core/retry/budget_test.go
@@ -8,9 +8,9 @@
 	"ladderridge.example/core/retry"
 )
 
-// In every span of a window's length, the repeats stay below what the rule
-// allows on the requests of that span.
-func TestBudgetHoldsInEveryWindow(t *testing.T) {
+// In every interval of a window's length the repeats stay within the ratio for the requests
+// of that interval plus the slack.
+func TestRepeatsStayWithinBudgetInEveryWindow(t *testing.T) {
 	const ratio, slack = 0.5, 16.0
 	window := 10 * time.Second
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -18,7 +18,7 @@
 	start := time.Now()
 	var requests, repeats []time.Duration
 	for at := time.Duration(0); at < time.Minute; at += 10 * time.Millisecond {
-		// Bursts and pauses.
+		// Alternates between bursts and light load.
 		if at/(5*time.Second)%2 == 0 || rng.IntN(10) == 0 {
 			b.Request("s", 8, start.Add(at))
 			requests = append(requests, at)
@@ -31,7 +31,7 @@
 		t.Fatalf("only %d repeats were allowed", len(repeats))
 	}
 	for from := time.Duration(0); from < time.Minute; from += 250 * time.Millisecond {
-		// The rule counts requests of the window or of the one half before.
+		// The limit counts the requests of this window, or of one that is up to a window earlier.
 		inWindow := max(count(requests, from, from+window), count(requests, from-window/2, from+window/2), count(requests, from-window, from))
 		if n := count(repeats, from, from+window); float64(n) > ratio*float64(inWindow)+slack/8 {
 			t.Fatalf("from %v: %d repeats on %d requests", from, n, inWindow)
@@ -49,8 +49,9 @@
 	return n
 }
 
-// Daemons that do not know how many they are would each take a share that is too large.
-func TestUnknownNumberOfDaemonsHasNoSlack(t *testing.T) {
+// A daemon that does not know the number of daemons gets no share of the slack: with a guess
+// each could take too large a share.
+func TestUnknownNumberOfDaemonsGetsNoSlack(t *testing.T) {
 	for daemons, want := range map[int][2]int{0: {0, 1}, 8: {8, 9}} {
 		b := &retry.Budget{Ratio: 1, Window: 10 * time.Second, Slack: 64}
 		now := time.Now()
@@ -62,18 +63,18 @@
 			sent++
 		}
 		if sent < want[0] || sent > want[1] {
-			t.Errorf("%d daemons: %d repeats were saved up, want %v", daemons, sent, want)
+			t.Errorf("%d daemons: %d repeats were allowed, want %v", daemons, sent, want)
 		}
 	}
 }
 
-func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	b := &retry.Budget{Ratio: 1, Window: time.Second, Slack: 0}
 	now := time.Now()
 	for range 10 {
 		b.Request("s", 1, now)
 	}
 	if !b.Spend("s", 1, now) || b.Spend("t", 1, now) {
-		t.Error("one service's requests pay for another's repeats")
+		t.Error("the requests of one service add to the budget of another")
 	}
 }
--- a/core/retry/restarts_test.go
+++ b/core/retry/restarts_test.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	ruleRatio  = 0.9
-	ruleWindow = 10 * time.Second
-	dayLength  = 40 * time.Second
-	tick       = 10 * time.Millisecond
-	// mostRepeats is how many repeats a request may need.
-	mostRepeats = 2
-	// startTime is how long a daemon takes to start.
-	startTime = 500 * time.Millisecond
+	ratio            = 0.9
+	window           = 10 * time.Second
+	simulationLength = 40 * time.Second
+	tick             = 10 * time.Millisecond
+	// maxRepeats is the largest number of repeats that a request needs.
+	maxRepeats = 2
+	// startupTime is the time that a daemon takes to start.
+	startupTime = 500 * time.Millisecond
 )
 
-// fleetDay is a load on a service whose requests fail while daemons are ended.
-type fleetDay struct {
-	daemons   int
-	perSecond float64
-	slack     float64
-	// escalated is the share of requests that a larger model answers, failing the share of
-	// all attempts that fail from onset until its end.
+// simulation simulates a load on a service whose requests fail while daemons restart.
+type simulation struct {
+	daemons int
+	rate    float64
+	slack   float64
+	// escalated is the fraction of requests that are escalated to a larger model, failing the
+	// fraction of attempts that fail between onset and until.
 	escalated, failing float64
 	onset, until       time.Duration
-	// ended are the daemons that end at a time.
-	ended func(at time.Duration) []int
-	// spare daemons are added at a time; the others know of them a second later.
+	// restarts returns the daemons that restart at a time.
+	restarts func(at time.Duration) []int
+	// spare daemons are added at spareAt; the others know of them a second later.
 	spare   int
 	spareAt time.Duration
 }
 
-// fleetRun is what was counted on a day, by ticks.
-type fleetRun struct {
+// counts holds the counts of a simulation, one per tick.
+type counts struct {
 	requests, repeats, denied []int
 }
 
-// play sends the day's requests to random daemons that run.
-func (d fleetDay) play(seed uint64) fleetRun {
+// run runs the simulation: each request goes to a random daemon that is up.
+func (d simulation) run(seed uint64) counts {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	start := time.Now()
 	budgets := make([]*retry.Budget, d.daemons+d.spare)
@@ -53,14 +53,14 @@
 			readyAt[i] = d.spareAt
 		}
 	}
-	var run fleetRun
+	var total counts
 	due := 0.0
-	for at := time.Duration(0); at < dayLength; at += tick {
-		for _, i := range d.ended(at) {
-			budgets[i], readyAt[i] = newBudget(d.slack, rng), at+startTime
+	for at := time.Duration(0); at < simulationLength; at += tick {
+		for _, i := range d.restarts(at) {
+			budgets[i], readyAt[i] = newBudget(d.slack, rng), at+startupTime
 		}
 		requests, repeats, denied := 0, 0, 0
-		for due += d.perSecond * tick.Seconds(); due >= 1; due-- {
+		for due += d.rate * tick.Seconds(); due >= 1; due-- {
 			requests++
 			i := rng.IntN(len(budgets))
 			for tries := 0; readyAt[i] > at && tries < len(budgets); tries++ {
@@ -74,7 +74,7 @@
 				known += d.spare
 			}
 			budgets[i].Request("s", known, start.Add(at))
-			for range d.needed(at, rng) {
+			for range d.neededRepeats(at, rng) {
 				if !budgets[i].Spend("s", known, start.Add(at)) {
 					denied++
 					break
@@ -82,47 +82,48 @@
 				repeats++
 			}
 		}
-		run.requests, run.repeats, run.denied = append(run.requests, requests), append(run.repeats, repeats), append(run.denied, denied)
+		total.requests, total.repeats, total.denied = append(total.requests, requests), append(total.repeats, repeats), append(total.denied, denied)
 	}
-	return run
+	return total
 }
 
 func newBudget(slack float64, rng *rand.Rand) *retry.Budget {
-	return &retry.Budget{Ratio: ruleRatio, Window: ruleWindow, Slack: slack, Seed: rng.Uint64()}
+	return &retry.Budget{Ratio: ratio, Window: window, Slack: slack, Seed: rng.Uint64()}
 }
 
-// needed is how many repeats a request needs.
-func (d fleetDay) needed(at time.Duration, rng *rand.Rand) int {
+// neededRepeats returns the number of repeats that a request needs.
+func (d simulation) neededRepeats(at time.Duration, rng *rand.Rand) int {
 	n := 0
 	if rng.Float64() < d.escalated {
 		n++
 	}
-	for at >= d.onset && at < d.until && n < mostRepeats && rng.Float64() < d.failing {
+	for at >= d.onset && at < d.until && n < maxRepeats && rng.Float64() < d.failing {
 		n++
 	}
 	return n
 }
 
-// beyond is by how many the repeats of any window pass what the requests of that window, of
-// the one before or of the one half before pay for, with the slack.
-func (r fleetRun) beyond(slack float64) float64 {
-	window := int(ruleWindow / tick)
-	requests, repeats := sums(r.requests), sums(r.repeats)
+// excess returns the largest excess of the repeats in any window over the limit: the slack
+// plus the ratio for the requests of that window, of the previous one or of the one that
+// starts half a window earlier, whichever has the most. It is 0 or less within the limit.
+func (r counts) excess(slack float64) float64 {
+	ticks := int(window / tick)
+	requests, repeats := prefixSums(r.requests), prefixSums(r.repeats)
 	worst := -slack
-	for from := 0; from+window < len(requests); from++ {
+	for from := 0; from+ticks < len(requests); from++ {
 		paying := 0
-		for _, back := range []int{0, window / 2, window} {
+		for _, back := range []int{0, ticks / 2, ticks} {
 			if from >= back {
-				paying = max(paying, requests[from-back+window]-requests[from-back])
+				paying = max(paying, requests[from-back+ticks]-requests[from-back])
 			}
 		}
-		worst = max(worst, float64(repeats[from+window]-repeats[from])-ruleRatio*float64(paying)-slack)
+		worst = max(worst, float64(repeats[from+ticks]-repeats[from])-ratio*float64(paying)-slack)
 	}
 	return worst
 }
 
-// sums are the sums of the first values, from none to all.
-func sums(values []int) []int {
+// prefixSums returns the sums of the prefixes of values, from no value to all.
+func prefixSums(values []int) []int {
 	out := make([]int, 1, len(values)+1)
 	for _, v := range values {
 		out = append(out, out[len(out)-1]+v)
@@ -130,8 +131,8 @@
 	return out
 }
 
-// ends are ways in which daemons end while requests fail.
-func ends(daemons int) map[string]func(at time.Duration) []int {
+// restartPatterns returns patterns in which daemons restart while requests fail.
+func restartPatterns(daemons int) map[string]func(at time.Duration) []int {
 	some := func(first, n int) []int {
 		out := make([]int, 0, n)
 		for i := range n {
@@ -171,93 +172,93 @@
 	}
 }
 
-// Daemons that end and start again while a service fails do not send more repeats together
-// than daemons that run on.
-func TestRestartsRenewNoRepeats(t *testing.T) {
-	for _, size := range []fleetDay{
-		{daemons: 6, perSecond: 26, slack: 52},
-		{daemons: 12, perSecond: 26, slack: 52},
-		{daemons: 7, perSecond: 106, slack: 54},
-		{daemons: 91, perSecond: 300, slack: 222},
-		{daemons: 985, perSecond: 740, slack: 1040},
-		{daemons: 1970, perSecond: 1480, slack: 1040},
+// Daemons that restart while a service fails keep to the same limit of repeats as daemons
+// that do not: a restart must not grant a fresh budget.
+func TestRestartsGrantNoExtraRepeats(t *testing.T) {
+	for _, size := range []simulation{
+		{daemons: 6, rate: 26, slack: 52},
+		{daemons: 12, rate: 26, slack: 52},
+		{daemons: 7, rate: 106, slack: 54},
+		{daemons: 91, rate: 300, slack: 222},
+		{daemons: 985, rate: 740, slack: 1040},
+		{daemons: 1970, rate: 1480, slack: 1040},
 	} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%d daemons, seed %d", size.daemons, seed), func(t *testing.T) {
 				t.Parallel()
-				size.restartsRenewNoRepeats(t, seed)
+				size.checkRestarts(t, seed)
 			})
 		}
 	}
 }
 
-func (d fleetDay) restartsRenewNoRepeats(t *testing.T, seed uint64) {
+func (d simulation) checkRestarts(t *testing.T, seed uint64) {
 	t.Helper()
 	d.escalated, d.onset, d.until, d.spareAt = 0.5, 12*time.Second, 32*time.Second, 13*time.Second
 	daemons := d.daemons
-	for name, ended := range ends(daemons) {
+	for name, restarts := range restartPatterns(daemons) {
 		for _, spare := range []int{0, daemons / 5} {
 			for _, failing := range []float64{0.6, 1} {
-				d.failing, d.ended, d.spare = failing, ended, spare
-				if over := d.play(seed).beyond(d.slack); over > 0 {
-					t.Errorf("%s: %.1f repeats beyond what is allowed", caseName(d, name, seed), over)
+				d.failing, d.restarts, d.spare = failing, restarts, spare
+				if over := d.run(seed).excess(d.slack); over > 0 {
+					t.Errorf("%s: %.1f repeats above the limit", caseName(d, name, seed), over)
 				}
 			}
 		}
 	}
 }
 
-func caseName(d fleetDay, ended string, seed uint64) string {
-	return fmt.Sprintf("%d daemons and %d spare, %.0f requests a second, %.1f failing, ended: %s, seed %d", d.daemons, d.spare, d.perSecond, d.failing, ended, seed)
+func caseName(d simulation, pattern string, seed uint64) string {
+	return fmt.Sprintf("%d daemons and %d spare, %.0f requests a second, %.1f failing, restarts: %s, seed %d", d.daemons, d.spare, d.rate, d.failing, pattern, seed)
 }
 
-// Where no daemon ends, larger models for half of the requests and repeats for the eighth
-// of attempts that fail are not denied.
+// Without restarts, escalations of half of the requests and retries of the eighth of attempts
+// that fail are below the ratio and must not be denied.
 func TestRepeatsBelowTheRatioAreNotDenied(t *testing.T) {
 	for seed := range uint64(10) {
-		d := fleetDay{daemons: 7, perSecond: 106, slack: 54, escalated: 0.5, failing: 0.12, onset: 12 * time.Second, until: 32 * time.Second}
-		d.ended = ends(d.daemons)["none"]
-		run := d.play(seed)
-		repeats, denied := sums(run.repeats), sums(run.denied)
-		from := int(ruleWindow / tick)
+		d := simulation{daemons: 7, rate: 106, slack: 54, escalated: 0.5, failing: 0.12, onset: 12 * time.Second, until: 32 * time.Second}
+		d.restarts = restartPatterns(d.daemons)["none"]
+		total := d.run(seed)
+		repeats, denied := prefixSums(total.repeats), prefixSums(total.denied)
+		from := int(window / tick)
 		if n := denied[len(denied)-1] - denied[from]; n > 0 {
 			t.Errorf("seed %d: %d of %d repeats were denied", seed, n, n+repeats[len(repeats)-1]-repeats[from])
 		}
 	}
 }
 
-// A service that fails after all daemons have started again gets repeats as the requests
-// pay for them.
-func TestRepeatsFollowARestartOfAll(t *testing.T) {
+// After all daemons have restarted, a failing service gets repeats in proportion to its
+// requests although all buckets started empty.
+func TestRepeatsResumeAfterAllDaemonsRestart(t *testing.T) {
 	for daemons, slack := range map[int]float64{1: 20, 7: 54, 985: 1040, 1970: 1040} {
-		d := fleetDay{daemons: daemons, perSecond: 740, slack: slack, escalated: 0.5, failing: 1, onset: 12 * time.Second, until: 32 * time.Second}
-		d.ended = ends(d.daemons)["all once"]
-		run := d.play(1)
-		requests, repeats := sums(run.requests), sums(run.repeats)
-		back := int((14*time.Second + startTime) / tick)
+		d := simulation{daemons: daemons, rate: 740, slack: slack, escalated: 0.5, failing: 1, onset: 12 * time.Second, until: 32 * time.Second}
+		d.restarts = restartPatterns(d.daemons)["all once"]
+		total := d.run(1)
+		requests, repeats := prefixSums(total.requests), prefixSums(total.repeats)
+		back := int((14*time.Second + startupTime) / tick)
 		for _, after := range []time.Duration{time.Second, 2 * time.Second, 10 * time.Second} {
 			end := back + int(after/tick)
 			sent, paying := repeats[end]-repeats[back], requests[end]-requests[back]
-			if least := 0.75 * ruleRatio * float64(paying); float64(sent) < least {
+			if least := 0.75 * ratio * float64(paying); float64(sent) < least {
 				t.Errorf("%d daemons, %v after the start: %d repeats for %d requests, want %.0f", daemons, after, sent, paying, least)
 			}
 		}
 	}
 }
 
-// A request that comes to a daemon with few requests and a small share of the slack is not
-// denied repeats for ever.
-func TestRepeatsReachDaemonsWithFewRequests(t *testing.T) {
-	d := fleetDay{daemons: 2000, perSecond: 150, slack: 1000, failing: 1, onset: 12 * time.Second, until: 32 * time.Second}
-	d.ended = ends(d.daemons)["none"]
-	run := d.play(1)
-	requests, repeats := sums(run.requests), sums(run.repeats)
+// Daemons with few requests and a small share of the slack also allow repeats: their buckets
+// never hold a whole token.
+func TestDaemonsWithFewRequestsAllowRepeats(t *testing.T) {
+	d := simulation{daemons: 2000, rate: 150, slack: 1000, failing: 1, onset: 12 * time.Second, until: 32 * time.Second}
+	d.restarts = restartPatterns(d.daemons)["none"]
+	total := d.run(1)
+	requests, repeats := prefixSums(total.requests), prefixSums(total.repeats)
 	from, until := int(d.onset/tick), int(d.until/tick)
 	sent, paying := repeats[until]-repeats[from], requests[until]-requests[from]
-	if least := 0.3 * ruleRatio * float64(paying); float64(sent) < least {
+	if least := 0.3 * ratio * float64(paying); float64(sent) < least {
 		t.Errorf("%d repeats for %d requests, want %.0f", sent, paying, least)
 	}
-	if over := run.beyond(d.slack); over > 0 {
-		t.Errorf("%.1f repeats beyond what is allowed", over)
+	if over := total.excess(d.slack); over > 0 {
+		t.Errorf("%.1f repeats above the limit", over)
 	}
 }
