--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota divides the rate that a backend server takes among daemons, which do not ask
-// each other on a request's way. Each daemon has a token bucket for each such server; what all
-// buckets hold and earn together keeps the platform's bound on the server.
+// Package quota divides the rate limit of a backend server among the daemons, which do not
+// communicate while they handle a request. Each daemon has a token bucket per limited server.
+// The buckets together keep to the platform's limit on requests to the server.
 package quota
 
 import (
@@ -10,54 +10,56 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// What a server gets at most, by the platform's rule: in any span so many times what its rate
-// allows, and some requests more.
+// The platform's limit: in any interval of length Span a server of a given rate receives at
+// most Factor*rate*Span + Slack requests.
 const (
-	// Span is the time within which requests are counted.
+	// Span is the interval over which requests are counted.
 	Span = 4 * time.Second
-	// Factor is how many times the rate may come in it.
+	// Factor multiplies the rate of the server.
 	Factor = 1.5
-	// Slack is how many requests may come besides.
+	// Slack is the number of requests allowed on top.
 	Slack = 5
 )
 
 const (
-	// usedPart is the part of a server's rate that daemons plan for: their lists of daemons
-	// may differ for a moment.
-	usedPart = 0.9
-	// onItsWay is the longest time between the choice of a server and the arrival there, which
-	// a new connection takes.
-	onItsWay = time.Second
-	// burstTime is for how long of its rate a daemon may send at once.
-	burstTime = time.Second
+	// usedFraction is the fraction of a server's rate that the daemons divide: their lists of
+	// daemons may differ for a short time.
+	usedFraction = 0.9
+	// maxDelay is the longest time between the choice of a server and the arrival of the
+	// request, with a new connection.
+	maxDelay = time.Second
+	// depthTime limits the depth of a bucket to the tokens of this time at the daemon's rate.
+	depthTime = time.Second
 )
 
-// Daemons are those that share the servers' limits. The zero value knows none. It is never
-// changed.
+// Daemons lists the daemons that share the servers' limits. The zero value is an empty list.
+// It is immutable.
 type Daemons struct {
 	Self string
-	// ByHall are the ids by data hall, this daemon's included.
+	// ByHall holds the ids of the daemons by data hall, including Self.
 	ByHall map[string][]string
 }
 
-// Share is what one daemon may send to a server. The zero value is nothing.
+// Share is one daemon's share of a server's rate limit. The zero value allows no requests.
 type Share struct {
-	// Rate is in requests a second.
+	// Rate is the daemon's rate, in requests per second.
 	Rate float64
-	// Depth is how many requests it may send at once after a pause.
+	// Depth is the capacity of the daemon's bucket, in requests.
 	Depth float64
-	// Start is what its bucket begins with, from -1 to 0: daemons that hear of a limit at the
-	// same moment do not send at the same moment.
+	// Start is the initial level of the bucket, from -1 to 0. It differs between daemons, so
+	// that daemons that receive a limit at the same time do not all send at the same time.
 	Start float64
-	// All is what all daemons together send, in requests a second.
+	// All is the rate of all daemons together, in requests per second.
 	All float64
 }
 
-// Share divides a server's rate, in requests a second, among the daemons of its data hall, which
-// prefer it, or among all if there are none. Where it takes less than a request of each, some
-// send, the same ones by all lists that are alike and others for each server.
+// Share returns this daemon's share of a server's rate, in requests per second. The rate is
+// divided among the daemons of the server's data hall, which prefer the server, or among all
+// daemons if that hall has none. Where the burst is too small for a token per daemon, only some
+// daemons get a share: the same ones for equal lists of daemons, and different ones for each
+// server.
 func (d Daemons) Share(server, hall string, rate float64) Share {
-	out := Share{All: usedPart * rate}
+	share := Share{All: usedFraction * rate}
 	senders := d.ByHall[hall]
 	if len(senders) == 0 {
 		senders = d.all()
@@ -65,19 +67,19 @@
 	burst := Burst(rate)
 	n := min(len(senders), int(burst))
 	if !slices.Contains(senders, d.Self) || Ahead(server, d.Self, senders) >= n {
-		return out
+		return share
 	}
-	out.Rate = out.All / float64(n)
-	out.Depth = min(burst/float64(n), max(1, out.Rate*burstTime.Seconds()))
-	out.Start = -float64(draw(server, d.Self)>>1) / float64(1<<63)
-	return out
+	share.Rate = share.All / float64(n)
+	share.Depth = min(burst/float64(n), max(1, share.Rate*depthTime.Seconds()))
+	share.Start = -float64(score(server, d.Self)>>1) / float64(1<<63)
+	return share
 }
 
-// Burst is how many requests all daemons together may have saved up for a server of a rate, so
-// that the bound holds in each span: what they earn within it, and what is on its way when it
-// begins, comes on top.
+// Burst returns the tokens that all daemons together may have for a server of a rate, such that
+// the limit holds in each interval of length Span: the tokens added during the interval and the
+// requests in flight at its start count as well.
 func Burst(rate float64) float64 {
-	return (Factor*Span.Seconds()-usedPart*(Span+onItsWay).Seconds())*rate + Slack
+	return (Factor*Span.Seconds()-usedFraction*(Span+maxDelay).Seconds())*rate + Slack
 }
 
 func (d Daemons) all() []string {
@@ -88,16 +90,16 @@
 	return out
 }
 
-// Ahead is how many of some daemons go before one for a server (rendezvous hashing): all find the
-// same order, and another one for each server.
+// Ahead returns the position of a daemon among daemons in the order for a server, by rendezvous
+// hashing: all daemons compute the same order, which differs between servers.
 func Ahead(server, self string, daemons []string) (n int) {
-	mine := draw(server, self)
+	own := score(server, self)
 	for _, other := range daemons {
-		if other != self && draw(server, other) > mine {
+		if other != self && score(server, other) > own {
 			n++
 		}
 	}
 	return n
 }
 
-func draw(server, daemon string) uint64 { return xxhash.Sum64String(server + "\x00" + daemon) }
+func score(server, daemon string) uint64 { return xxhash.Sum64String(server + "\x00" + daemon) }
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -11,7 +11,7 @@
 	"ladderridge.example/core/quota"
 )
 
-// daemons are n of them in some halls.
+// daemons returns the ids of n daemons by hall.
 func daemons(n, halls int) map[string][]string {
 	out := map[string][]string{}
 	for i := range n {
@@ -21,40 +21,40 @@
 	return out
 }
 
-// load is what a replay plays: a server that names a limit to daemons which would send it all
-// that they may.
-type load struct {
+// simulation simulates a server that announces a limit to daemons with enough requests to use it
+// up.
+type simulation struct {
 	daemons, halls int
-	// rate is the server's limit at a time, in requests a second.
+	// rate returns the server's limit at a time, in requests per second.
 	rate func(at time.Duration) float64
-	// demand is the requests a second for which a daemon would use the server.
+	// demand is the rate of requests at each daemon, in requests per second.
 	demand float64
-	// restart is the time between two starts of each daemon; 0 is never.
+	// restart is the interval at which each daemon restarts, 0 for never.
 	restart time.Duration
-	// late is how long each request may be on its way.
-	late time.Duration
-	// hears is how long after the others a daemon hears of a change at most.
-	hears time.Duration
-	// views is how many lists of daemons differ: that many have one daemon more each.
-	views int
-	lasts time.Duration
+	// maxDelay is the longest network delay of a request.
+	maxDelay time.Duration
+	// maxLag is the longest delay until a daemon receives a change of the limit.
+	maxLag time.Duration
+	// differing is the number of daemons per hall whose list contains additional daemons.
+	differing int
+	duration  time.Duration
 }
 
-// arrival is a request that reaches the server, of a daemon that knows the limit.
+// arrival is the arrival of a request at the server, sent by a daemon that knows the limit.
 type arrival struct{ at time.Duration }
 
-// play returns the arrivals at the server, in order.
-func (l load) play(seed uint64) []arrival {
+// run runs the simulation and returns the arrivals at the server in order of time.
+func (l simulation) run(seed uint64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1000, 0)
 	halls := daemons(l.daemons, l.halls)
-	// Each arrival of a request at a daemon is an event; daemons do not see each other.
+	// The daemons do not depend on each other, so they are simulated one at a time.
 	var out []arrival
 	for _, hall := range slices.Sorted(maps.Keys(halls)) {
 		for i, id := range halls[hall] {
 			known := l.known(halls, id, i)
-			if known.Share("server", "hall-0", highest*l.rate(0)).Rate > 0 {
-				out = append(out, l.playOne(random, start, known)...)
+			if known.Share("server", "hall-0", maxIncrease*l.rate(0)).Rate > 0 {
+				out = append(out, l.runDaemon(random, start, known)...)
 			}
 		}
 	}
@@ -62,9 +62,9 @@
 	return out
 }
 
-// known is the list of daemons that the ith one of a hall has.
-func (l load) known(halls map[string][]string, id string, i int) quota.Daemons {
-	if i >= l.views {
+// known returns the list of daemons at the ith daemon of a hall.
+func (l simulation) known(halls map[string][]string, id string, i int) quota.Daemons {
+	if i >= l.differing {
 		return quota.Daemons{Self: id, ByHall: halls}
 	}
 	more := map[string][]string{}
@@ -74,22 +74,22 @@
 	return quota.Daemons{Self: id, ByHall: more}
 }
 
-// playOne returns the arrivals from one daemon.
-func (l load) playOne(random *rand.Rand, start time.Time, known quota.Daemons) []arrival {
+// runDaemon returns the arrivals of requests from one daemon.
+func (l simulation) runDaemon(random *rand.Rand, start time.Time, known quota.Daemons) []arrival {
 	var out []arrival
 	var b quota.Bucket
 	shares := map[float64]quota.Share{}
-	rate, began := 0.0, time.Duration(0)
-	hears := time.Duration(0)
-	if l.hears > 0 {
-		hears = time.Duration(random.Int64N(int64(l.hears)))
+	rate, started := 0.0, time.Duration(0)
+	lag := time.Duration(0)
+	if l.maxLag > 0 {
+		lag = time.Duration(random.Int64N(int64(l.maxLag)))
 	}
-	for at := time.Duration(0); at < l.lasts; at += time.Duration(random.ExpFloat64() / l.demand * float64(time.Second)) {
+	for at := time.Duration(0); at < l.duration; at += time.Duration(random.ExpFloat64() / l.demand * float64(time.Second)) {
 		now := start.Add(at)
-		if l.restart > 0 && at/l.restart != began/l.restart {
-			b, rate, began = quota.Bucket{}, 0, at
+		if l.restart > 0 && at/l.restart != started/l.restart {
+			b, rate, started = quota.Bucket{}, 0, at
 		}
-		if r := l.rate(max(0, at-hears)); r != rate {
+		if r := l.rate(max(0, at-lag)); r != rate {
 			if _, ok := shares[r]; !ok {
 				shares[r] = known.Share("server", "hall-0", r)
 			}
@@ -98,8 +98,8 @@
 		if b.Ready(now) {
 			b = b.Taken(now)
 			delay := time.Duration(0)
-			if l.late > 0 {
-				delay = time.Duration(random.Int64N(int64(l.late)))
+			if l.maxDelay > 0 {
+				delay = time.Duration(random.Int64N(int64(l.maxDelay)))
 			}
 			out = append(out, arrival{at: at + delay})
 		}
@@ -107,8 +107,9 @@
 	return out
 }
 
-// excess is how many requests came in the worst span beyond those allowed.
-func (l load) excess(arrivals []arrival) (worst float64, at time.Duration) {
+// excess returns the largest excess over the limit in any interval of length quota.Span, and
+// the end of that interval. It is 0 or less within the limit.
+func (l simulation) excess(arrivals []arrival) (worst float64, at time.Duration) {
 	worst = -1e9
 	for i, a := range arrivals {
 		n := 0
@@ -117,7 +118,7 @@
 		}
 		allowed := 0.0
 		for t := time.Duration(0); t < quota.Span; t += 50 * time.Millisecond {
-			// A limit that falls is known within half a second.
+			// Daemons apply a lower limit within half a second.
 			x := max(0, a.at-t)
 			allowed += max(l.rate(x), l.rate(max(0, x-500*time.Millisecond))) * 0.05
 		}
@@ -128,8 +129,8 @@
 	return worst, at
 }
 
-// highest is how many times its first limit a server names at most.
-const highest = 4
+// maxIncrease is the largest limit that a server announces, as a multiple of the first one.
+const maxIncrease = 4
 
 func constant(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
@@ -140,8 +141,8 @@
 	rates  = []float64{0.1, 0.5, 1, 1.6, 2.2, 7, 100}
 )
 
-// An allowance that each daemon keeps for itself adds up to as many times too much as there are
-// daemons.
+// The shares of all daemons must add up to the server's limit: daemons that each used the whole
+// limit would exceed it by the number of daemons.
 func TestSharesOfALimitAddUp(t *testing.T) {
 	for _, f := range fleets {
 		for _, rate := range rates {
@@ -152,7 +153,7 @@
 					s := quota.Daemons{Self: id, ByHall: halls}.Share("server", "hall-0", rate)
 					sum, depth = sum+s.Rate, depth+s.Depth
 					if s.Rate > 0 && s.Depth < 1 {
-						t.Errorf("%d daemons, %v a second: a share that never sends: %+v", f.daemons, rate, s)
+						t.Errorf("%d daemons, %v a second: a share that never allows a request: %+v", f.daemons, rate, s)
 					}
 				}
 			}
@@ -163,10 +164,10 @@
 	}
 }
 
-// Servers with a limit get no more than it allows from all daemons together: with a few and with
-// twice the fleet, with daemons that start every second, late arrivals, lists that differ, and
-// limits that fall to a tenth at once or flap.
-func TestServerWithALimitIsNotOverrun(t *testing.T) {
+// Servers with a limit receive no more than it allows from all daemons together: with fleets
+// from one daemon to twice the size in production, with daemons that restart every second, late
+// arrivals, differing lists of daemons, and limits that drop to a tenth at once or flap.
+func TestServerLimitIsNotExceeded(t *testing.T) {
 	limits := map[string]func(rate float64) func(time.Duration) float64{
 		"constant": constant,
 		"falls to a tenth": func(rate float64) func(time.Duration) float64 {
@@ -180,29 +181,29 @@
 		"rises and falls": func(rate float64) func(time.Duration) float64 {
 			return func(at time.Duration) float64 {
 				if at/(3*time.Second)%2 == 1 {
-					return highest * rate
+					return maxIncrease * rate
 				}
 				return rate
 			}
 		},
 	}
-	kinds := map[string]load{
+	kinds := map[string]simulation{
 		"steady":              {},
 		"start every second":  {restart: time.Second},
-		"late":                {late: time.Second},
-		"heard late":          {hears: 450 * time.Millisecond},
-		"lists differ by one": {views: 1},
-		"all of it":           {restart: 3 * time.Second, late: 500 * time.Millisecond, hears: 450 * time.Millisecond, views: 1},
+		"late":                {maxDelay: time.Second},
+		"limit received late": {maxLag: 450 * time.Millisecond},
+		"lists differ by one": {differing: 1},
+		"all combined":        {restart: 3 * time.Second, maxDelay: 500 * time.Millisecond, maxLag: 450 * time.Millisecond, differing: 1},
 	}
-	for name, limit := range limits {
+	for change, limit := range limits {
 		for kind, l := range kinds {
-			t.Run(name+", "+kind, func(t *testing.T) {
+			t.Run(change+", "+kind, func(t *testing.T) {
 				t.Parallel()
 				for _, f := range fleets {
 					for _, rate := range rates {
-						l.daemons, l.halls, l.lasts, l.rate = f.daemons, f.halls, 20*time.Second, limit(rate)
+						l.daemons, l.halls, l.duration, l.rate = f.daemons, f.halls, 20*time.Second, limit(rate)
 						l.demand = max(2, 4*rate/float64(f.daemons))
-						if worst, at := l.excess(l.play(1)); worst > 0 {
+						if worst, at := l.excess(l.run(1)); worst > 0 {
 							t.Errorf("%d daemons, %v a second: %.1f requests too many at %v", f.daemons, rate, worst, at)
 						}
 					}
@@ -212,16 +213,16 @@
 	}
 }
 
-// A limited server that is left idle is no help: callers who find enough of them use at least
-// 0.8 of its limit at 7 daemons and 0.6 at the size of the fleet and twice that.
-func TestServerWithALimitIsUsed(t *testing.T) {
+// Daemons with enough requests must also use most of a server's limit: at least 0.8 of it with
+// up to 14 daemons, and 0.6 with the fleet in production (985) and with twice that.
+func TestServerLimitIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		daemons, halls int
 		demand, least  float64
 	}{{1, 1, 10, 0.8}, {7, 3, 10, 0.8}, {14, 3, 5, 0.8}, {985, 5, 1, 0.6}, {1970, 5, 1, 0.6}} {
 		for _, rate := range []float64{0.5, 1.6, 2.2, 7} {
-			l := load{daemons: c.daemons, halls: c.halls, rate: constant(rate), demand: c.demand, lasts: 200 * time.Second}
-			used := float64(len(l.play(2))) / l.lasts.Seconds() / rate
+			l := simulation{daemons: c.daemons, halls: c.halls, rate: constant(rate), demand: c.demand, duration: 200 * time.Second}
+			used := float64(len(l.run(2))) / l.duration.Seconds() / rate
 			t.Logf("%d daemons, %v a second: %.2f of it is used", c.daemons, rate, used)
 			if used < c.least {
 				t.Errorf("%d daemons, %v a second: %.2f of it is used, want %v", c.daemons, rate, used, c.least)
@@ -230,7 +231,7 @@
 	}
 }
 
-func TestBucketGrantsNothingAnew(t *testing.T) {
+func TestNewShareGrantsNoTokens(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := quota.Daemons{Self: "a", ByHall: map[string][]string{"h": {"a", "b"}}}.Share("server", "h", 2)
 	b := quota.Bucket{}.With(s, now)
@@ -243,7 +244,7 @@
 	}
 	b = b.Taken(later)
 	if again := b.With(s, later); again.Level(later) > b.Level(later) {
-		t.Errorf("the same share anew gives %v", again.Level(later)-b.Level(later))
+		t.Errorf("the same share again grants %v tokens", again.Level(later)-b.Level(later))
 	}
 	if wait := b.Wait(later); !b.Ready(later.Add(wait+time.Millisecond)) || b.Ready(later.Add(wait-time.Millisecond)) {
 		t.Errorf("it is not ready after %v", wait)
