--- a/core/limit/bucket.go
+++ b/core/limit/bucket.go
@@ -1,35 +1,36 @@
-// Package limit holds an organisation's limits: buckets that refill, and the
-// share of a limit that one daemon may use.
+// Package limit implements the rate limits of an organisation: token buckets, and the share of
+// a limit that one daemon may use.
 package limit
 
 import "time"
 
-// Bucket is a token bucket. It is a value: Take returns the bucket after.
+// Bucket is a token bucket. It is immutable: methods return the new bucket.
 type Bucket struct {
-	// Level is what it holds at At. It may be negative, by debts.
+	// Level is the number of tokens at At. It is negative after Spend took more than there were.
 	Level float64
 	At    time.Time
 }
 
-// burstSeconds is how many seconds of its rate a bucket holds at most.
+// burstSeconds is the capacity of a bucket, in seconds at its rate.
 const burstSeconds = 1.0
 
-// startSeconds is how many seconds of its rate a new bucket holds: callers that were at another
-// daemon come together.
-const startSeconds = 0.1
+// initialSeconds is the initial level of a bucket, in seconds at its rate: callers that move from
+// another daemon arrive all at once.
+const initialSeconds = 0.1
 
-// minBurst lets even a small share admit one whole request.
+// minBurst is the smallest capacity and initial level of a bucket, in units: even a small share
+// must admit a whole request.
 const minBurst = 1.0
 
-// minWait is the shortest wait that is told.
+// minWait is the shortest wait that Take returns with a refusal.
 const minWait = time.Millisecond
 
-// Refill returns the bucket as it stands at now, for a rate in units a second. A new one holds
-// little: with a whole burst each start of a daemon would grant that anew.
+// Refill returns the bucket as of now, at a rate in units per second. A new bucket is not full:
+// otherwise each restart of a daemon would grant another burst.
 func (b Bucket) Refill(now time.Time, rate float64) Bucket {
 	burst := max(rate*burstSeconds, minBurst)
 	if b.At.IsZero() {
-		return Bucket{Level: max(rate*startSeconds, minBurst), At: now}
+		return Bucket{Level: max(rate*initialSeconds, minBurst), At: now}
 	}
 	if now.Before(b.At) {
 		return b
@@ -37,7 +38,7 @@
 	return Bucket{Level: min(burst, b.Level+rate*now.Sub(b.At).Seconds()), At: now}
 }
 
-// Take takes n units, or says after how long they will be there.
+// Take takes n units, or returns the time until they are available and false.
 func (b Bucket) Take(now time.Time, rate, n float64) (Bucket, time.Duration, bool) {
 	b = b.Refill(now, rate)
 	if b.Level >= min(n, max(rate*burstSeconds, minBurst)) {
@@ -51,7 +52,7 @@
 	return b, max(wait, minWait), false
 }
 
-// Spend takes n units that have been used already, into debt if need be.
+// Spend takes n units that were used already. The level may become negative.
 func (b Bucket) Spend(now time.Time, rate, n float64) Bucket {
 	b = b.Refill(now, rate)
 	b.Level -= n
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -12,7 +12,7 @@
 	"ladderridge.example/core/limit"
 )
 
-// TestBucketAdmitsTheRate offers more than the rate for ten seconds.
+// TestBucketAdmitsTheRate sends more than the rate for ten seconds.
 func TestBucketAdmitsTheRate(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	var b limit.Bucket
@@ -32,9 +32,9 @@
 	}
 }
 
-// Ten daemons with a tenth of a limit each, ended and started anew each second, admitted twice
-// what the limit allows.
-func TestStartRenewsNoBurstOfALimit(t *testing.T) {
+// Restarts of daemons must not grant bursts: with full new buckets, ten daemons with a tenth of a
+// limit each that restarted every second admitted twice the limit.
+func TestRestartGrantsNoBurst(t *testing.T) {
 	const rate, daemons, seconds = 20.0, 10, 10
 	admitted := 0
 	for range daemons {
@@ -49,15 +49,15 @@
 			}
 		}
 	}
-	// A tenth of a second of each share comes with a start.
+	// Each start grants a tenth of a second of the daemon's share.
 	if most := 1.1 * daemons * seconds * rate; float64(admitted) > most {
 		t.Errorf("%d admitted in %d s with %v starts, the limit allows %v", admitted, seconds, daemons*seconds, daemons*seconds*rate)
 	}
 }
 
-// A daemon that had nothing under way when demands were last counted refused all but one request
-// of an organisation that used a tenth of its limit.
-func TestDaemonWithoutDemandHasItsPartOfWhatIsLeft(t *testing.T) {
+// A daemon without requests in flight at the last count of demand must get a part of the surplus:
+// it refused all but one request of an organisation that used a tenth of its limit.
+func TestDaemonWithoutDemandGetsPartOfSurplus(t *testing.T) {
 	in := limit.ShareInput{Limit: 100, Halls: 2, Fresh: true, Hall: limit.HallDemand{Demand: 6, Daemons: 2}, Others: limit.HallDemand{Demand: 4, Daemons: 1}, FreshOthers: 1}
 	for own, want := range map[float64]float64{0: 30, 6: 36} {
 		in.Own = own
@@ -67,12 +67,12 @@
 	}
 }
 
-// TestSharesNeverExceedTheLimit draws demands and what each daemon knows: the
-// shares of all daemons together keep within the limit when their knowledge is
-// the same, and halls that do not see each other keep within it too.
+// TestSharesNeverExceedTheLimit draws random demands. The shares of all daemons together stay
+// within the limit, both when all data halls know each other's totals and when they are
+// partitioned from each other.
 func TestSharesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const whole = 1000.0
+		const limitRate = 1000.0
 		halls := rapid.IntRange(1, 4).Draw(t, "halls")
 		demands := make([][]float64, halls)
 		hall := make([]limit.HallDemand, halls)
@@ -84,12 +84,12 @@
 			}
 			hall[h].Daemons = len(demands[h])
 		}
-		cut := rapid.Bool().Draw(t, "cut")
+		partitioned := rapid.Bool().Draw(t, "cut")
 		total := 0.0
 		for h := range halls {
-			in := limit.ShareInput{Limit: whole, Halls: halls, Fresh: true, Hall: hall[h]}
+			in := limit.ShareInput{Limit: limitRate, Halls: halls, Fresh: true, Hall: hall[h]}
 			for o := range halls {
-				if o != h && !cut {
+				if o != h && !partitioned {
 					in.Others.Demand += hall[o].Demand
 					in.Others.Daemons += hall[o].Daemons
 					in.FreshOthers++
@@ -104,8 +104,8 @@
 				total += share
 			}
 		}
-		if total > whole*1.0001 {
-			t.Fatalf("the shares add up to %v of %v", total, whole)
+		if total > limitRate*1.0001 {
+			t.Fatalf("the shares add up to %v of %v", total, limitRate)
 		}
 	})
 }
--- a/core/limit/share.go
+++ b/core/limit/share.go
@@ -3,40 +3,40 @@
 // HallDemand is the demand of one or more data halls on a limit.
 type HallDemand struct {
 	Demand float64
-	// Daemons is how many share it.
+	// Daemons is the number of daemons in them.
 	Daemons int
 }
 
-// ShareInput is what one daemon knows when it works out its share of a limit.
+// ShareInput is the input from which a daemon computes its share of a limit.
 type ShareInput struct {
-	// Limit is the whole limit, in units a second or units at once.
+	// Limit is the limit of all daemons together, in units per second or concurrent units.
 	Limit float64
-	// Halls is the number of data halls of the system, this one included.
+	// Halls is the number of data halls of the system, including this one.
 	Halls int
-	// Own is this daemon's demand.
+	// Own is the demand at this daemon.
 	Own float64
-	// Fresh tells that the own data hall's total is known.
+	// Fresh reports whether the total of this data hall is up to date.
 	Fresh bool
-	// Hall is the own data hall.
+	// Hall is the demand of this data hall.
 	Hall HallDemand
-	// Others are the other data halls whose totals are known, FreshOthers of
-	// them; the rest are taken to use their static shares.
+	// Others is the demand of the other data halls whose totals are up to date, FreshOthers is
+	// their number. The remaining data halls are assumed to use their static shares.
 	Others      HallDemand
 	FreshOthers int
 }
 
-// idlePart is the part of a limit that is shared out evenly whatever the
-// demand, so that a daemon without demand can admit its first requests.
-const idlePart = 0.05
+// idleFraction is the fraction of a limit that is divided evenly whatever the demand, so that a
+// daemon without demand can admit its first requests.
+const idleFraction = 0.05
 
-// Share is the part of a limit that this daemon may use now.
+// Share returns the part of a limit that this daemon may use now.
 //
-// The data halls whose demand is not known keep their static share, one part
-// in the number of halls, so that halls that cannot see each other together
-// never exceed the limit. What is left is shared among the others: where it is enough for
-// all demand, each has its own and an even part of the rest, and otherwise by demand.
-// A daemon that does not even know its own hall's total uses an even part of
-// the hall's static share.
+// Each data hall whose demand is unknown keeps its static share, the limit divided by the
+// number of data halls, so that halls that cannot reach each other never exceed the limit
+// together. The rest is divided among the daemons of the other halls: if it covers their whole
+// demand, each daemon gets its own demand and an even part of the surplus, otherwise a part in
+// proportion to its demand. A daemon that does not know the total of its own hall uses an even
+// part of the hall's static share.
 func Share(in ShareInput) float64 {
 	halls := float64(max(in.Halls, 1))
 	static := in.Limit / halls
@@ -44,16 +44,16 @@
 	if !in.Fresh {
 		return static / daemons
 	}
-	left := static * min(halls, float64(1+in.FreshOthers))
+	available := static * min(halls, float64(1+in.FreshOthers))
 	demand := in.Hall.Demand + in.Others.Demand
-	sharing := daemons + float64(in.Others.Daemons)
+	sharers := daemons + float64(in.Others.Daemons)
 	if demand <= 0 {
-		return left / sharing
+		return available / sharers
 	}
-	// The own demand counts at least as it is now: the total may lag.
+	// The total may lag behind this daemon's own demand.
 	demand = max(demand, in.Own)
-	if demand <= left {
-		return in.Own + (left-demand)/sharing
+	if demand <= available {
+		return in.Own + (available-demand)/sharers
 	}
-	return left*idlePart/sharing + left*(1-idlePart)*in.Own/demand
+	return available*idleFraction/sharers + available*(1-idleFraction)*in.Own/demand
 }
