--- a/core/queue/meter.go
+++ b/core/queue/meter.go
@@ -5,75 +5,76 @@
 	"time"
 )
 
-// meter measures a pool: how fast it finishes requests, how long each takes,
-// and how many of each class arrive.
+// meter measures the throughput and service time of a pool of servers, and the arrival rate of
+// each class.
 type meter struct {
-	from     time.Time
+	start    time.Time
 	done     int
-	arrivals [classes]int
-	// rate and arriving are a second; mean and deviation are seconds.
-	rate      float64
-	arriving  [classes]float64
-	mean      float64
-	deviation float64
+	arrivals [classCount]int
+	// rate and arrivalRate are in requests per second, mean and deviation (of the service time) in
+	// seconds.
+	rate        float64
+	arrivalRate [classCount]float64
+	mean        float64
+	deviation   float64
 }
 
 func (m *meter) arrived(c Class, now time.Time) {
-	m.turn(now)
+	m.update(now)
 	m.arrivals[c]++
 }
 
 func (m *meter) finished(took time.Duration, now time.Time) {
-	m.turn(now)
+	m.update(now)
 	m.done++
 	seconds := took.Seconds()
 	if m.mean == 0 {
 		m.mean = seconds
 	}
-	m.deviation = blend(m.deviation, math.Abs(seconds-m.mean))
-	m.mean = blend(m.mean, seconds)
+	m.deviation = movingAverage(m.deviation, math.Abs(seconds-m.mean))
+	m.mean = movingAverage(m.mean, seconds)
 }
 
-// blend moves a measured figure towards its latest value.
-func blend(past, latest float64) float64 { return memory*past + (1-memory)*latest }
+// movingAverage returns the exponential moving average after another value.
+func movingAverage(past, latest float64) float64 { return pastWeight*past + (1-pastWeight)*latest }
 
-// turn ends a stretch of measuring once it is long enough.
-func (m *meter) turn(now time.Time) {
-	if m.from.IsZero() {
-		m.from = now
+// update computes the rates and begins a new interval once the current one is long enough.
+func (m *meter) update(now time.Time) {
+	if m.start.IsZero() {
+		m.start = now
 	}
-	span := now.Sub(m.from)
-	if span < measureEvery {
+	span := now.Sub(m.start)
+	if span < measureInterval {
 		return
 	}
-	m.rate = first(m.rate, float64(m.done)/span.Seconds())
-	for c := range m.arriving {
-		m.arriving[c] = blend(m.arriving[c], float64(m.arrivals[c])/span.Seconds())
+	m.rate = movingAverageFromFirst(m.rate, float64(m.done)/span.Seconds())
+	for c := range m.arrivalRate {
+		m.arrivalRate[c] = movingAverage(m.arrivalRate[c], float64(m.arrivals[c])/span.Seconds())
 	}
-	m.from, m.done, m.arrivals = now, 0, [classes]int{}
+	m.start, m.done, m.arrivals = now, 0, [classCount]int{}
 }
 
-// first blends, but starts at the first value.
-func first(past, latest float64) float64 {
+// movingAverageFromFirst is like movingAverage but starts with the first value.
+func movingAverageFromFirst(past, latest float64) float64 {
 	if past == 0 {
 		return latest
 	}
-	return blend(past, latest)
+	return movingAverage(past, latest)
 }
 
-// wait is how long it takes to serve n requests of a class and those before
-// it: they get what the higher classes, as they arrive, leave of the rate.
-func (m *meter) wait(n int, c Class) time.Duration {
-	rate := max(m.rate, floorRate)
+// queueTime returns the estimated time until the pool has finished n queued requests, the last one
+// of class c. Arrivals of higher classes are served first and reduce the rate.
+func (m *meter) queueTime(n int, c Class) time.Duration {
+	rate := max(m.rate, minRate)
 	left := rate
-	for higher := c + 1; higher < classes; higher++ {
-		left -= m.arriving[higher]
+	for higher := c + 1; higher < classCount; higher++ {
+		left -= m.arrivalRate[higher]
 	}
-	left = max(left, rate*leastPart)
+	left = max(left, rate*minFraction)
 	return time.Duration(float64(n) / left * float64(time.Second))
 }
 
-// service is how long most requests take once they are served.
-func (m *meter) service() time.Duration {
+// serviceTime returns the service time that most requests do not exceed.
+func (m *meter) serviceTime() time.Duration {
 	return time.Duration((m.mean + m.deviation) * float64(time.Second))
 }
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -1,57 +1,57 @@
-// Package queue holds the requests that wait for a place on a backend server.
-// It is bounded, serves higher priorities first and organisations in turn, and
-// refuses at once, with when to come back, what it could not serve in time.
+// Package queue implements the queue of requests that wait for a slot at a backend server. It is
+// bounded, serves higher priorities first and is fair between organisations. A request that is
+// not expected to finish before its deadline is refused at once, with a retry-after time.
 package queue
 
 import (
 	"time"
 )
 
-// The bounds of a queue.
+// Parameters of a queue.
 const (
-	// MaxItems is how many requests wait at most.
+	// MaxItems is the largest number of requests in the queue.
 	MaxItems = 256
-	// MaxPerOrganisation is how many of one organisation do.
+	// MaxPerOrganisation is the largest number of requests of one organisation.
 	MaxPerOrganisation = 64
-	// floorRate is taken as the rate of a pool that has finished nothing yet,
-	// in requests a second.
-	floorRate = 1.0
-	// leastPart is the part of the rate that the lowest class is taken to get.
-	leastPart = 0.02
-	// memory is the weight of the past in what is measured.
-	memory = 0.8
-	// measureEvery is the time over which rates are measured.
-	measureEvery = 250 * time.Millisecond
-	// retryFloor and retryCeiling bound when to come back.
-	retryFloor   = 100 * time.Millisecond
-	retryCeiling = 30 * time.Second
+	// minRate is the lowest rate that is assumed for a pool, in requests per second: one that
+	// has not finished a request yet has no measured rate.
+	minRate = 1.0
+	// minFraction is the smallest fraction of the rate that is assumed for a class.
+	minFraction = 0.02
+	// pastWeight is the weight of earlier values in the moving averages.
+	pastWeight = 0.8
+	// measureInterval is the interval over which rates are measured.
+	measureInterval = 250 * time.Millisecond
+	// minRetryAfter and maxRetryAfter are the limits of retry-after times.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
-// Class is the caller's own order among its requests.
+// Class is the priority class that a caller gives a request.
 type Class int
 
-// The classes; later ones go first.
+// The classes, from the lowest to the highest priority.
 const (
-	// Background requests wait while others are served.
+	// Background requests are served after all others.
 	Background Class = iota
-	// Normal is the class of requests that name none.
+	// Normal is the default class.
 	Normal
-	// Urgent requests go before all others.
+	// Urgent requests are served before all others.
 	Urgent
-	classes
+	classCount
 )
 
-// Item is one request that waits.
+// Item is a queued request.
 type Item struct {
 	ID           string
 	Organisation string
 	Class        Class
-	// Priority is the organisation's: higher goes first within a class.
+	// Priority is that of the organisation. Within a class a higher one is served first.
 	Priority int
 	Deadline time.Time
 }
 
-// before reports whether a goes before b, whatever their organisations' turns.
+// before reports whether a has a higher class or priority than b.
 func (a Item) before(b Item) bool {
 	if a.Class != b.Class {
 		return a.Class > b.Class
@@ -59,28 +59,27 @@
 	return a.Priority > b.Priority
 }
 
-// Verdict is what becomes of a request that asks to wait.
+// Verdict is the result of Push.
 type Verdict interface{ verdict() }
 
-// Waits lets the request wait. Shed, if not nil, is a request of lower
-// priority that has to make room and is refused at once.
+// Waits means that the request was queued. Shed, if not nil, is the request of lower priority
+// that was removed to make room and must be refused.
 type Waits struct {
 	Shed *Item
-	// RetryAfter is when the shed request may come back.
+	// RetryAfter is the retry-after time of the shed request.
 	RetryAfter time.Duration
 }
 
-// Refused turns the request down at once.
+// Refused means that the request was not queued.
 type Refused struct{ RetryAfter time.Duration }
 
 func (Waits) verdict()   {}
 func (Refused) verdict() {}
 
-// Queue is the requests that wait for one pool of servers. It is not safe for
-// concurrent use.
+// Queue holds the requests that wait for one pool of servers. It is not safe for concurrent use.
 type Queue struct {
 	items []Item
-	// served counts the requests taken out by organisation, for their turns.
+	// served counts the requests taken out by organisation, for fairness.
 	served map[string]int
 	meter  meter
 }
@@ -88,10 +87,10 @@
 // New returns an empty queue.
 func New() *Queue { return &Queue{served: map[string]int{}} }
 
-// Len is how many requests wait.
+// Len returns the number of queued requests.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Push asks to wait.
+// Push adds a request to the queue or refuses it.
 func (q *Queue) Push(it Item, now time.Time) Verdict {
 	q.meter.arrived(it.Class, now)
 	ahead, own := 0, 0
@@ -103,25 +102,25 @@
 			own++
 		}
 	}
-	wait := q.meter.wait(ahead+1, it.Class)
-	if own >= MaxPerOrganisation || wait+q.meter.service() > it.Deadline.Sub(now) {
-		return Refused{RetryAfter: bounded(wait)}
+	wait := q.meter.queueTime(ahead+1, it.Class)
+	if own >= MaxPerOrganisation || wait+q.meter.serviceTime() > it.Deadline.Sub(now) {
+		return Refused{RetryAfter: clampRetryAfter(wait)}
 	}
 	if len(q.items) < MaxItems {
 		q.items = append(q.items, it)
 		return Waits{}
 	}
-	last := q.last()
+	last := q.shedIndex()
 	if !it.before(q.items[last]) {
-		return Refused{RetryAfter: bounded(wait)}
+		return Refused{RetryAfter: clampRetryAfter(wait)}
 	}
 	shed := q.items[last]
 	q.items[last] = it
-	return Waits{Shed: &shed, RetryAfter: bounded(q.meter.wait(len(q.items), shed.Class))}
+	return Waits{Shed: &shed, RetryAfter: clampRetryAfter(q.meter.queueTime(len(q.items), shed.Class))}
 }
 
-// last is the index of the latest request of the lowest priority.
-func (q *Queue) last() int {
+// shedIndex returns the index of the request to shed first: of the lowest priority, the newest one.
+func (q *Queue) shedIndex() int {
 	last := 0
 	for i, it := range q.items {
 		if !it.before(q.items[last]) {
@@ -131,32 +130,32 @@
 	return last
 }
 
-func bounded(d time.Duration) time.Duration { return min(max(d, retryFloor), retryCeiling) }
+func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// Late is a request that could no longer be answered in time.
+// Late is a request that can no longer finish before its deadline.
 type Late struct {
 	Item       Item
 	RetryAfter time.Duration
 }
 
-// Pop takes out the request to be served next: of the highest priority, that
-// of the organisation served least, the one that has waited longest. Those that
-// are too late on the way are taken out with it, to be refused at once.
+// Pop removes and returns the next request: among those of the highest priority, the oldest one
+// of the organisation that was served least. Requests that come first but can no longer finish
+// before their deadlines are removed as well and returned in late, to be refused.
 func (q *Queue) Pop(now time.Time) (next Item, late []Late, ok bool) {
 	for len(q.items) > 0 {
-		it := q.take(q.best())
-		if it.Deadline.Sub(now) >= q.meter.service() {
+		it := q.take(q.nextIndex())
+		if it.Deadline.Sub(now) >= q.meter.serviceTime() {
 			q.served[it.Organisation]++
 			return it, late, true
 		}
-		late = append(late, Late{Item: it, RetryAfter: bounded(q.meter.wait(len(q.items)+1, it.Class))})
+		late = append(late, Late{Item: it, RetryAfter: clampRetryAfter(q.meter.queueTime(len(q.items)+1, it.Class))})
 	}
 	q.served = map[string]int{}
 	return Item{}, late, false
 }
 
-// best is the index of the request to be served next.
-func (q *Queue) best() int {
+// nextIndex returns the index of the request to serve next.
+func (q *Queue) nextIndex() int {
 	best := 0
 	for i, it := range q.items {
 		b := q.items[best]
@@ -173,11 +172,12 @@
 	return it
 }
 
-// Served counts a request that the pool has finished in a time, by which the
-// queue tells how long others will wait.
+// Served records that the pool has finished a request. The waiting times of the other requests
+// are estimated from these service times.
 func (q *Queue) Served(took time.Duration, now time.Time) { q.meter.finished(took, now) }
 
-// Remove takes out a request that no longer waits.
+// Remove removes a request, for example after its caller disconnected, and reports whether it
+// was queued.
 func (q *Queue) Remove(id string) bool {
 	for i, it := range q.items {
 		if it.ID == id {
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestOrganisationsTakeTurns(t *testing.T) {
+func TestFairnessBetweenOrganisations(t *testing.T) {
 	q := queue.New()
 	for i := range 3 {
 		q.Push(queue.Item{ID: fmt.Sprint("large", i), Organisation: "large", Class: queue.Normal, Deadline: start.Add(time.Hour)}, start)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestRefusedAtOnceWhenItCannotBeInTime(t *testing.T) {
+func TestRequestThatWouldMissItsDeadlineIsRefused(t *testing.T) {
 	q := queue.New()
 	for i := range 100 {
 		q.Served(100*time.Millisecond, start.Add(time.Duration(i)*100*time.Millisecond))
@@ -63,18 +63,18 @@
 		it := item(fmt.Sprint(i), queue.Normal)
 		it.Deadline = now.Add(10 * time.Second)
 		if _, ok := q.Push(it, now).(queue.Waits); !ok {
-			t.Fatalf("request %d, with 10 s to go, was refused", i)
+			t.Fatalf("request %d was refused 10 s before its deadline", i)
 		}
 	}
 	late := item("late", queue.Normal)
 	late.Deadline = now.Add(2 * time.Second)
 	v, ok := q.Push(late, now).(queue.Refused)
 	if !ok || v.RetryAfter < time.Second || v.RetryAfter > 4*time.Second {
-		t.Errorf("20 wait at about 10 a second, 2 s to go: %+v, want a refusal for about 2 s", v)
+		t.Errorf("20 requests queued at about 10 per second, 2 s to the deadline: %+v, want a refusal with a retry-after time of about 2 s", v)
 	}
 }
 
-func TestTooLateOnesAreRefusedNotServed(t *testing.T) {
+func TestExpiredRequestsAreNotServed(t *testing.T) {
 	q := queue.New()
 	q.Served(2*time.Second, start)
 	for _, id := range []string{"late", "in time"} {
@@ -91,8 +91,9 @@
 	}
 }
 
-// TestQueueAgainstOracle pushes and pops anything: nothing is lost or served
-// twice, the bounds hold, and nobody waits while a lower class is served.
+// TestQueueAgainstOracle runs random operations against a reference model: no request is lost
+// or served twice, the queue stays within MaxItems, and no request is served before one of a
+// higher class.
 func TestQueueAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := queue.New()
@@ -123,7 +124,7 @@
 					return
 				}
 				if _, there := waiting[it.ID]; !there {
-					t.Fatalf("%s was served but does not wait", it.ID)
+					t.Fatalf("%s was served but is not queued", it.ID)
 				}
 				for _, other := range waiting {
 					if other.Class > it.Class {
@@ -141,7 +142,7 @@
 			},
 			"": func(t *rapid.T) {
 				if q.Len() != len(waiting) || q.Len() > queue.MaxItems {
-					t.Fatalf("%d wait, the oracle has %d", q.Len(), len(waiting))
+					t.Fatalf("%d requests are queued, the model has %d", q.Len(), len(waiting))
 				}
 			},
 		})
