--- a/core/notice/limit.go
+++ b/core/notice/limit.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Limit is what one answer of a server says of the rate that it takes from all daemons
-// together. The zero value says nothing of it.
+// Limit is the rate limit in an answer of a server, for the requests of all daemons together.
+// The zero value is an answer without information on it.
 type Limit struct {
-	// Rate is in requests a second; 0 names none.
+	// Rate is in requests per second, 0 if the answer announces no limit.
 	Rate float64
-	// Lifted says that the server answers and names no limit.
+	// Lifted reports that the server answered without a limit, which ends an earlier one.
 	Lifted bool
-	// Malformed is what it wrote where that is no rate. It changes nothing.
+	// Malformed is the announced text if it is not a rate. It does not change the limit.
 	Malformed string
 }
 
-// LeastRate is the least limit that is believed, in requests a second: a server that gets
-// nothing can't say when its limit ends.
+// LeastRate is the lowest limit that is applied, in requests per second: a server that receives
+// no requests cannot announce the end of its limit.
 const LeastRate = 0.1
 
-// PerSecond reads the rates that a server names, in requests a second. Of several the lowest
-// counts.
+// PerSecond parses the rates that a server announces, in requests per second. The lowest of
+// several applies.
 func PerSecond(values []string) Limit {
 	var out Limit
 	for _, value := range values {
@@ -49,47 +49,47 @@
 	return max(rate, LeastRate), true
 }
 
-// Standing is the limit that stands for a server. The zero value is none. It is never changed.
+// Standing is the limit in force for a server. The zero value is no limit. It is immutable.
 type Standing struct {
-	// Rate is in requests a second from all daemons together; 0 is no limit.
+	// Rate is in requests per second from all daemons together, 0 for no limit.
 	Rate float64
-	// Since is when this rate was first known here.
+	// Since is when this daemon first learned of this rate.
 	Since time.Time
-	// From is the daemon that has told it; "" is an answer to a request of this one.
+	// From is the daemon that reported the limit, "" for an answer to a request of this daemon.
 	From string
-	// Asked and Heard are when the request was sent whose answer says so, and when the answer
-	// was read.
+	// Asked is when the request was sent whose answer announced the limit, Heard when that
+	// answer was read.
 	Asked, Heard time.Time
-	// Malformed is what the server wrote last if that is no rate.
+	// Malformed is the last announced text if it was not a rate.
 	Malformed string
 }
 
-// With returns what stands after one more answer.
+// With returns the limit in force after another answer.
 //
-// Answers overtake one another: one to a request that was sent before the last word was heard
-// may be older than that, and only lowers the limit.
-func (s Standing) With(l Limit, asked, heard time.Time, from string) Standing {
+// Answers may arrive out of order: one to a request that was sent before the last answer was read
+// may be older than that answer, and may only lower the limit.
+func (s Standing) With(l Limit, requested, received time.Time, from string) Standing {
 	if l.Malformed != "" && from == "" {
 		s.Malformed = l.Malformed
 	}
 	if l.Rate == 0 && (!l.Lifted || s.Rate == 0) {
 		return s
 	}
-	later := !asked.Before(s.Heard)
-	lower := l.Rate > 0 && (s.Rate == 0 || l.Rate < s.Rate) && heard.After(s.Asked)
+	later := !requested.Before(s.Heard)
+	lower := l.Rate > 0 && (s.Rate == 0 || l.Rate < s.Rate) && received.After(s.Asked)
 	if !later && !lower {
 		return s
 	}
-	next := Standing{Rate: l.Rate, Since: s.Since, From: from, Asked: asked, Heard: heard, Malformed: l.Malformed}
+	next := Standing{Rate: l.Rate, Since: s.Since, From: from, Asked: requested, Heard: received, Malformed: l.Malformed}
 	if s.Rate == l.Rate {
 		next.From = s.From
 	} else {
-		next.Since = heard
+		next.Since = received
 	}
 	return next
 }
 
-// Differs reports whether another limit stands than before, or other text that names none.
+// Differs reports whether the limit or the malformed text differs from the previous one.
 func (s Standing) Differs(was Standing) bool {
 	return s.Rate != was.Rate || s.Malformed != was.Malformed
 }
--- a/core/notice/limit_test.go
+++ b/core/notice/limit_test.go
@@ -7,7 +7,7 @@
 	"ladderridge.example/core/notice"
 )
 
-func TestPerSecondReadsWhatServersWrite(t *testing.T) {
+func TestRatesAreParsed(t *testing.T) {
 	for name, c := range map[string]struct {
 		values []string
 		want   notice.Limit
@@ -35,8 +35,8 @@
 	}
 }
 
-// An answer that was long under way must not lift a limit that was named meanwhile.
-func TestOlderAnswerLiftsNoLimit(t *testing.T) {
+// A delayed answer must not lift a limit that the server announced in the meantime.
+func TestOlderAnswerDoesNotLiftLimit(t *testing.T) {
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	var s notice.Standing
 	s = s.With(notice.Limit{Rate: 2}, at(100), at(200), "")
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -1,5 +1,6 @@
-// Package notice is what a backend server says of itself with an answer: that it ends soon,
-// that it wants no requests for a time, or how many it takes a second.
+// Package notice implements the notices that a backend server sends about itself with its
+// answers: that it is leaving (shuts down soon), that clients should back off for a time, or its
+// rate limit.
 package notice
 
 import (
@@ -9,23 +10,23 @@
 	"time"
 )
 
-// Notice is one word of a server about itself. The zero value says nothing.
+// Notice is the notice in one answer. The zero value is empty.
 type Notice struct {
-	// Leaving says that the server ends soon and is to get no new work.
+	// Leaving reports that the server shuts down soon and must get no new requests.
 	Leaving bool
-	// Rest is how long the server wants no requests from whom it answers; 0 asks for
-	// none.
+	// Rest is how long the daemon that receives the answer should send no requests, 0 for no
+	// back-off.
 	Rest time.Duration
-	// Limit is the rate that the server takes from all daemons together.
+	// Limit is the rate limit of the server for all daemons together.
 	Limit Limit
 }
 
-// Says reports whether the notice says anything.
+// Says reports whether the notice is not empty.
 func (n Notice) Says() bool {
 	return n.Leaving || n.Rest > 0 || n.Limit.Rate > 0 || n.Limit.Malformed != ""
 }
 
-// String is the notice for a log line, "" if it says nothing.
+// String returns the notice as text for log lines, "" if it is empty.
 func (n Notice) String() string {
 	var words []string
 	if n.Leaving {
@@ -43,11 +44,12 @@
 	return strings.Join(words, ", ")
 }
 
-// LongestRest bounds the rest that is believed: a server that names more is in error, and
-// within the time an operator has seen to it.
+// LongestRest limits the back-off: a server that asks for more is faulty, and this gives an
+// operator the time to repair it.
 const LongestRest = time.Hour
 
-// Seconds reads a rest in seconds, with a fraction if there is one; 0 if it is none.
+// Seconds parses a back-off in seconds, possibly with a fraction. It returns 0 for any other
+// text.
 func Seconds(value string) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || math.IsNaN(s) || s <= 0 {
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -7,7 +7,7 @@
 	"ladderridge.example/core/notice"
 )
 
-func TestSecondsReadsWhatServersWrite(t *testing.T) {
+func TestBackoffIsParsed(t *testing.T) {
 	for value, want := range map[string]time.Duration{
 		"3": 3 * time.Second, " 0.25 ": 250 * time.Millisecond, "1e3": 1000 * time.Second, "1e300": notice.LongestRest, "+Inf": notice.LongestRest,
 		"": 0, "0": 0, "-1": 0, "NaN": 0, "soon": 0, "Wed, 21 Oct 2026 07:28:00 GMT": 0,
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestNoticeSaysWhatItIs(t *testing.T) {
+func TestNoticeAsText(t *testing.T) {
 	for n, want := range map[notice.Notice]string{
 		{}:                                 "",
 		{Leaving: true}:                    "leaving",
--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Kept is what a server's notices come to. The zero value holds none. It is never changed.
+// Kept is the state of a server by its notices. The zero value is that of a server without any.
+// It is immutable.
 //
-// It answers a load in which some servers decline everything: such a server is idle, so a
-// choice by load that does not know of its notice prefers it, and each request that comes
-// wastes its tries there. Both bounds are the server's own: a leaving ends with the server,
-// a rest at the time that it named.
+// It prevents that requests go to servers that decline all of them: such a server has no load,
+// so a load balancer that ignores its notices prefers it, and each request wastes its attempts
+// there. No other expiry is needed: a server that is leaving ends, and a back-off lasts as long
+// as the server asked for.
 type Kept struct {
-	// LeavingAt is when the server said first that it leaves; zero is never.
+	// LeavingAt is when the server first announced that it is leaving, zero if it has not.
 	LeavingAt time.Time
-	// RestUntil is the latest time until which it wants no requests.
+	// RestUntil is the latest end of a back-off that the server asked for.
 	RestUntil time.Time
-	// Limit is the rate that it takes from all daemons together.
+	// Limit is the rate limit that the server announced for all daemons together.
 	Limit Standing
 }
 
-// With returns what is kept after one more notice. A shorter rest does not end a longer one:
-// answers overtake one another.
+// With returns the state after another notice. A shorter back-off does not end a longer one:
+// answers may arrive out of order.
 func (k Kept) With(n Notice, now time.Time) Kept {
 	if n.Leaving && k.LeavingAt.IsZero() {
 		k.LeavingAt = now
@@ -33,8 +34,8 @@
 	return k
 }
 
-// WithStay returns what is kept once the server has said at a time that it does not leave. A
-// word from before its leaving changes nothing.
+// WithStay returns the state after the server reported at a time that it is not leaving. A report
+// from before it announced to leave has no effect.
 func (k Kept) WithStay(at time.Time) Kept {
 	if at.After(k.LeavingAt) {
 		k.LeavingAt = time.Time{}
@@ -42,88 +43,89 @@
 	return k
 }
 
-// Leaving reports whether the server has said that it leaves.
+// Leaving reports whether the server is leaving.
 func (k Kept) Leaving() bool { return !k.LeavingAt.IsZero() }
 
-// Resting reports whether the server still wants no requests.
+// Resting reports whether a back-off that the server asked for is in force.
 func (k Kept) Resting(now time.Time) bool { return now.Before(k.RestUntil) }
 
-// Open reports whether the server takes requests by all that it has said.
+// Open reports whether the server accepts requests according to its notices.
 func (k Kept) Open(now time.Time) bool { return !k.Leaving() && !k.Resting(now) }
 
-// RestEnds returns when the first of some servers takes requests again, if all that stay want
-// rest.
+// RestEnds returns the earliest end of a back-off among servers, if all of them that are not
+// leaving are in back-off.
 func RestEnds(servers iter.Seq[Kept], now time.Time) (at time.Time, ok bool) {
-	for k := range servers {
+	for s := range servers {
 		switch {
-		case k.Leaving():
-		case !k.Resting(now):
+		case s.Leaving():
+		case !s.Resting(now):
 			return time.Time{}, false
-		case !ok || k.RestUntil.Before(at):
-			at, ok = k.RestUntil, true
+		case !ok || s.RestUntil.Before(at):
+			at, ok = s.RestUntil, true
 		}
 	}
 	return at, ok
 }
 
-// Held keeps a server's notices for concurrent use. The zero value holds none.
-type Held struct{ kept atomic.Pointer[Kept] }
+// Held keeps the state of a server. It is safe for concurrent use. The zero value has no
+// notices.
+type Held struct{ state atomic.Pointer[Kept] }
 
-// Kept returns what is kept now.
+// Kept returns the current state.
 func (h *Held) Kept() Kept {
-	if k := h.kept.Load(); k != nil {
+	if k := h.state.Load(); k != nil {
 		return *k
 	}
 	return Kept{}
 }
 
-// Open reports whether the server takes requests by all that it has said. Most have said
-// nothing: a choice among hundreds asks each.
+// Open reports whether the server accepts requests according to its notices. It is fast for
+// servers without notices, which most are: a choice among hundreds of servers checks each.
 func (h *Held) Open(now time.Time) bool {
-	k := h.kept.Load()
+	k := h.state.Load()
 	return k == nil || k.Open(now)
 }
 
-// Stand reports whether any notice stands.
+// Stand reports whether any notice is in force.
 func (h *Held) Stand(now time.Time) bool {
-	k := h.kept.Load()
+	k := h.state.Load()
 	return k != nil && (!k.Open(now) || k.Limit.Rate > 0)
 }
 
-// Hear keeps one more notice and reports whether it changes what may be sent: the server
-// was to be sent requests until now.
-func (h *Held) Hear(n Notice, now time.Time) (news bool) {
+// Hear applies a notice and reports whether the server begins to leave or to back off with it:
+// until then requests could be sent to it.
+func (h *Held) Hear(n Notice, now time.Time) (changed bool) {
 	was := h.replace(func(k Kept) Kept { return k.With(n, now) })
 	return n.Leaving && !was.Leaving() || n.Rest > 0 && !was.Resting(now)
 }
 
-// HearLimit keeps what an answer says of the server's limit, and returns what stood before and
-// what stands now. The request of the answer was sent at asked; from is the daemon that has
-// told of it, "" for an answer to a request of this one.
-func (h *Held) HearLimit(l Limit, asked, heard time.Time, from string) (was, is Standing) {
-	if old := h.kept.Load(); old == nil && l.Rate == 0 && l.Malformed == "" {
+// HearLimit applies the limit of an answer and returns the limit in force before and after it.
+// requested is when the request of the answer was sent, received when the answer was read. from
+// is the daemon that reported the limit, "" for an answer to a request of this daemon.
+func (h *Held) HearLimit(l Limit, requested, received time.Time, from string) (was, is Standing) {
+	if old := h.state.Load(); old == nil && l.Rate == 0 && l.Malformed == "" {
 		return Standing{}, Standing{}
 	}
 	old := h.replace(func(k Kept) Kept {
-		k.Limit = k.Limit.With(l, asked, heard, from)
+		k.Limit = k.Limit.With(l, requested, received, from)
 		return k
 	}).Limit
-	return old, old.With(l, asked, heard, from)
+	return old, old.With(l, requested, received, from)
 }
 
-// Stays notes that the server has said at a time that it does not leave.
+// Stays records that the server reported at a time that it is not leaving.
 func (h *Held) Stays(at time.Time) { h.replace(func(k Kept) Kept { return k.WithStay(at) }) }
 
-// replace puts what follows in the place of what is kept, and returns what was.
+// replace replaces the state by next of it and returns the previous state.
 func (h *Held) replace(next func(Kept) Kept) Kept {
 	for {
-		old := h.kept.Load()
+		old := h.state.Load()
 		var was Kept
 		if old != nil {
 			was = *old
 		}
 		is := next(was)
-		if is == was || h.kept.CompareAndSwap(old, &is) {
+		if is == was || h.state.CompareAndSwap(old, &is) {
 			return was
 		}
 	}
--- a/core/notice/state_test.go
+++ b/core/notice/state_test.go
@@ -11,7 +11,7 @@
 
 var now = time.Unix(1000, 0)
 
-func TestRestEndsByItselfAndAShorterOneDoesNotEndIt(t *testing.T) {
+func TestShorterBackoffDoesNotEndALongerOne(t *testing.T) {
 	k := notice.Kept{}.With(notice.Notice{Rest: 3 * time.Second}, now)
 	k = k.With(notice.Notice{Rest: time.Second}, now.Add(time.Second))
 	for after, open := range map[time.Duration]bool{0: false, 2999 * time.Millisecond: false, 3 * time.Second: true} {
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestLeavingEndsOnlyByALaterWord(t *testing.T) {
+func TestLeavingIsRevokedOnlyByALaterReport(t *testing.T) {
 	k := notice.Kept{}.With(notice.Notice{Leaving: true}, now).With(notice.Notice{}, now.Add(time.Second))
 	if k.Open(now.Add(time.Hour)) || k.WithStay(now.Add(-time.Second)).Open(now) || k.WithStay(now).Open(now) {
 		t.Error("a server that leaves is open")
@@ -31,18 +31,18 @@
 	}
 }
 
-// Answers overtake one another: in whatever order the notices of some answers are read, the
-// same is kept of them.
+// Answers may arrive out of order: the state must not depend on the order in which the notices
+// are applied.
 func TestOrderOfNoticesDoesNotMatter(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 1000 {
-		type said struct {
+		type received struct {
 			n  notice.Notice
 			at time.Time
 		}
-		var all []said
+		var all []received
 		for range 4 {
-			all = append(all, said{notice.Notice{Leaving: rng.IntN(3) == 0, Rest: time.Duration(rng.IntN(3)) * time.Second}, now.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)})
+			all = append(all, received{notice.Notice{Leaving: rng.IntN(3) == 0, Rest: time.Duration(rng.IntN(3)) * time.Second}, now.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)})
 		}
 		keep := func() (k notice.Kept) {
 			for _, s := range all {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestHeldTellsNewsOnceUnderConcurrency(t *testing.T) {
+func TestNoticeIsNewsOnceUnderConcurrency(t *testing.T) {
 	var h notice.Held
 	var wg sync.WaitGroup
 	news := make(chan bool, 64)
@@ -77,12 +77,12 @@
 		t.Errorf("news %d times", n)
 	}
 	if h.Hear(notice.Notice{}, now) {
-		t.Error("nothing said is news")
+		t.Error("an empty notice is news")
 	}
 	if h.Stays(now.Add(time.Second)); !h.Kept().Open(now) {
 		t.Error("not open after all")
 	}
 	if !h.Hear(notice.Notice{Rest: time.Second}, now) || h.Hear(notice.Notice{Rest: time.Second}, now.Add(500*time.Millisecond)) || !h.Hear(notice.Notice{Rest: time.Second}, now.Add(2*time.Second)) {
-		t.Error("a rest is news when it begins")
+		t.Error("a back-off must be news only when it begins")
 	}
 }
