--- a/core/retry/attempt_timeout.go
+++ b/core/retry/attempt_timeout.go
@@ -27,13 +27,13 @@
 	Lately time.Duration
 }
 
-// Patience returns how long to wait for the first part of an answer before another server is
+// AttemptTimeout returns how long to wait for the first part of an answer before another server is
 // tried, given the latency objective of the route and the time left until the deadline. 0
 // means no time-out before the deadline.
 //
 // It returns 0 where the time left does not suffice for another server: a request with little
 // time would otherwise be cancelled at one server after the other.
-func Patience(e Expected, objective, left time.Duration) time.Duration {
+func AttemptTimeout(e Expected, objective, left time.Duration) time.Duration {
 	if e.Now > objective/overloadDivisor {
 		return 0
 	}
--- a/core/retry/attempt_timeout_test.go
+++ b/core/retry/attempt_timeout_test.go
@@ -23,7 +23,7 @@
 		"not enough time by the recent latency":       {retry.Expected{Now: 1 * ms, Lately: 110 * ms}, 2000 * ms, 200 * ms, 0},
 		"no estimate":                                 {retry.Expected{}, 2000 * ms, 6000 * ms, 2000 * ms},
 	} {
-		if got := retry.Patience(c.expected, c.objective, c.left); got != c.want {
+		if got := retry.AttemptTimeout(c.expected, c.objective, c.left); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
--- a/daemon/proxy/patience.go
+++ b/daemon/proxy/patience.go
@@ -83,5 +83,5 @@
 	now, size := time.Now(), j.request.size()
 	pace := j.engine.paces.of(j.kind(j.model()))
 	e := retry.Expected{Now: pace.Usual(size, now), Lately: pace.Lately(size)}
-	return retry.Patience(e, j.route.LatencyObjective, j.end.Sub(now))
+	return retry.AttemptTimeout(e, j.route.LatencyObjective, j.end.Sub(now))
 }
