--- a/core/retry/retry_after.go
+++ b/core/retry/retry_after.go
@@ -9,9 +9,9 @@
 	maxRetryAfter = 2 * time.Second
 )
 
-// ComeBack returns the retry-after time of a request that was refused because all slots of
+// RetryAfter returns the retry-after time of a request that was refused because all slots of
 // the servers were in use, from the typical duration of a request. The first slot becomes free
 // after that duration divided by the number of slots, but other callers compete for it.
-func ComeBack(typical time.Duration) time.Duration {
+func RetryAfter(typical time.Duration) time.Duration {
 	return max(minRetryAfter, min(maxRetryAfter, typical))
 }
