--- a/core/retry/attempt_timeout.go
+++ b/core/retry/attempt_timeout.go
@@ -19,12 +19,12 @@
 	idleFactor = 3
 )
 
-// Expected is the estimated time to the first part of an answer.
-type Expected struct {
+// ExpectedLatency is the estimated time to the first part of an answer.
+type ExpectedLatency struct {
 	// Now is the current estimate, 0 if it is unknown. It decays while no answers arrive.
 	Now time.Duration
-	// Lately is the latency of the last answers, 0 if it is unknown. It does not decay.
-	Lately time.Duration
+	// Recent is the latency of the last answers, 0 if it is unknown. It does not decay.
+	Recent time.Duration
 }
 
 // AttemptTimeout returns how long to wait for the first part of an answer before another server is
@@ -33,12 +33,12 @@
 //
 // It returns 0 where the time left does not suffice for another server: a request with little
 // time would otherwise be cancelled at one server after the other.
-func AttemptTimeout(e Expected, objective, left time.Duration) time.Duration {
+func AttemptTimeout(e ExpectedLatency, objective, left time.Duration) time.Duration {
 	if e.Now > objective/overloadDivisor {
 		return 0
 	}
 	timeout := min(max(timeoutFactor*e.Now, objective), time.Duration(maxTimeLeftFraction*float64(left)))
-	if needed := max(e.Now, e.Lately); timeout < needed || left-timeout < needed {
+	if needed := max(e.Now, e.Recent); timeout < needed || left-timeout < needed {
 		return 0
 	}
 	return timeout
--- a/core/retry/attempt_timeout_test.go
+++ b/core/retry/attempt_timeout_test.go
@@ -11,17 +11,17 @@
 
 func TestAttemptTimeout(t *testing.T) {
 	for name, c := range map[string]struct {
-		expected        retry.Expected
+		expected        retry.ExpectedLatency
 		objective, left time.Duration
 		want            time.Duration
 	}{
-		"fast answers: the objective":                 {retry.Expected{Now: 50 * ms, Lately: 50 * ms}, 2000 * ms, 6000 * ms, 2000 * ms},
-		"slower answers: eight times the estimate":    {retry.Expected{Now: 400 * ms, Lately: 400 * ms}, 2000 * ms, 9000 * ms, 3200 * ms},
-		"little time: the rest is for another server": {retry.Expected{Now: 50 * ms, Lately: 50 * ms}, 2000 * ms, 1000 * ms, 600 * ms},
-		"overloaded servers: no time-out":             {retry.Expected{Now: 700 * ms, Lately: 700 * ms}, 2000 * ms, 6000 * ms, 0},
-		"not enough time for two servers":             {retry.Expected{Now: 60 * ms, Lately: 60 * ms}, 2000 * ms, 67 * ms, 0},
-		"not enough time by the recent latency":       {retry.Expected{Now: 1 * ms, Lately: 110 * ms}, 2000 * ms, 200 * ms, 0},
-		"no estimate":                                 {retry.Expected{}, 2000 * ms, 6000 * ms, 2000 * ms},
+		"fast answers: the objective":                 {retry.ExpectedLatency{Now: 50 * ms, Recent: 50 * ms}, 2000 * ms, 6000 * ms, 2000 * ms},
+		"slower answers: eight times the estimate":    {retry.ExpectedLatency{Now: 400 * ms, Recent: 400 * ms}, 2000 * ms, 9000 * ms, 3200 * ms},
+		"little time: the rest is for another server": {retry.ExpectedLatency{Now: 50 * ms, Recent: 50 * ms}, 2000 * ms, 1000 * ms, 600 * ms},
+		"overloaded servers: no time-out":             {retry.ExpectedLatency{Now: 700 * ms, Recent: 700 * ms}, 2000 * ms, 6000 * ms, 0},
+		"not enough time for two servers":             {retry.ExpectedLatency{Now: 60 * ms, Recent: 60 * ms}, 2000 * ms, 67 * ms, 0},
+		"not enough time by the recent latency":       {retry.ExpectedLatency{Now: 1 * ms, Recent: 110 * ms}, 2000 * ms, 200 * ms, 0},
+		"no estimate":                                 {retry.ExpectedLatency{}, 2000 * ms, 6000 * ms, 2000 * ms},
 	} {
 		if got := retry.AttemptTimeout(c.expected, c.objective, c.left); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
