--- a/daemon/proxy/patience.go
+++ b/daemon/proxy/patience.go
@@ -75,7 +75,7 @@
 	if !j.mayRepeatAfterThis(j.made.Ran) {
 		return 0
 	}
-	return retry.Silence(j.route.GapObjective)
+	return retry.StreamIdleTimeout(j.route.GapObjective)
 }
 
 // longest is the longest wait for the first part of an answer; 0 is no bound.
