--- a/core/fleet/cold.go
+++ b/core/fleet/cold.go
@@ -50,7 +50,7 @@
 	if senders >= len(daemons) {
 		return each
 	}
-	if quota.Ahead(server, self, daemons) >= senders {
+	if quota.Rank(server, self, daemons) >= senders {
 		return 0
 	}
 	return each
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -66,7 +66,7 @@
 	}
 	burst := Burst(rate)
 	n := min(len(senders), int(burst))
-	if !slices.Contains(senders, d.Self) || Ahead(server, d.Self, senders) >= n {
+	if !slices.Contains(senders, d.Self) || Rank(server, d.Self, senders) >= n {
 		return share
 	}
 	share.Rate = share.All / float64(n)
@@ -90,9 +90,9 @@
 	return out
 }
 
-// Ahead returns the position of a daemon among daemons in the order for a server, by rendezvous
+// Rank returns the position of a daemon among daemons in the order for a server, by rendezvous
 // hashing: all daemons compute the same order, which differs between servers.
-func Ahead(server, self string, daemons []string) (n int) {
+func Rank(server, self string, daemons []string) (n int) {
 	own := score(server, self)
 	for _, other := range daemons {
 		if other != self && score(server, other) > own {
