--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -15,7 +15,7 @@
 
 // With returns the bucket with a new share. It keeps its tokens up to the new depth.
 func (b Bucket) With(s Share, now time.Time) Bucket {
-	level := s.Start
+	level := s.InitialLevel
 	if b.share.Rate > 0 {
 		level = min(b.Level(now), s.Depth)
 	}
@@ -47,8 +47,8 @@
 		return 0
 	case b.share.Rate > 0:
 		return seconds((1 - b.Level(now)) / b.share.Rate)
-	case b.share.All > 0:
-		return seconds(1 / b.share.All)
+	case b.share.TotalRate > 0:
+		return seconds(1 / b.share.TotalRate)
 	}
 	return noShareWait
 }
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -46,11 +46,11 @@
 	Rate float64
 	// Depth is the capacity of the daemon's bucket, in requests.
 	Depth float64
-	// Start is the initial level of the bucket, from -1 to 0. It differs between daemons, so
+	// InitialLevel is the initial level of the bucket, from -1 to 0. It differs between daemons, so
 	// that daemons that receive a limit at the same time do not all send at the same time.
-	Start float64
-	// All is the rate of all daemons together, in requests per second.
-	All float64
+	InitialLevel float64
+	// TotalRate is the rate of all daemons together, in requests per second.
+	TotalRate float64
 }
 
 // Share returns this daemon's share of a server's rate, in requests per second. The rate is
@@ -59,7 +59,7 @@
 // daemons get a share: the same ones for equal lists of daemons, and different ones for each
 // server.
 func (d Daemons) Share(server, hall string, rate float64) Share {
-	share := Share{All: usedFraction * rate}
+	share := Share{TotalRate: usedFraction * rate}
 	senders := d.ByHall[hall]
 	if len(senders) == 0 {
 		senders = d.all()
@@ -69,9 +69,9 @@
 	if !slices.Contains(senders, d.Self) || Rank(server, d.Self, senders) >= n {
 		return share
 	}
-	share.Rate = share.All / float64(n)
+	share.Rate = share.TotalRate / float64(n)
 	share.Depth = min(burst/float64(n), max(1, share.Rate*depthTime.Seconds()))
-	share.Start = -float64(score(server, d.Self)>>1) / float64(1<<63)
+	share.InitialLevel = -float64(score(server, d.Self)>>1) / float64(1<<63)
 	return share
 }
 
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -249,7 +249,7 @@
 	if wait := b.Wait(later); !b.Ready(later.Add(wait+time.Millisecond)) || b.Ready(later.Add(wait-time.Millisecond)) {
 		t.Errorf("it is not ready after %v", wait)
 	}
-	none := b.With(quota.Share{All: 4}, later)
+	none := b.With(quota.Share{TotalRate: 4}, later)
 	if none.Ready(later.Add(time.Hour)) || none.Wait(later) != 250*time.Millisecond {
 		t.Errorf("without a share: ready %v, wait %v", none.Ready(later.Add(time.Hour)), none.Wait(later))
 	}
--- a/daemon/proxy/limit_test.go
+++ b/daemon/proxy/limit_test.go
@@ -176,7 +176,7 @@
 				other.Load.Begin(50)
 				b.known.set(routemap.New(parts(1, "k")), one, other)
 				b.ask(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Wait: time.Second})
-				if q, ok := one.Load.Quota(); !ok || q.All != 0.45 {
+				if q, ok := one.Load.Quota(); !ok || q.TotalRate != 0.45 {
 					t.Fatalf("its quota is %+v, %v", q, ok)
 				}
 				before := b.at("a")
