--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -62,9 +62,9 @@
 // Verdict is the result of Push.
 type Verdict interface{ verdict() }
 
-// Waits means that the request was queued. Shed, if not nil, is the request of lower priority
+// Queued means that the request was queued. Shed, if not nil, is the request of lower priority
 // that was removed to make room and must be refused.
-type Waits struct {
+type Queued struct {
 	Shed *Item
 	// RetryAfter is the retry-after time of the shed request.
 	RetryAfter time.Duration
@@ -73,7 +73,7 @@
 // Refused means that the request was not queued.
 type Refused struct{ RetryAfter time.Duration }
 
-func (Waits) verdict()   {}
+func (Queued) verdict()  {}
 func (Refused) verdict() {}
 
 // Queue holds the requests that wait for one pool of servers. It is not safe for concurrent use.
@@ -108,7 +108,7 @@
 	}
 	if len(q.items) < MaxItems {
 		q.items = append(q.items, it)
-		return Waits{}
+		return Queued{}
 	}
 	last := q.shedIndex()
 	if !it.before(q.items[last]) {
@@ -116,7 +116,7 @@
 	}
 	shed := q.items[last]
 	q.items[last] = it
-	return Waits{Shed: &shed, RetryAfter: clampRetryAfter(q.meter.queueTime(len(q.items), shed.Class))}
+	return Queued{Shed: &shed, RetryAfter: clampRetryAfter(q.meter.queueTime(len(q.items), shed.Class))}
 }
 
 // shedIndex returns the index of the request to shed first: of the lowest priority, the newest one.
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -62,7 +62,7 @@
 	for i := range 20 {
 		it := item(fmt.Sprint(i), queue.Normal)
 		it.Deadline = now.Add(10 * time.Second)
-		if _, ok := q.Push(it, now).(queue.Waits); !ok {
+		if _, ok := q.Push(it, now).(queue.Queued); !ok {
 			t.Fatalf("request %d was refused 10 s before its deadline", i)
 		}
 	}
@@ -107,7 +107,7 @@
 						ID: fmt.Sprint(n), Organisation: rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "organisation"),
 						Class: queue.Class(rapid.IntRange(0, 2).Draw(t, "class")), Deadline: start.Add(24 * time.Hour),
 					}
-					if v, ok := q.Push(it, start).(queue.Waits); ok {
+					if v, ok := q.Push(it, start).(queue.Queued); ok {
 						waiting[it.ID] = it
 						if v.Shed != nil {
 							if _, there := waiting[v.Shed.ID]; !there || v.Shed.Class >= it.Class {
--- a/daemon/front/waiting.go
+++ b/daemon/front/waiting.go
@@ -53,7 +53,7 @@
 	switch v := w.queue(p).Push(it, now).(type) {
 	case queue.Refused:
 		return nil, overloaded(v.RetryAfter)
-	case queue.Waits:
+	case queue.Queued:
 		if v.Shed != nil {
 			w.tell(v.Shed.ID, v.RetryAfter)
 		}
--- a/daemon/policy/overload_test.go
+++ b/daemon/policy/overload_test.go
@@ -102,7 +102,7 @@
 		case !bounded:
 			fifo = append(fifo, start)
 		default:
-			if v, ok := q.Push(it, c.time()).(queue.Waits); ok {
+			if v, ok := q.Push(it, c.time()).(queue.Queued); ok {
 				starts[id] = start
 				if v.Shed != nil {
 					delete(starts, v.Shed.ID)
