--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -132,8 +132,8 @@
 
 func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// Late is a request that can no longer finish before its deadline.
-type Late struct {
+// Expired is a request that can no longer finish before its deadline.
+type Expired struct {
 	Item       Item
 	RetryAfter time.Duration
 }
@@ -141,14 +141,14 @@
 // Pop removes and returns the next request: among those of the highest priority, the oldest one
 // of the organisation that was served least. Requests that come first but can no longer finish
 // before their deadlines are removed as well and returned in late, to be refused.
-func (q *Queue) Pop(now time.Time) (next Item, late []Late, ok bool) {
+func (q *Queue) Pop(now time.Time) (next Item, late []Expired, ok bool) {
 	for len(q.items) > 0 {
 		it := q.take(q.nextIndex())
 		if it.Deadline.Sub(now) >= q.meter.serviceTime() {
 			q.served[it.Organisation]++
 			return it, late, true
 		}
-		late = append(late, Late{Item: it, RetryAfter: clampRetryAfter(q.meter.queueTime(len(q.items)+1, it.Class))})
+		late = append(late, Expired{Item: it, RetryAfter: clampRetryAfter(q.meter.queueTime(len(q.items)+1, it.Class))})
 	}
 	q.served = map[string]int{}
 	return Item{}, late, false
