--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -59,8 +59,8 @@
 	return a.Priority > b.Priority
 }
 
-// Verdict is the result of Push.
-type Verdict interface{ verdict() }
+// Result is the result of Push.
+type Result interface{ result() }
 
 // Queued means that the request was queued. Shed, if not nil, is the request of lower priority
 // that was removed to make room and must be refused.
@@ -73,8 +73,8 @@
 // Refused means that the request was not queued.
 type Refused struct{ RetryAfter time.Duration }
 
-func (Queued) verdict()  {}
-func (Refused) verdict() {}
+func (Queued) result()  {}
+func (Refused) result() {}
 
 // Queue holds the requests that wait for one pool of servers. It is not safe for concurrent use.
 type Queue struct {
@@ -91,7 +91,7 @@
 func (q *Queue) Len() int { return len(q.items) }
 
 // Push adds a request to the queue or refuses it.
-func (q *Queue) Push(it Item, now time.Time) Verdict {
+func (q *Queue) Push(it Item, now time.Time) Result {
 	q.meter.arrived(it.Class, now)
 	ahead, own := 0, 0
 	for _, other := range q.items {
