--- a/core/fleet/load.go
+++ b/core/fleet/load.go
@@ -14,7 +14,7 @@
 	// Prompts is what the server has probably read.
 	Prompts *prefixcache.Memory
 	// Notices is what the server has said of itself in answers.
-	Notices *notice.Held
+	Notices *notice.Tracker
 
 	mu       sync.Mutex
 	inFlight int
@@ -64,7 +64,7 @@
 // NewLoad returns the load of a server that has served nothing yet. All servers
 // of a data hall share one Hall.
 func NewLoad(hall *Hall) *Load {
-	return &Load{Prompts: prefixcache.NewMemory(), Notices: &notice.Held{}, slowness: 1, hall: hall}
+	return &Load{Prompts: prefixcache.NewMemory(), Notices: &notice.Tracker{}, slowness: 1, hall: hall}
 }
 
 // InFlight is the number of this daemon's requests under way there.
--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -67,13 +67,13 @@
 	return at, ok
 }
 
-// Held keeps the state of a server. It is safe for concurrent use. The zero value has no
+// Tracker keeps the state of a server. It is safe for concurrent use. The zero value has no
 // notices.
-type Held struct{ state atomic.Pointer[Kept] }
+type Tracker struct{ state atomic.Pointer[Kept] }
 
 // Kept returns the current state.
-func (h *Held) Kept() Kept {
-	if k := h.state.Load(); k != nil {
+func (t *Tracker) Kept() Kept {
+	if k := t.state.Load(); k != nil {
 		return *k
 	}
 	return Kept{}
@@ -81,32 +81,32 @@
 
 // Open reports whether the server accepts requests according to its notices. It is fast for
 // servers without notices, which most are: a choice among hundreds of servers checks each.
-func (h *Held) Open(now time.Time) bool {
-	k := h.state.Load()
+func (t *Tracker) Open(now time.Time) bool {
+	k := t.state.Load()
 	return k == nil || k.Open(now)
 }
 
 // Stand reports whether any notice is in force.
-func (h *Held) Stand(now time.Time) bool {
-	k := h.state.Load()
+func (t *Tracker) Stand(now time.Time) bool {
+	k := t.state.Load()
 	return k != nil && (!k.Open(now) || k.Limit.Rate > 0)
 }
 
 // Hear applies a notice and reports whether the server begins to leave or to back off with it:
 // until then requests could be sent to it.
-func (h *Held) Hear(n Notice, now time.Time) (changed bool) {
-	was := h.replace(func(k Kept) Kept { return k.With(n, now) })
+func (t *Tracker) Hear(n Notice, now time.Time) (changed bool) {
+	was := t.replace(func(k Kept) Kept { return k.With(n, now) })
 	return n.Leaving && !was.Leaving() || n.Rest > 0 && !was.Resting(now)
 }
 
 // HearLimit applies the limit of an answer and returns the limit in force before and after it.
 // requested is when the request of the answer was sent, received when the answer was read. from
 // is the daemon that reported the limit, "" for an answer to a request of this daemon.
-func (h *Held) HearLimit(l Limit, requested, received time.Time, from string) (was, is Standing) {
-	if old := h.state.Load(); old == nil && l.Rate == 0 && l.Malformed == "" {
+func (t *Tracker) HearLimit(l Limit, requested, received time.Time, from string) (was, is Standing) {
+	if old := t.state.Load(); old == nil && l.Rate == 0 && l.Malformed == "" {
 		return Standing{}, Standing{}
 	}
-	old := h.replace(func(k Kept) Kept {
+	old := t.replace(func(k Kept) Kept {
 		k.Limit = k.Limit.With(l, requested, received, from)
 		return k
 	}).Limit
@@ -114,18 +114,18 @@
 }
 
 // Stays records that the server reported at a time that it is not leaving.
-func (h *Held) Stays(at time.Time) { h.replace(func(k Kept) Kept { return k.WithStay(at) }) }
+func (t *Tracker) Stays(at time.Time) { t.replace(func(k Kept) Kept { return k.WithStay(at) }) }
 
 // replace replaces the state by next of it and returns the previous state.
-func (h *Held) replace(next func(Kept) Kept) Kept {
+func (t *Tracker) replace(next func(Kept) Kept) Kept {
 	for {
-		old := h.state.Load()
+		old := t.state.Load()
 		var was Kept
 		if old != nil {
 			was = *old
 		}
 		is := next(was)
-		if is == was || h.state.CompareAndSwap(old, &is) {
+		if is == was || t.state.CompareAndSwap(old, &is) {
 			return was
 		}
 	}
--- a/core/notice/state_test.go
+++ b/core/notice/state_test.go
@@ -59,7 +59,7 @@
 }
 
 func TestNoticeIsNewsOnceUnderConcurrency(t *testing.T) {
-	var h notice.Held
+	var h notice.Tracker
 	var wg sync.WaitGroup
 	news := make(chan bool, 64)
 	for range cap(news) {
--- a/core/route/server.go
+++ b/core/route/server.go
@@ -15,7 +15,7 @@
 	// InFlight is the number of requests that this daemon has in flight there.
 	InFlight atomic.Int64
 	// Notices holds what the server reported about itself in answers.
-	Notices notice.Held
+	Notices notice.Tracker
 
 	// fullUntil is the end of the back-off after the server reported that it
 	// is full, in Unix nanoseconds.
--- a/daemon/storesync/notices.go
+++ b/daemon/storesync/notices.go
@@ -21,17 +21,17 @@
 
 // unlisted are the notices of a server that is not listed, since a time.
 type unlisted struct {
-	notices *notice.Held
+	notices *notice.Tracker
 	since   time.Time
 }
 
 // noticesOf returns what an incarnation of a server has said, be it before its entry went.
-func (k *Keeper) noticesOf(i fleet.Incarnation) *notice.Held {
+func (k *Keeper) noticesOf(i fleet.Incarnation) *notice.Tracker {
 	if was, ok := k.unlisted[i]; ok {
 		delete(k.unlisted, i)
 		return was.notices
 	}
-	return &notice.Held{}
+	return &notice.Tracker{}
 }
 
 // keepNotices keeps the notices of servers that were listed and are not any more.
