--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -64,7 +64,7 @@
 func (s *Server) Incarnation() Incarnation { return Incarnation{ID: s.ID, Born: s.Born} }
 
 // Usable reports whether the server stays, by its entry and by its own word.
-func (s *Server) Usable() bool { return !s.Leaving && !s.Load.Notices.Kept().Leaving() }
+func (s *Server) Usable() bool { return !s.Leaving && !s.Load.Notices.State().Leaving() }
 
 // Open reports whether the server may get new work now.
 //
--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -48,7 +48,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// Several answers may come at once: whoever has the lock last reads what stands last.
-	rate := l.Notices.Kept().Limit.Rate
+	rate := l.Notices.State().Limit.Rate
 	if rate == 0 {
 		l.limit = limit{}
 		return
@@ -77,14 +77,14 @@
 // OpensAt returns when the first server of a service takes a request of this daemon again, if
 // all that stay want rest or have their limit; limited tells whether one has.
 func (l *List) OpensAt(service string, now time.Time) (at time.Time, limited, ok bool) {
-	listed := func(yield func(notice.Kept) bool) {
+	listed := func(yield func(notice.State) bool) {
 		for _, s := range l.open[service] {
 			if !s.Usable() {
 				continue
 			}
 			opens, atLimit := s.Load.opensAt(now)
 			limited = limited || atLimit
-			if !yield(notice.Kept{RestUntil: opens}) {
+			if !yield(notice.State{RestUntil: opens}) {
 				return
 			}
 		}
@@ -95,7 +95,7 @@
 
 // opensAt is when the server takes a request of this daemon again.
 func (l *Load) opensAt(now time.Time) (at time.Time, limited bool) {
-	at = l.Notices.Kept().RestUntil
+	at = l.Notices.State().RestUntil
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.limit.full(now) {
--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Kept is the state of a server by its notices. The zero value is that of a server without any.
+// State is the state of a server by its notices. The zero value is that of a server without any.
 // It is immutable.
 //
 // It prevents that requests go to servers that decline all of them: such a server has no load,
 // so a load balancer that ignores its notices prefers it, and each request wastes its attempts
 // there. No other expiry is needed: a server that is leaving ends, and a back-off lasts as long
 // as the server asked for.
-type Kept struct {
+type State struct {
 	// LeavingAt is when the server first announced that it is leaving, zero if it has not.
 	LeavingAt time.Time
 	// RestUntil is the latest end of a back-off that the server asked for.
@@ -24,37 +24,37 @@
 
 // With returns the state after another notice. A shorter back-off does not end a longer one:
 // answers may arrive out of order.
-func (k Kept) With(n Notice, now time.Time) Kept {
-	if n.Leaving && k.LeavingAt.IsZero() {
-		k.LeavingAt = now
+func (s State) With(n Notice, now time.Time) State {
+	if n.Leaving && s.LeavingAt.IsZero() {
+		s.LeavingAt = now
 	}
-	if until := now.Add(n.Rest); n.Rest > 0 && until.After(k.RestUntil) {
-		k.RestUntil = until
+	if until := now.Add(n.Rest); n.Rest > 0 && until.After(s.RestUntil) {
+		s.RestUntil = until
 	}
-	return k
+	return s
 }
 
 // WithStay returns the state after the server reported at a time that it is not leaving. A report
 // from before it announced to leave has no effect.
-func (k Kept) WithStay(at time.Time) Kept {
-	if at.After(k.LeavingAt) {
-		k.LeavingAt = time.Time{}
+func (s State) WithStay(at time.Time) State {
+	if at.After(s.LeavingAt) {
+		s.LeavingAt = time.Time{}
 	}
-	return k
+	return s
 }
 
 // Leaving reports whether the server is leaving.
-func (k Kept) Leaving() bool { return !k.LeavingAt.IsZero() }
+func (s State) Leaving() bool { return !s.LeavingAt.IsZero() }
 
 // Resting reports whether a back-off that the server asked for is in force.
-func (k Kept) Resting(now time.Time) bool { return now.Before(k.RestUntil) }
+func (s State) Resting(now time.Time) bool { return now.Before(s.RestUntil) }
 
 // Open reports whether the server accepts requests according to its notices.
-func (k Kept) Open(now time.Time) bool { return !k.Leaving() && !k.Resting(now) }
+func (s State) Open(now time.Time) bool { return !s.Leaving() && !s.Resting(now) }
 
 // RestEnds returns the earliest end of a back-off among servers, if all of them that are not
 // leaving are in back-off.
-func RestEnds(servers iter.Seq[Kept], now time.Time) (at time.Time, ok bool) {
+func RestEnds(servers iter.Seq[State], now time.Time) (at time.Time, ok bool) {
 	for s := range servers {
 		switch {
 		case s.Leaving():
@@ -69,14 +69,14 @@
 
 // Tracker keeps the state of a server. It is safe for concurrent use. The zero value has no
 // notices.
-type Tracker struct{ state atomic.Pointer[Kept] }
+type Tracker struct{ state atomic.Pointer[State] }
 
-// Kept returns the current state.
-func (t *Tracker) Kept() Kept {
+// State returns the current state.
+func (t *Tracker) State() State {
 	if k := t.state.Load(); k != nil {
 		return *k
 	}
-	return Kept{}
+	return State{}
 }
 
 // Open reports whether the server accepts requests according to its notices. It is fast for
@@ -95,7 +95,7 @@
 // Hear applies a notice and reports whether the server begins to leave or to back off with it:
 // until then requests could be sent to it.
 func (t *Tracker) Hear(n Notice, now time.Time) (changed bool) {
-	was := t.replace(func(k Kept) Kept { return k.With(n, now) })
+	was := t.replace(func(k State) State { return k.With(n, now) })
 	return n.Leaving && !was.Leaving() || n.Rest > 0 && !was.Resting(now)
 }
 
@@ -106,7 +106,7 @@
 	if old := t.state.Load(); old == nil && l.Rate == 0 && l.Malformed == "" {
 		return Standing{}, Standing{}
 	}
-	old := t.replace(func(k Kept) Kept {
+	old := t.replace(func(k State) State {
 		k.Limit = k.Limit.With(l, requested, received, from)
 		return k
 	}).Limit
@@ -114,13 +114,13 @@
 }
 
 // Stays records that the server reported at a time that it is not leaving.
-func (t *Tracker) Stays(at time.Time) { t.replace(func(k Kept) Kept { return k.WithStay(at) }) }
+func (t *Tracker) Stays(at time.Time) { t.replace(func(k State) State { return k.WithStay(at) }) }
 
 // replace replaces the state by next of it and returns the previous state.
-func (t *Tracker) replace(next func(Kept) Kept) Kept {
+func (t *Tracker) replace(next func(State) State) State {
 	for {
 		old := t.state.Load()
-		var was Kept
+		var was State
 		if old != nil {
 			was = *old
 		}
--- a/core/notice/state_test.go
+++ b/core/notice/state_test.go
@@ -12,7 +12,7 @@
 var now = time.Unix(1000, 0)
 
 func TestShorterBackoffDoesNotEndALongerOne(t *testing.T) {
-	k := notice.Kept{}.With(notice.Notice{Rest: 3 * time.Second}, now)
+	k := notice.State{}.With(notice.Notice{Rest: 3 * time.Second}, now)
 	k = k.With(notice.Notice{Rest: time.Second}, now.Add(time.Second))
 	for after, open := range map[time.Duration]bool{0: false, 2999 * time.Millisecond: false, 3 * time.Second: true} {
 		if k.Open(now.Add(after)) != open {
@@ -22,7 +22,7 @@
 }
 
 func TestLeavingIsRevokedOnlyByALaterReport(t *testing.T) {
-	k := notice.Kept{}.With(notice.Notice{Leaving: true}, now).With(notice.Notice{}, now.Add(time.Second))
+	k := notice.State{}.With(notice.Notice{Leaving: true}, now).With(notice.Notice{}, now.Add(time.Second))
 	if k.Open(now.Add(time.Hour)) || k.WithStay(now.Add(-time.Second)).Open(now) || k.WithStay(now).Open(now) {
 		t.Error("a server that leaves is open")
 	}
@@ -44,7 +44,7 @@
 		for range 4 {
 			all = append(all, received{notice.Notice{Leaving: rng.IntN(3) == 0, Rest: time.Duration(rng.IntN(3)) * time.Second}, now.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)})
 		}
-		keep := func() (k notice.Kept) {
+		keep := func() (k notice.State) {
 			for _, s := range all {
 				k = k.With(s.n, s.at)
 			}
@@ -73,13 +73,13 @@
 			n++
 		}
 	}
-	if n != 1 || !h.Kept().Leaving() {
+	if n != 1 || !h.State().Leaving() {
 		t.Errorf("news %d times", n)
 	}
 	if h.Hear(notice.Notice{}, now) {
 		t.Error("an empty notice is news")
 	}
-	if h.Stays(now.Add(time.Second)); !h.Kept().Open(now) {
+	if h.Stays(now.Add(time.Second)); !h.State().Open(now) {
 		t.Error("not open after all")
 	}
 	if !h.Hear(notice.Notice{Rest: time.Second}, now) || h.Hear(notice.Notice{Rest: time.Second}, now.Add(500*time.Millisecond)) || !h.Hear(notice.Notice{Rest: time.Second}, now.Add(2*time.Second)) {
--- a/core/route/gate.go
+++ b/core/route/gate.go
@@ -51,7 +51,7 @@
 		if s.ID != id {
 			continue
 		}
-		switch k := s.State.Notices.Kept(); {
+		switch k := s.State.Notices.State(); {
 		case s.Leaving || k.Leaving():
 			return refused(op, ServerLeaving, "server %s is leaving", id)
 		case k.Resting(now):
--- a/core/route/server.go
+++ b/core/route/server.go
@@ -77,9 +77,9 @@
 // that aren't leaving asked for back-off, the time until the first back-off ends, and
 // otherwise DefaultRetryAfter.
 func retryAfter(servers []*Server, now time.Time) time.Duration {
-	listed := func(yield func(notice.Kept) bool) {
+	listed := func(yield func(notice.State) bool) {
 		for _, s := range servers {
-			if !s.Leaving && !yield(s.State.Notices.Kept()) {
+			if !s.Leaving && !yield(s.State.Notices.State()) {
 				return
 			}
 		}
--- a/daemon/control/servers.go
+++ b/daemon/control/servers.go
@@ -91,7 +91,7 @@
 // goes reports whether a server is leaving by anybody's word: the list's, its
 // own, or other daemons'.
 func (b *backend) goes(told func(id string) bool) bool {
-	return b.vm.Leaving || b.load.Notices.Kept().Leaving() || told(b.vm.ID)
+	return b.vm.Leaving || b.load.Notices.State().Leaving() || told(b.vm.ID)
 }
 
 // firstPolls is how many servers that were never asked are polled at once.
--- a/daemon/gateway/dump.go
+++ b/daemon/gateway/dump.go
@@ -97,7 +97,7 @@
 
 // limitDump returns the limit of a server, nil if it has none.
 func limitDump(s *fleet.Server, now time.Time) *LimitDump {
-	is := s.Load.Notices.Kept().Limit
+	is := s.Load.Notices.State().Limit
 	if is.Rate == 0 {
 		return nil
 	}
@@ -137,7 +137,7 @@
 			ID: s.ID, Born: s.Born, Service: s.Service, Hall: s.Hall, Version: s.Version, Leaving: s.Leaving,
 			InFlight: s.Load.InFlight(), Slowness: s.Load.Slowness(), Crowded: s.Load.Crowded(now), Resting: s.Load.Resting(now), Emptied: emptied,
 		}
-		kept := s.Load.Notices.Kept()
+		kept := s.Load.Notices.State()
 		out.SaysLeaving = kept.Leaving()
 		out.Limit = limitDump(s, now)
 		if kept.Resting(now) {
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -100,7 +100,7 @@
 }
 
 func (k *Keeper) listLimit(s *fleet.Server, now time.Time) {
-	if s.Load.Notices.Kept().Limit.Heard.IsZero() {
+	if s.Load.Notices.State().Limit.Heard.IsZero() {
 		return
 	}
 	was := k.limits.known[s.Incarnation()]
@@ -114,7 +114,7 @@
 func (l *limits) sum() uint64 {
 	var sum uint64
 	for i, s := range l.known {
-		if rate := s.Load.Notices.Kept().Limit.Rate; rate > 0 {
+		if rate := s.Load.Notices.State().Limit.Rate; rate > 0 {
 			sum += xxhash.Sum64String(i.String()) ^ math.Float64bits(rate)
 		}
 	}
@@ -125,7 +125,7 @@
 func (l *limits) list(now time.Time) []gossip.Limit {
 	var out []gossip.Limit
 	for _, s := range l.known {
-		is := s.Load.Notices.Kept().Limit
+		is := s.Load.Notices.State().Limit
 		if is.Heard.IsZero() || is.Rate == 0 && now.Sub(is.Heard) > endedFor {
 			continue
 		}
--- a/daemon/storesync/limits_test.go
+++ b/daemon/storesync/limits_test.go
@@ -26,7 +26,7 @@
 	out := map[float64]int{}
 	for _, k := range daemons {
 		if _, ok := only(t, k).Load.Quota(); ok {
-			out[only(t, k).Load.Notices.Kept().Limit.Rate]++
+			out[only(t, k).Load.Notices.State().Limit.Rate]++
 		} else {
 			out[0]++
 		}
--- a/daemon/storesync/notices_test.go
+++ b/daemon/storesync/notices_test.go
@@ -30,7 +30,7 @@
 		s.rows.set(gossip.Servers, "a", "v1#100")
 		pass(time.Second)
 		after := only(t, k)
-		if after == nil || after == before || after.Usable() || !after.Load.Notices.Kept().Resting(time.Now()) {
+		if after == nil || after == before || after.Usable() || !after.Load.Notices.State().Resting(time.Now()) {
 			t.Errorf("what the server said is forgotten with its entry")
 		}
 		s.rows.set(gossip.Servers, "a", "v1#200")
