--- a/core/notice/limit.go
+++ b/core/notice/limit.go
@@ -49,8 +49,8 @@
 	return max(rate, LeastRate), true
 }
 
-// Standing is the limit in force for a server. The zero value is no limit. It is immutable.
-type Standing struct {
+// LimitState is the limit in force for a server. The zero value is no limit. It is immutable.
+type LimitState struct {
 	// Rate is in requests per second from all daemons together, 0 for no limit.
 	Rate float64
 	// Since is when this daemon first learned of this rate.
@@ -68,7 +68,7 @@
 //
 // Answers may arrive out of order: one to a request that was sent before the last answer was read
 // may be older than that answer, and may only lower the limit.
-func (s Standing) With(l Limit, requested, received time.Time, from string) Standing {
+func (s LimitState) With(l Limit, requested, received time.Time, from string) LimitState {
 	if l.Malformed != "" && from == "" {
 		s.Malformed = l.Malformed
 	}
@@ -80,7 +80,7 @@
 	if !later && !lower {
 		return s
 	}
-	next := Standing{Rate: l.Rate, Since: s.Since, From: from, Asked: requested, Heard: received, Malformed: l.Malformed}
+	next := LimitState{Rate: l.Rate, Since: s.Since, From: from, Asked: requested, Heard: received, Malformed: l.Malformed}
 	if s.Rate == l.Rate {
 		next.From = s.From
 	} else {
@@ -90,6 +90,6 @@
 }
 
 // Differs reports whether the limit or the malformed text differs from the previous one.
-func (s Standing) Differs(was Standing) bool {
+func (s LimitState) Differs(was LimitState) bool {
 	return s.Rate != was.Rate || s.Malformed != was.Malformed
 }
--- a/core/notice/limit_test.go
+++ b/core/notice/limit_test.go
@@ -38,7 +38,7 @@
 // A delayed answer must not lift a limit that the server announced in the meantime.
 func TestOlderAnswerDoesNotLiftLimit(t *testing.T) {
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
-	var s notice.Standing
+	var s notice.LimitState
 	s = s.With(notice.Limit{Rate: 2}, at(100), at(200), "")
 	if s = s.With(notice.Limit{Lifted: true}, at(150), at(300), ""); s.Rate != 2 {
 		t.Fatalf("lifted by an answer to a request that was sent before: %+v", s)
@@ -64,7 +64,7 @@
 }
 
 func TestMalformedLimitChangesNothing(t *testing.T) {
-	s := notice.Standing{}.With(notice.Limit{Rate: 2}, now, now, "")
+	s := notice.LimitState{}.With(notice.Limit{Rate: 2}, now, now, "")
 	next := s.With(notice.Limit{Malformed: "few"}, now.Add(time.Second), now.Add(2*time.Second), "")
 	if next.Rate != 2 || !next.Differs(s) {
 		t.Errorf("%+v after %+v", next, s)
--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -19,7 +19,7 @@
 	// RestUntil is the latest end of a back-off that the server asked for.
 	RestUntil time.Time
 	// Limit is the rate limit that the server announced for all daemons together.
-	Limit Standing
+	Limit LimitState
 }
 
 // With returns the state after another notice. A shorter back-off does not end a longer one:
@@ -102,9 +102,9 @@
 // HearLimit applies the limit of an answer and returns the limit in force before and after it.
 // requested is when the request of the answer was sent, received when the answer was read. from
 // is the daemon that reported the limit, "" for an answer to a request of this daemon.
-func (t *Tracker) HearLimit(l Limit, requested, received time.Time, from string) (was, is Standing) {
+func (t *Tracker) HearLimit(l Limit, requested, received time.Time, from string) (was, is LimitState) {
 	if old := t.state.Load(); old == nil && l.Rate == 0 && l.Malformed == "" {
-		return Standing{}, Standing{}
+		return LimitState{}, LimitState{}
 	}
 	old := t.replace(func(k State) State {
 		k.Limit = k.Limit.With(l, requested, received, from)
--- a/daemon/gateway/limits.go
+++ b/daemon/gateway/limits.go
@@ -10,7 +10,7 @@
 )
 
 // limited takes a server whose limit a request of this daemon has heard to change.
-func (g *Gateway) limited(s *fleet.Server, was, is notice.Standing) {
+func (g *Gateway) limited(s *fleet.Server, was, is notice.LimitState) {
 	g.reporter.limited(s, was, is)
 	if is.Rate != was.Rate {
 		g.keeper.LimitHeard(s)
--- a/daemon/gateway/report.go
+++ b/daemon/gateway/report.go
@@ -118,7 +118,7 @@
 }
 
 // limited logs a server whose limit begins, changes or ends.
-func (r *reporter) limited(s *fleet.Server, was, is notice.Standing) {
+func (r *reporter) limited(s *fleet.Server, was, is notice.LimitState) {
 	e, what := r.log.Info(), "server: its limit has changed"
 	switch {
 	case is.Rate == was.Rate:
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -51,7 +51,7 @@
 	// Noticed is told of a server that says of itself what was not known; nil is nobody.
 	Noticed func(s *fleet.Server, n notice.Notice)
 	// Limited is told of a server whose limit begins, changes or ends; nil is nobody.
-	Limited func(s *fleet.Server, was, is notice.Standing)
+	Limited func(s *fleet.Server, was, is notice.LimitState)
 
 	// HoldAtMost bounds the bytes of whole answers that are held for callers, of all requests
 	// together; 0 is standardHold. Beyond it answers are passed on as they come.
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -81,7 +81,7 @@
 	BeganAgain func(was *fleet.Server)
 	// Limited, if set, is told of a server whose limit begins, changes or ends by what another
 	// daemon has heard.
-	Limited func(s *fleet.Server, was, is notice.Standing)
+	Limited func(s *fleet.Server, was, is notice.LimitState)
 	Log     log.Logger
 	// FirstStart tells that all daemons start for the first time: nobody waits for an
 	// answer yet, and what a hall's reader reads is told to the others.
