--- a/core/fleet/notice_test.go
+++ b/core/fleet/notice_test.go
@@ -22,7 +22,7 @@
 			early++
 		}
 		asked[s.ID] = at
-		s.Load.Notices.Hear(notice.Notice{Rest: rest}, at)
+		s.Load.Notices.Observe(notice.Notice{Rest: rest}, at)
 	}
 	refused, end := replayDeclines(declined)
 	if early > 0 || refused > 1 {
@@ -124,12 +124,12 @@
 func TestRestEndsOnlyWhereNoneIsOpen(t *testing.T) {
 	servers := pool(3)
 	l := fleet.NewList(servers)
-	servers[0].Load.Notices.Hear(notice.Notice{Rest: 5 * time.Second}, now)
-	servers[1].Load.Notices.Hear(notice.Notice{Rest: 2 * time.Second}, now)
+	servers[0].Load.Notices.Observe(notice.Notice{Rest: 5 * time.Second}, now)
+	servers[1].Load.Notices.Observe(notice.Notice{Rest: 2 * time.Second}, now)
 	if _, _, ok := l.OpensAt("s", now); ok {
 		t.Error("one server is open")
 	}
-	servers[2].Load.Notices.Hear(notice.Notice{Leaving: true, Rest: time.Second}, now)
+	servers[2].Load.Notices.Observe(notice.Notice{Leaving: true, Rest: time.Second}, now)
 	at, limited, ok := l.OpensAt("s", now)
 	if !ok || limited || !at.Equal(now.Add(2*time.Second)) {
 		t.Errorf("%v %v", at, ok)
@@ -152,7 +152,7 @@
 	l := fleet.NewList(servers)
 	w := fleet.Want{Service: "s", Part: 0.2}
 	first, _ := l.Choose(w, now)
-	first.Load.Notices.Hear(notice.Notice{Leaving: true}, now)
+	first.Load.Notices.Observe(notice.Notice{Leaving: true}, now)
 	if s, ok := l.Choose(w, now); !ok || s == first {
 		t.Errorf("%v after %v", s, first)
 	}
--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -92,17 +92,17 @@
 	return k != nil && (!k.Open(now) || k.Limit.Rate > 0)
 }
 
-// Hear applies a notice and reports whether the server begins to leave or to back off with it:
+// Observe applies a notice and reports whether the server begins to leave or to back off with it:
 // until then requests could be sent to it.
-func (t *Tracker) Hear(n Notice, now time.Time) (changed bool) {
+func (t *Tracker) Observe(n Notice, now time.Time) (changed bool) {
 	was := t.replace(func(k State) State { return k.With(n, now) })
 	return n.Leaving && !was.Leaving() || n.Rest > 0 && !was.Resting(now)
 }
 
-// HearLimit applies the limit of an answer and returns the limit in force before and after it.
+// ObserveLimit applies the limit of an answer and returns the limit in force before and after it.
 // requested is when the request of the answer was sent, received when the answer was read. from
 // is the daemon that reported the limit, "" for an answer to a request of this daemon.
-func (t *Tracker) HearLimit(l Limit, requested, received time.Time, from string) (was, is LimitState) {
+func (t *Tracker) ObserveLimit(l Limit, requested, received time.Time, from string) (was, is LimitState) {
 	if old := t.state.Load(); old == nil && l.Rate == 0 && l.Malformed == "" {
 		return LimitState{}, LimitState{}
 	}
--- a/core/notice/state_test.go
+++ b/core/notice/state_test.go
@@ -63,7 +63,7 @@
 	var wg sync.WaitGroup
 	news := make(chan bool, 64)
 	for range cap(news) {
-		wg.Go(func() { news <- h.Hear(notice.Notice{Leaving: true}, now) })
+		wg.Go(func() { news <- h.Observe(notice.Notice{Leaving: true}, now) })
 	}
 	wg.Wait()
 	close(news)
@@ -76,13 +76,13 @@
 	if n != 1 || !h.State().Leaving() {
 		t.Errorf("news %d times", n)
 	}
-	if h.Hear(notice.Notice{}, now) {
+	if h.Observe(notice.Notice{}, now) {
 		t.Error("an empty notice is news")
 	}
 	if h.Stays(now.Add(time.Second)); !h.State().Open(now) {
 		t.Error("not open after all")
 	}
-	if !h.Hear(notice.Notice{Rest: time.Second}, now) || h.Hear(notice.Notice{Rest: time.Second}, now.Add(500*time.Millisecond)) || !h.Hear(notice.Notice{Rest: time.Second}, now.Add(2*time.Second)) {
+	if !h.Observe(notice.Notice{Rest: time.Second}, now) || h.Observe(notice.Notice{Rest: time.Second}, now.Add(500*time.Millisecond)) || !h.Observe(notice.Notice{Rest: time.Second}, now.Add(2*time.Second)) {
 		t.Error("a back-off must be news only when it begins")
 	}
 }
--- a/daemon/control/servers.go
+++ b/daemon/control/servers.go
@@ -162,7 +162,7 @@
 	b.heard, b.failures, b.ejected = now, 0, time.Time{}
 	b.load.ClearFull()
 	if r.Leaving {
-		b.load.Notices.Hear(notice.Notice{Leaving: true}, now)
+		b.load.Notices.Observe(notice.Notice{Leaving: true}, now)
 	} else {
 		b.load.Notices.Stays(e.sentAt)
 	}
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -230,7 +230,7 @@
 // hear keeps what a server says of itself with an answer, whatever becomes of that.
 func (j *job) hear(a *attempt, now time.Time) {
 	n := a.head.Notice
-	if (n.Leaving || n.Rest > 0) && a.server.Load.Notices.Hear(n, now) && j.engine.Noticed != nil {
+	if (n.Leaving || n.Rest > 0) && a.server.Load.Notices.Observe(n, now) && j.engine.Noticed != nil {
 		j.engine.Noticed(a.server, n)
 	}
 	j.hearLimit(a, now)
@@ -238,7 +238,7 @@
 
 // hearLimit keeps the limit that an answer names: the next request goes by it.
 func (j *job) hearLimit(a *attempt, now time.Time) {
-	was, is := a.server.Load.Notices.HearLimit(a.head.Notice.Limit, a.sent, now, "")
+	was, is := a.server.Load.Notices.ObserveLimit(a.head.Notice.Limit, a.sent, now, "")
 	if !is.Differs(was) {
 		return
 	}
--- a/daemon/proxy/limit_test.go
+++ b/daemon/proxy/limit_test.go
@@ -201,7 +201,7 @@
 		b.engine.Channels.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			if addr == "a" {
 				time.Sleep(300 * time.Millisecond)
-				one.Load.Notices.HearLimit(notice.Limit{Rate: 1}, time.Now(), time.Now(), "")
+				one.Load.Notices.ObserveLimit(notice.Limit{Rate: 1}, time.Now(), time.Now(), "")
 				one.KeepLimit(b.known.View().Sharers, time.Now())
 			}
 			return dial(ctx, addr)
--- a/daemon/proxy/notice_test.go
+++ b/daemon/proxy/notice_test.go
@@ -137,7 +137,7 @@
 		b.engine.Channels.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			if addr == "a" {
 				time.Sleep(300 * time.Millisecond)
-				leaver.Load.Notices.Hear(notice.Notice{Leaving: true}, time.Now())
+				leaver.Load.Notices.Observe(notice.Notice{Leaving: true}, time.Now())
 			}
 			return dial(ctx, addr)
 		}
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -175,7 +175,7 @@
 		}
 		s := e.server
 		word := notice.Limit{Rate: l.Rate, Lifted: l.Rate == 0}
-		was, is := s.Load.Notices.HearLimit(word, before(now, l.AskedMS), before(now, l.HeardMS), from)
+		was, is := s.Load.Notices.ObserveLimit(word, before(now, l.AskedMS), before(now, l.HeardMS), from)
 		if is.Rate == was.Rate {
 			continue
 		}
--- a/daemon/storesync/limits_test.go
+++ b/daemon/storesync/limits_test.go
@@ -13,7 +13,7 @@
 func says(t *testing.T, k *storesync.Keeper, rate float64) {
 	t.Helper()
 	s, now := only(t, k), time.Now()
-	was, is := s.Load.Notices.HearLimit(notice.Limit{Rate: rate, Lifted: rate == 0}, now.Add(-10*time.Millisecond), now, "")
+	was, is := s.Load.Notices.ObserveLimit(notice.Limit{Rate: rate, Lifted: rate == 0}, now.Add(-10*time.Millisecond), now, "")
 	if is.Rate != was.Rate {
 		s.KeepLimit(k.View().Sharers, now)
 		k.LimitHeard(s)
--- a/daemon/storesync/notices_test.go
+++ b/daemon/storesync/notices_test.go
@@ -19,14 +19,14 @@
 		k := s.daemon("d")
 		pass(2 * time.Second)
 		before := only(t, k)
-		before.Load.Notices.Hear(notice.Notice{Leaving: true}, time.Now())
+		before.Load.Notices.Observe(notice.Notice{Leaving: true}, time.Now())
 		s.rows.set(gossip.Servers, "a", "")
 		pass(5 * time.Second)
 		if got := only(t, k); got != nil {
 			t.Fatalf("still listed: %+v", got.Incarnation())
 		}
 		// An answer that was under way tells more.
-		before.Load.Notices.Hear(notice.Notice{Rest: time.Minute}, time.Now())
+		before.Load.Notices.Observe(notice.Notice{Rest: time.Minute}, time.Now())
 		s.rows.set(gossip.Servers, "a", "v1#100")
 		pass(time.Second)
 		after := only(t, k)
