--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -34,9 +34,9 @@
 	return s
 }
 
-// WithStay returns the state after the server reported at a time that it is not leaving. A report
+// WithStaying returns the state after the server reported at a time that it is not leaving. A report
 // from before it announced to leave has no effect.
-func (s State) WithStay(at time.Time) State {
+func (s State) WithStaying(at time.Time) State {
 	if at.After(s.LeavingAt) {
 		s.LeavingAt = time.Time{}
 	}
@@ -113,8 +113,10 @@
 	return old, old.With(l, requested, received, from)
 }
 
-// Stays records that the server reported at a time that it is not leaving.
-func (t *Tracker) Stays(at time.Time) { t.replace(func(k State) State { return k.WithStay(at) }) }
+// ObserveStaying records that the server reported at a time that it is not leaving.
+func (t *Tracker) ObserveStaying(at time.Time) {
+	t.replace(func(k State) State { return k.WithStaying(at) })
+}
 
 // replace replaces the state by next of it and returns the previous state.
 func (t *Tracker) replace(next func(State) State) State {
--- a/core/notice/state_test.go
+++ b/core/notice/state_test.go
@@ -23,10 +23,10 @@
 
 func TestLeavingIsRevokedOnlyByALaterReport(t *testing.T) {
 	k := notice.State{}.With(notice.Notice{Leaving: true}, now).With(notice.Notice{}, now.Add(time.Second))
-	if k.Open(now.Add(time.Hour)) || k.WithStay(now.Add(-time.Second)).Open(now) || k.WithStay(now).Open(now) {
+	if k.Open(now.Add(time.Hour)) || k.WithStaying(now.Add(-time.Second)).Open(now) || k.WithStaying(now).Open(now) {
 		t.Error("a server that leaves is open")
 	}
-	if !k.WithStay(now.Add(time.Millisecond)).Open(now) {
+	if !k.WithStaying(now.Add(time.Millisecond)).Open(now) {
 		t.Error("a server that stays after all is not open")
 	}
 }
@@ -79,7 +79,7 @@
 	if h.Observe(notice.Notice{}, now) {
 		t.Error("an empty notice is news")
 	}
-	if h.Stays(now.Add(time.Second)); !h.State().Open(now) {
+	if h.ObserveStaying(now.Add(time.Second)); !h.State().Open(now) {
 		t.Error("not open after all")
 	}
 	if !h.Observe(notice.Notice{Rest: time.Second}, now) || h.Observe(notice.Notice{Rest: time.Second}, now.Add(500*time.Millisecond)) || !h.Observe(notice.Notice{Rest: time.Second}, now.Add(2*time.Second)) {
--- a/daemon/control/servers.go
+++ b/daemon/control/servers.go
@@ -164,7 +164,7 @@
 	if r.Leaving {
 		b.load.Notices.Observe(notice.Notice{Leaving: true}, now)
 	} else {
-		b.load.Notices.Stays(e.sentAt)
+		b.load.Notices.ObserveStaying(e.sentAt)
 	}
 	b.reportedAt, b.answered = now, now
 	b.loaded, b.loading, b.slots = refs(r.Loaded), refs(r.Loading), r.Slots
