--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -21,8 +21,8 @@
 	Limit Limit
 }
 
-// Says reports whether the notice is not empty.
-func (n Notice) Says() bool {
+// Any reports whether the notice is not empty.
+func (n Notice) Any() bool {
 	return n.Leaving || n.Rest > 0 || n.Limit.Rate > 0 || n.Limit.Malformed != ""
 }
 
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -25,8 +25,8 @@
 		{Rest: 1500 * time.Millisecond}:    "wants rest 1.5s",
 		{Leaving: true, Rest: time.Second}: "leaving, wants rest 1s",
 	} {
-		if n.String() != want || n.Says() != (want != "") {
-			t.Errorf("%+v: %q, says %v", n, n, n.Says())
+		if n.String() != want || n.Any() != (want != "") {
+			t.Errorf("%+v: %q, says %v", n, n, n.Any())
 		}
 	}
 }
--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -86,8 +86,8 @@
 	return k == nil || k.Open(now)
 }
 
-// Stand reports whether any notice is in force.
-func (t *Tracker) Stand(now time.Time) bool {
+// Active reports whether any notice is in force.
+func (t *Tracker) Active(now time.Time) bool {
 	k := t.state.Load()
 	return k != nil && (!k.Open(now) || k.Limit.Rate > 0)
 }
--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -87,7 +87,7 @@
 
 // hear keeps what the server says of itself with an answer, whatever becomes of that.
 func (x *Exchange) hear(n notice.Notice) {
-	if n.Says() && x.Server.State.Notices.Observe(n, time.Now()) && x.Noticed != nil {
+	if n.Any() && x.Server.State.Notices.Observe(n, time.Now()) && x.Noticed != nil {
 		x.Noticed(n)
 	}
 }
--- a/daemon/gateway/report.go
+++ b/daemon/gateway/report.go
@@ -181,7 +181,7 @@
 			b.WriteString("; ")
 		}
 		b.WriteString(t.Server + " " + t.Model + " " + strconv.FormatInt(t.Took.Milliseconds(), 10) + "ms " + t.Result)
-		if t.Notice.Says() {
+		if t.Notice.Any() {
 			b.WriteString(", " + t.Notice.String())
 		}
 	}
--- a/daemon/storesync/changes.go
+++ b/daemon/storesync/changes.go
@@ -114,7 +114,7 @@
 		return
 	}
 	i := s.Incarnation()
-	if s.Load.Notices.Stand(now) && len(k.unlisted) < mostUnlisted {
+	if s.Load.Notices.Active(now) && len(k.unlisted) < mostUnlisted {
 		k.unlisted[i] = unlisted{notices: s.Load.Notices, since: now}
 	}
 	delete(k.loads, i)
--- a/daemon/storesync/notices.go
+++ b/daemon/storesync/notices.go
@@ -38,7 +38,7 @@
 func (k *Keeper) keepNotices(listed map[fleet.Incarnation]*fleet.Load, now time.Time) {
 	maps.DeleteFunc(k.unlisted, func(_ fleet.Incarnation, u unlisted) bool { return now.Sub(u.since) > unlistedFor })
 	for i, l := range k.loads {
-		if listed[i] == nil && l.Notices.Stand(now) && len(k.unlisted) < mostUnlisted {
+		if listed[i] == nil && l.Notices.Active(now) && len(k.unlisted) < mostUnlisted {
 			k.unlisted[i] = unlisted{notices: l.Notices, since: now}
 		}
 	}
