--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -84,18 +84,18 @@
 			}
 			opens, atLimit := s.Load.opensAt(now)
 			limited = limited || atLimit
-			if !yield(notice.State{RestUntil: opens}) {
+			if !yield(notice.State{BackoffUntil: opens}) {
 				return
 			}
 		}
 	}
-	at, ok = notice.RestEnds(listed, now)
+	at, ok = notice.EarliestBackoffEnd(listed, now)
 	return at, limited, ok
 }
 
 // opensAt is when the server takes a request of this daemon again.
 func (l *Load) opensAt(now time.Time) (at time.Time, limited bool) {
-	at = l.Notices.State().RestUntil
+	at = l.Notices.State().BackoffUntil
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.limit.full(now) {
--- a/core/fleet/notice_test.go
+++ b/core/fleet/notice_test.go
@@ -22,7 +22,7 @@
 			early++
 		}
 		asked[s.ID] = at
-		s.Load.Notices.Observe(notice.Notice{Rest: rest}, at)
+		s.Load.Notices.Observe(notice.Notice{Backoff: rest}, at)
 	}
 	refused, end := replayDeclines(declined)
 	if early > 0 || refused > 1 {
@@ -124,12 +124,12 @@
 func TestRestEndsOnlyWhereNoneIsOpen(t *testing.T) {
 	servers := pool(3)
 	l := fleet.NewList(servers)
-	servers[0].Load.Notices.Observe(notice.Notice{Rest: 5 * time.Second}, now)
-	servers[1].Load.Notices.Observe(notice.Notice{Rest: 2 * time.Second}, now)
+	servers[0].Load.Notices.Observe(notice.Notice{Backoff: 5 * time.Second}, now)
+	servers[1].Load.Notices.Observe(notice.Notice{Backoff: 2 * time.Second}, now)
 	if _, _, ok := l.OpensAt("s", now); ok {
 		t.Error("one server is open")
 	}
-	servers[2].Load.Notices.Observe(notice.Notice{Leaving: true, Rest: time.Second}, now)
+	servers[2].Load.Notices.Observe(notice.Notice{Leaving: true, Backoff: time.Second}, now)
 	at, limited, ok := l.OpensAt("s", now)
 	if !ok || limited || !at.Equal(now.Add(2*time.Second)) {
 		t.Errorf("%v %v", at, ok)
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -14,16 +14,16 @@
 type Notice struct {
 	// Leaving reports that the server shuts down soon and must get no new requests.
 	Leaving bool
-	// Rest is how long the daemon that receives the answer should send no requests, 0 for no
+	// Backoff is how long the daemon that receives the answer should send no requests, 0 for no
 	// back-off.
-	Rest time.Duration
+	Backoff time.Duration
 	// Limit is the rate limit of the server for all daemons together.
 	Limit Limit
 }
 
 // Any reports whether the notice is not empty.
 func (n Notice) Any() bool {
-	return n.Leaving || n.Rest > 0 || n.Limit.Rate > 0 || n.Limit.Malformed != ""
+	return n.Leaving || n.Backoff > 0 || n.Limit.Rate > 0 || n.Limit.Malformed != ""
 }
 
 // String returns the notice as text for log lines, "" if it is empty.
@@ -32,8 +32,8 @@
 	if n.Leaving {
 		words = append(words, "leaving")
 	}
-	if n.Rest > 0 {
-		words = append(words, "wants rest "+n.Rest.Round(time.Millisecond).String())
+	if n.Backoff > 0 {
+		words = append(words, "wants rest "+n.Backoff.Round(time.Millisecond).String())
 	}
 	if n.Limit.Rate > 0 {
 		words = append(words, "takes "+strconv.FormatFloat(n.Limit.Rate, 'g', 4, 64)+" a second")
@@ -44,9 +44,9 @@
 	return strings.Join(words, ", ")
 }
 
-// LongestRest limits the back-off: a server that asks for more is faulty, and this gives an
+// MaxBackoff limits the back-off: a server that asks for more is faulty, and this gives an
 // operator the time to repair it.
-const LongestRest = time.Hour
+const MaxBackoff = time.Hour
 
 // Seconds parses a back-off in seconds, possibly with a fraction. It returns 0 for any other
 // text.
@@ -55,5 +55,5 @@
 	if err != nil || math.IsNaN(s) || s <= 0 {
 		return 0
 	}
-	return time.Duration(min(s, LongestRest.Seconds()) * float64(time.Second))
+	return time.Duration(min(s, MaxBackoff.Seconds()) * float64(time.Second))
 }
--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -16,8 +16,8 @@
 type State struct {
 	// LeavingAt is when the server first announced that it is leaving, zero if it has not.
 	LeavingAt time.Time
-	// RestUntil is the latest end of a back-off that the server asked for.
-	RestUntil time.Time
+	// BackoffUntil is the latest end of a back-off that the server asked for.
+	BackoffUntil time.Time
 	// Limit is the rate limit that the server announced for all daemons together.
 	Limit LimitState
 }
@@ -28,8 +28,8 @@
 	if n.Leaving && s.LeavingAt.IsZero() {
 		s.LeavingAt = now
 	}
-	if until := now.Add(n.Rest); n.Rest > 0 && until.After(s.RestUntil) {
-		s.RestUntil = until
+	if until := now.Add(n.Backoff); n.Backoff > 0 && until.After(s.BackoffUntil) {
+		s.BackoffUntil = until
 	}
 	return s
 }
@@ -46,22 +46,22 @@
 // Leaving reports whether the server is leaving.
 func (s State) Leaving() bool { return !s.LeavingAt.IsZero() }
 
-// Resting reports whether a back-off that the server asked for is in force.
-func (s State) Resting(now time.Time) bool { return now.Before(s.RestUntil) }
+// InBackoff reports whether a back-off that the server asked for is in force.
+func (s State) InBackoff(now time.Time) bool { return now.Before(s.BackoffUntil) }
 
 // Open reports whether the server accepts requests according to its notices.
-func (s State) Open(now time.Time) bool { return !s.Leaving() && !s.Resting(now) }
+func (s State) Open(now time.Time) bool { return !s.Leaving() && !s.InBackoff(now) }
 
-// RestEnds returns the earliest end of a back-off among servers, if all of them that are not
+// EarliestBackoffEnd returns the earliest end of a back-off among servers, if all of them that are not
 // leaving are in back-off.
-func RestEnds(servers iter.Seq[State], now time.Time) (at time.Time, ok bool) {
+func EarliestBackoffEnd(servers iter.Seq[State], now time.Time) (at time.Time, ok bool) {
 	for s := range servers {
 		switch {
 		case s.Leaving():
-		case !s.Resting(now):
+		case !s.InBackoff(now):
 			return time.Time{}, false
-		case !ok || s.RestUntil.Before(at):
-			at, ok = s.RestUntil, true
+		case !ok || s.BackoffUntil.Before(at):
+			at, ok = s.BackoffUntil, true
 		}
 	}
 	return at, ok
@@ -96,7 +96,7 @@
 // until then requests could be sent to it.
 func (t *Tracker) Observe(n Notice, now time.Time) (changed bool) {
 	was := t.replace(func(k State) State { return k.With(n, now) })
-	return n.Leaving && !was.Leaving() || n.Rest > 0 && !was.Resting(now)
+	return n.Leaving && !was.Leaving() || n.Backoff > 0 && !was.InBackoff(now)
 }
 
 // ObserveLimit applies the limit of an answer and returns the limit in force before and after it.
--- a/core/notice/state_test.go
+++ b/core/notice/state_test.go
@@ -12,8 +12,8 @@
 var now = time.Unix(1000, 0)
 
 func TestShorterBackoffDoesNotEndALongerOne(t *testing.T) {
-	k := notice.State{}.With(notice.Notice{Rest: 3 * time.Second}, now)
-	k = k.With(notice.Notice{Rest: time.Second}, now.Add(time.Second))
+	k := notice.State{}.With(notice.Notice{Backoff: 3 * time.Second}, now)
+	k = k.With(notice.Notice{Backoff: time.Second}, now.Add(time.Second))
 	for after, open := range map[time.Duration]bool{0: false, 2999 * time.Millisecond: false, 3 * time.Second: true} {
 		if k.Open(now.Add(after)) != open {
 			t.Errorf("after %v: open is %v", after, !open)
@@ -42,7 +42,7 @@
 		}
 		var all []received
 		for range 4 {
-			all = append(all, received{notice.Notice{Leaving: rng.IntN(3) == 0, Rest: time.Duration(rng.IntN(3)) * time.Second}, now.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)})
+			all = append(all, received{notice.Notice{Leaving: rng.IntN(3) == 0, Backoff: time.Duration(rng.IntN(3)) * time.Second}, now.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)})
 		}
 		keep := func() (k notice.State) {
 			for _, s := range all {
@@ -52,7 +52,7 @@
 		}
 		want := keep()
 		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		if got := keep(); got.RestUntil != want.RestUntil || got.Leaving() != want.Leaving() {
+		if got := keep(); got.BackoffUntil != want.BackoffUntil || got.Leaving() != want.Leaving() {
 			t.Fatalf("%+v, in another order %+v", want, got)
 		}
 	}
@@ -82,7 +82,7 @@
 	if h.ObserveStaying(now.Add(time.Second)); !h.State().Open(now) {
 		t.Error("not open after all")
 	}
-	if !h.Observe(notice.Notice{Rest: time.Second}, now) || h.Observe(notice.Notice{Rest: time.Second}, now.Add(500*time.Millisecond)) || !h.Observe(notice.Notice{Rest: time.Second}, now.Add(2*time.Second)) {
+	if !h.Observe(notice.Notice{Backoff: time.Second}, now) || h.Observe(notice.Notice{Backoff: time.Second}, now.Add(500*time.Millisecond)) || !h.Observe(notice.Notice{Backoff: time.Second}, now.Add(2*time.Second)) {
 		t.Error("a back-off must be news only when it begins")
 	}
 }
--- a/core/route/gate.go
+++ b/core/route/gate.go
@@ -54,7 +54,7 @@
 		switch k := s.State.Notices.State(); {
 		case s.Leaving || k.Leaving():
 			return refused(op, ServerLeaving, "server %s is leaving", id)
-		case k.Resting(now):
+		case k.InBackoff(now):
 			return refused(op, NoCapacity, "server %s wants rest", id)
 		}
 		return nil
--- a/core/route/server.go
+++ b/core/route/server.go
@@ -84,7 +84,7 @@
 			}
 		}
 	}
-	if at, ok := notice.RestEnds(listed, now); ok {
+	if at, ok := notice.EarliestBackoffEnd(listed, now); ok {
 		return at.Sub(now)
 	}
 	return DefaultRetryAfter
--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -97,7 +97,7 @@
 	declines := status == http.StatusServiceUnavailable && h.Get(wire.HeaderDeclined) == wire.DeclinedLeaving
 	return notice.Notice{
 		Leaving: declines || h.Get(wire.HeaderLeaving) == wire.LeavingYes,
-		Rest:    channel.RestAsked(status, h),
+		Backoff: channel.RestAsked(status, h),
 	}
 }
 
--- a/daemon/gateway/dump.go
+++ b/daemon/gateway/dump.go
@@ -140,8 +140,8 @@
 		kept := s.Load.Notices.State()
 		out.SaysLeaving = kept.Leaving()
 		out.Limit = limitDump(s, now)
-		if kept.Resting(now) {
-			out.WantsRestMS = kept.RestUntil.Sub(now).Milliseconds()
+		if kept.InBackoff(now) {
+			out.WantsRestMS = kept.BackoffUntil.Sub(now).Milliseconds()
 		}
 		if cold := s.Load.Cold(); now.Before(cold.Until) {
 			out.ColdMS, out.ColdMost = cold.Until.Sub(now).Milliseconds(), cold.Most
--- a/daemon/gateway/report.go
+++ b/daemon/gateway/report.go
@@ -141,7 +141,7 @@
 		if t.Notice.Leaving {
 			r.notices.WithLabelValues(rep.Service, "leaving").Inc()
 		}
-		if t.Notice.Rest > 0 {
+		if t.Notice.Backoff > 0 {
 			r.notices.WithLabelValues(rep.Service, "rest").Inc()
 		}
 		if t.Notice.Limit.Rate > 0 {
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -205,7 +205,7 @@
 		switch {
 		case a.head.WrongServer:
 			a.server.Load.Unreachable(now)
-		case a.head.Notice.Rest == 0:
+		case a.head.Notice.Backoff == 0:
 			a.server.Load.Declined(now)
 		}
 		return
@@ -230,7 +230,7 @@
 // hear keeps what a server says of itself with an answer, whatever becomes of that.
 func (j *job) hear(a *attempt, now time.Time) {
 	n := a.head.Notice
-	if (n.Leaving || n.Rest > 0) && a.server.Load.Notices.Observe(n, now) && j.engine.Noticed != nil {
+	if (n.Leaving || n.Backoff > 0) && a.server.Load.Notices.Observe(n, now) && j.engine.Noticed != nil {
 		j.engine.Noticed(a.server, n)
 	}
 	j.hearLimit(a, now)
--- a/daemon/storesync/notices_test.go
+++ b/daemon/storesync/notices_test.go
@@ -26,11 +26,11 @@
 			t.Fatalf("still listed: %+v", got.Incarnation())
 		}
 		// An answer that was under way tells more.
-		before.Load.Notices.Observe(notice.Notice{Rest: time.Minute}, time.Now())
+		before.Load.Notices.Observe(notice.Notice{Backoff: time.Minute}, time.Now())
 		s.rows.set(gossip.Servers, "a", "v1#100")
 		pass(time.Second)
 		after := only(t, k)
-		if after == nil || after == before || after.Usable() || !after.Load.Notices.State().Resting(time.Now()) {
+		if after == nil || after == before || after.Usable() || !after.Load.Notices.State().InBackoff(time.Now()) {
 			t.Errorf("what the server said is forgotten with its entry")
 		}
 		s.rows.set(gossip.Servers, "a", "v1#200")
