--- a/core/notice/limit.go
+++ b/core/notice/limit.go
@@ -19,13 +19,13 @@
 	Malformed string
 }
 
-// LeastRate is the lowest limit that is applied, in requests per second: a server that receives
+// MinRate is the lowest limit that is applied, in requests per second: a server that receives
 // no requests cannot announce the end of its limit.
-const LeastRate = 0.1
+const MinRate = 0.1
 
-// PerSecond parses the rates that a server announces, in requests per second. The lowest of
+// ParseRates parses the rates that a server announces, in requests per second. The lowest of
 // several applies.
-func PerSecond(values []string) Limit {
+func ParseRates(values []string) Limit {
 	var out Limit
 	for _, value := range values {
 		for field := range strings.SplitSeq(value, ",") {
@@ -46,7 +46,7 @@
 	if err != nil || math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0 {
 		return 0, false
 	}
-	return max(rate, LeastRate), true
+	return max(rate, MinRate), true
 }
 
 // LimitState is the limit in force for a server. The zero value is no limit. It is immutable.
--- a/core/notice/limit_test.go
+++ b/core/notice/limit_test.go
@@ -15,8 +15,8 @@
 		"a decimal number":         {[]string{"1.6"}, notice.Limit{Rate: 1.6}},
 		"blanks":                   {[]string{" 20 "}, notice.Limit{Rate: 20}},
 		"none":                     {nil, notice.Limit{}},
-		"zero is the least":        {[]string{"0"}, notice.Limit{Rate: notice.LeastRate}},
-		"next to nothing":          {[]string{"0.001"}, notice.Limit{Rate: notice.LeastRate}},
+		"zero is the least":        {[]string{"0"}, notice.Limit{Rate: notice.MinRate}},
+		"next to nothing":          {[]string{"0.001"}, notice.Limit{Rate: notice.MinRate}},
 		"twice, the lower counts":  {[]string{"3", "2"}, notice.Limit{Rate: 2}},
 		"twice in one line":        {[]string{"2, 3"}, notice.Limit{Rate: 2}},
 		"no number":                {[]string{"few"}, notice.Limit{Malformed: "few"}},
@@ -29,7 +29,7 @@
 		"a unit is not a number":   {[]string{"5/s"}, notice.Limit{Malformed: "5/s"}},
 		"a list with an empty end": {[]string{"5,"}, notice.Limit{Rate: 5, Malformed: "5,"}},
 	} {
-		if got := notice.PerSecond(c.values); got != c.want {
+		if got := notice.ParseRates(c.values); got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -48,9 +48,9 @@
 // operator the time to repair it.
 const MaxBackoff = time.Hour
 
-// Seconds parses a back-off in seconds, possibly with a fraction. It returns 0 for any other
+// ParseSeconds parses a back-off in seconds, possibly with a fraction. It returns 0 for any other
 // text.
-func Seconds(value string) time.Duration {
+func ParseSeconds(value string) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || math.IsNaN(s) || s <= 0 {
 		return 0
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -12,7 +12,7 @@
 		"3": 3 * time.Second, " 0.25 ": 250 * time.Millisecond, "1e3": 1000 * time.Second, "1e300": notice.MaxBackoff, "+Inf": notice.MaxBackoff,
 		"": 0, "0": 0, "-1": 0, "NaN": 0, "soon": 0, "Wed, 21 Oct 2026 07:28:00 GMT": 0,
 	} {
-		if got := notice.Seconds(value); got != want {
+		if got := notice.ParseSeconds(value); got != want {
 			t.Errorf("%q: %v, want %v", value, got, want)
 		}
 	}
--- a/daemon/channel/channel.go
+++ b/daemon/channel/channel.go
@@ -97,7 +97,7 @@
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
 	}
-	return notice.Seconds(h.Get("Retry-After"))
+	return notice.ParseSeconds(h.Get("Retry-After"))
 }
 
 // writeRequest writes a request whole. Head and body leave in one write if they
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -49,7 +49,7 @@
 	if n, err := strconv.Atoi(h.Get("Confidence")); err == nil {
 		head.Confidence, head.Confident = n, true
 	}
-	head.Notice = notice.Notice{Leaving: h.Get("Leaving") != "", Backoff: notice.Seconds(h.Get("Rest")), Limit: notice.PerSecond(h.Values("Limit"))}
+	head.Notice = notice.Notice{Leaving: h.Get("Leaving") != "", Backoff: notice.ParseSeconds(h.Get("Rest")), Limit: notice.ParseRates(h.Values("Limit"))}
 	head.Notice.Limit.Lifted = len(h.Values("Limit")) == 0 && !head.NotRun
 	return head
 }
