--- a/core/notice/limit.go
+++ b/core/notice/limit.go
@@ -57,9 +57,9 @@
 	Since time.Time
 	// From is the daemon that reported the limit, "" for an answer to a request of this daemon.
 	From string
-	// Asked is when the request was sent whose answer announced the limit, Heard when that
+	// RequestedAt is when the request was sent whose answer announced the limit, ReceivedAt when that
 	// answer was read.
-	Asked, Heard time.Time
+	RequestedAt, ReceivedAt time.Time
 	// Malformed is the last announced text if it was not a rate.
 	Malformed string
 }
@@ -75,12 +75,12 @@
 	if l.Rate == 0 && (!l.Lifted || s.Rate == 0) {
 		return s
 	}
-	later := !requested.Before(s.Heard)
-	lower := l.Rate > 0 && (s.Rate == 0 || l.Rate < s.Rate) && received.After(s.Asked)
+	later := !requested.Before(s.ReceivedAt)
+	lower := l.Rate > 0 && (s.Rate == 0 || l.Rate < s.Rate) && received.After(s.RequestedAt)
 	if !later && !lower {
 		return s
 	}
-	next := LimitState{Rate: l.Rate, Since: s.Since, From: from, Asked: requested, Heard: received, Malformed: l.Malformed}
+	next := LimitState{Rate: l.Rate, Since: s.Since, From: from, RequestedAt: requested, ReceivedAt: received, Malformed: l.Malformed}
 	if s.Rate == l.Rate {
 		next.From = s.From
 	} else {
--- a/daemon/gateway/report.go
+++ b/daemon/gateway/report.go
@@ -129,7 +129,7 @@
 		what = "server: its limit has ended"
 	}
 	if was.Rate > 0 {
-		e.Dur("stood", is.Heard.Sub(was.Since))
+		e.Dur("stood", is.ReceivedAt.Sub(was.Since))
 	}
 	e.Str("server", s.Incarnation().String()).Str("service", s.Service).Float64("per_second", is.Rate).Float64("was", was.Rate).
 		Str("told_by", is.From).Str("malformed", is.Malformed).Msg(what)
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -100,7 +100,7 @@
 }
 
 func (k *Keeper) listLimit(s *fleet.Server, now time.Time) {
-	if s.Load.Notices.State().Limit.Heard.IsZero() {
+	if s.Load.Notices.State().Limit.ReceivedAt.IsZero() {
 		return
 	}
 	was := k.limits.known[s.Incarnation()]
@@ -126,10 +126,10 @@
 	var out []gossip.Limit
 	for _, s := range l.known {
 		is := s.Load.Notices.State().Limit
-		if is.Heard.IsZero() || is.Rate == 0 && now.Sub(is.Heard) > endedFor {
+		if is.ReceivedAt.IsZero() || is.Rate == 0 && now.Sub(is.ReceivedAt) > endedFor {
 			continue
 		}
-		out = append(out, gossip.Limit{ID: s.ID, Born: s.Born, Rate: is.Rate, AskedMS: ageMS(now, is.Asked), HeardMS: ageMS(now, is.Heard)})
+		out = append(out, gossip.Limit{ID: s.ID, Born: s.Born, Rate: is.Rate, AskedMS: ageMS(now, is.RequestedAt), HeardMS: ageMS(now, is.ReceivedAt)})
 	}
 	slices.SortFunc(out, func(a, b gossip.Limit) int { return int(a.HeardMS) - int(b.HeardMS) })
 	return out[:min(len(out), limitsAtOnce)]
