--- a/core/notice/state.go
+++ b/core/notice/state.go
@@ -52,8 +52,8 @@
 // Open reports whether the server accepts requests according to its notices.
 func (s State) Open(now time.Time) bool { return !s.Leaving() && !s.InBackoff(now) }
 
-// EarliestBackoffEnd returns the earliest end of a back-off among servers, if all of them that are not
-// leaving are in back-off.
+// EarliestBackoffEnd returns the earliest end of a back-off among servers, if all of them that are
+// not leaving are in back-off.
 func EarliestBackoffEnd(servers iter.Seq[State], now time.Time) (at time.Time, ok bool) {
 	for s := range servers {
 		switch {
--- a/core/retry/attempt_timeout.go
+++ b/core/retry/attempt_timeout.go
@@ -44,6 +44,6 @@
 	return timeout
 }
 
-// StreamIdleTimeout returns how long the server of a stream may send nothing between two events, given
-// the longest pause that the route's objective allows.
+// StreamIdleTimeout returns how long the server of a stream may send nothing between two events,
+// given the longest pause that the route's objective allows.
 func StreamIdleTimeout(pause time.Duration) time.Duration { return idleFactor * pause }
