--- a/core/canary/canary_test.go
+++ b/core/canary/canary_test.go
@@ -207,8 +207,8 @@
 
 // spread draws counts of relative times that spread by a factor, of which a share
 // is slower by another.
-func spread(rng *rand.Rand, answers int, factor, share, slower float64) canary.Paces {
-	var p canary.Paces
+func spread(rng *rand.Rand, answers int, factor, share, slower float64) canary.LatencyHistogram {
+	var p canary.LatencyHistogram
 	for range answers {
 		relative := math.Exp(rng.NormFloat64() * math.Log(factor))
 		if rng.Float64() < share {
@@ -220,7 +220,7 @@
 }
 
 // paced judges relative times of first parts.
-func paced(fresh, old canary.Paces) string {
+func paced(fresh, old canary.LatencyHistogram) string {
 	return judge(one(canary.Count{First: old}), one(canary.Count{First: fresh}))
 }
 
@@ -256,7 +256,7 @@
 }
 
 func TestAnswersNotAwaitedCountOnlyIfSlow(t *testing.T) {
-	var p canary.Paces
+	var p canary.LatencyHistogram
 	if p.WithAtLeast(2) != p || p.WithAtLeast(0) != p {
 		t.Error("one that was ended early counts")
 	}
--- a/core/canary/evidence.go
+++ b/core/canary/evidence.go
@@ -14,8 +14,8 @@
 	Failed  uint64
 	// First are the times to the first part of an answer, Between those between
 	// the events of a stream.
-	First   Paces
-	Between Paces
+	First   LatencyHistogram
+	Between LatencyHistogram
 }
 
 // Plus adds two counts.
--- a/core/canary/paces.go
+++ b/core/canary/paces.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// PaceBins is how many bins Paces has.
-const PaceBins = 24
+// LatencyBins is how many bins Paces has.
+const LatencyBins = 24
 
-// Paces counts answers by how long they took in terms of what the settled
+// LatencyHistogram counts answers by how long they took in terms of what the settled
 // version takes for the like. Each bin is a quarter wider than the one before it;
 // the first and the last are open.
-type Paces [PaceBins]uint64
+type LatencyHistogram [LatencyBins]uint64
 
 const (
 	// binFactor is the width of a bin, as a factor.
@@ -23,12 +23,12 @@
 // bin is the bin of a relative time.
 func bin(relative float64) int {
 	at := usualBin + int(math.Floor(math.Log(relative)/math.Log(binFactor)))
-	return min(PaceBins-1, max(0, at))
+	return min(LatencyBins-1, max(0, at))
 }
 
 // With returns the counts with an answer that took a relative time; 0 is not
 // known and counts nothing.
-func (p Paces) With(relative float64) Paces {
+func (p LatencyHistogram) With(relative float64) LatencyHistogram {
 	if relative > 0 {
 		p[bin(relative)]++
 	}
@@ -37,7 +37,7 @@
 
 // WithAtLeast returns the counts with an answer that was not awaited longer than
 // a relative time. It says something only if that was slow already.
-func (p Paces) WithAtLeast(relative float64) Paces {
+func (p LatencyHistogram) WithAtLeast(relative float64) LatencyHistogram {
 	if relative <= 0 || bin(relative) < slowBin {
 		return p
 	}
@@ -45,7 +45,7 @@
 }
 
 // Plus adds two counts.
-func (p Paces) Plus(q Paces) Paces {
+func (p LatencyHistogram) Plus(q LatencyHistogram) LatencyHistogram {
 	for i := range p {
 		p[i] += q[i]
 	}
@@ -53,7 +53,7 @@
 }
 
 // total is the number of answers.
-func (p Paces) total() uint64 {
+func (p LatencyHistogram) total() uint64 {
 	sum := uint64(0)
 	for _, n := range p {
 		sum += n
@@ -62,7 +62,7 @@
 }
 
 // slow is the number of answers that took several times the usual.
-func (p Paces) slow() uint64 {
+func (p LatencyHistogram) slow() uint64 {
 	sum := uint64(0)
 	for _, n := range p[slowBin:] {
 		sum += n
@@ -85,8 +85,8 @@
 var usualShares = spreadEvenly()
 
 // spreadEvenly spreads answers by factors (log-normal).
-func spreadEvenly() [PaceBins]float64 {
-	var out [PaceBins]float64
+func spreadEvenly() [LatencyBins]float64 {
+	var out [LatencyBins]float64
 	sum := 0.0
 	for i := range out {
 		off := (float64(i-usualBin) + middle) * math.Log(binFactor) / usualSpread
@@ -94,14 +94,14 @@
 		sum += out[i]
 	}
 	for i := range out {
-		out[i] = out[i]/sum*(1-usualRest) + usualRest/PaceBins
+		out[i] = out[i]/sum*(1-usualRest) + usualRest/LatencyBins
 	}
 	return out
 }
 
 // shares is the expected share of answers in each bin.
-func (p Paces) shares() [PaceBins]float64 {
-	var out [PaceBins]float64
+func (p LatencyHistogram) shares() [LatencyBins]float64 {
+	var out [LatencyBins]float64
 	n := float64(p.total()) + prior
 	for i := range p {
 		out[i] = (float64(p[i]) + prior*usualShares[i]) / n
@@ -127,17 +127,17 @@
 )
 
 // slower returns the shares of the bins if answers are slower.
-func slower(usual [PaceBins]float64, by slowness) [PaceBins]float64 {
-	var out [PaceBins]float64
+func slower(usual [LatencyBins]float64, by slowness) [LatencyBins]float64 {
+	var out [LatencyBins]float64
 	for i, q := range usual {
 		out[i] += (1 - by.share) * q
-		out[min(PaceBins-1, i+by.bins)] += by.share * q
+		out[min(LatencyBins-1, i+by.bins)] += by.share * q
 	}
 	return out
 }
 
 // likeliest is the log likelihood of the counts under the likeliest of some ways.
-func (p Paces) likeliest(usual [PaceBins]float64, ways []slowness) float64 {
+func (p LatencyHistogram) likeliest(usual [LatencyBins]float64, ways []slowness) float64 {
 	most := math.Inf(-1)
 	for _, way := range ways {
 		shares, sum := slower(usual, way), 0.0
@@ -154,7 +154,7 @@
 // paceRatio is the log likelihood ratio of a new version that is several times
 // slower against one that is as the old one or a little slower. The old one's own
 // spread of times tells how likely either is.
-func paceRatio(fresh, old Paces) float64 {
+func paceRatio(fresh, old LatencyHistogram) float64 {
 	if fresh.total() == 0 {
 		return 0
 	}
--- a/core/canary/ranks.go
+++ b/core/canary/ranks.go
@@ -44,7 +44,7 @@
 // answers come from a number of servers.
 func compare(fresh, old Counts, servers int) comparison {
 	var sum, weights, kinds float64
-	for _, times := range []func(Count) Paces{firstTimes, betweenTimes} {
+	for _, times := range []func(Count) LatencyHistogram{firstTimes, betweenTimes} {
 		share, n := pairs(fresh, old, times)
 		if n == 0 {
 			continue
@@ -59,13 +59,13 @@
 	return comparison{slower: sum / weights, deviation: math.Sqrt(chance + luck*luck/float64(max(1, servers)))}
 }
 
-func firstTimes(c Count) Paces { return c.First }
+func firstTimes(c Count) LatencyHistogram { return c.First }
 
-func betweenTimes(c Count) Paces { return c.Between }
+func betweenTimes(c Count) LatencyHistogram { return c.Between }
 
 // pairs is the share of pairs in which the new version took longer, over the routes
 // on which the old one is known, and by how many answers it is known.
-func pairs(fresh, old Counts, times func(Count) Paces) (share, n float64) {
+func pairs(fresh, old Counts, times func(Count) LatencyHistogram) (share, n float64) {
 	sum, answers := 0.0, 0.0
 	for route, c := range fresh {
 		theirs, ours := times(c), times(old[route])
@@ -84,7 +84,7 @@
 
 // slowerThan is the share of pairs in which the one of p took longer than the one of
 // q.
-func (p Paces) slowerThan(q Paces) float64 {
+func (p LatencyHistogram) slowerThan(q LatencyHistogram) float64 {
 	below, sum := 0.0, 0.0
 	for i := range p {
 		sum += float64(p[i]) * (below + tied*float64(q[i]))
--- a/core/canary/recorded_test.go
+++ b/core/canary/recorded_test.go
@@ -66,7 +66,7 @@
 
 func recordedCount(t *testing.T, times string, fields []string) canary.Count {
 	t.Helper()
-	var p canary.Paces
+	var p canary.LatencyHistogram
 	for i, field := range fields {
 		n, err := strconv.ParseUint(field, 10, 64)
 		if err != nil {
@@ -90,14 +90,14 @@
 }
 
 // draw draws a part of the answers that were counted, with repetition.
-func draw(rng *rand.Rand, from canary.Paces, part float64, by slowed) canary.Paces {
+func draw(rng *rand.Rand, from canary.LatencyHistogram, part float64, by slowed) canary.LatencyHistogram {
 	var bins []int
 	for i, n := range from {
 		for range n {
 			bins = append(bins, i)
 		}
 	}
-	var out canary.Paces
+	var out canary.LatencyHistogram
 	for range int(math.Round(part * float64(len(bins)))) {
 		bin := bins[rng.IntN(len(bins))]
 		if rng.Float64() < by.share {
--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -181,8 +181,8 @@
 	Answers uint64
 	Failed  uint64
 	// First and Between count by relative times, as canary.Paces does.
-	First   canary.Paces
-	Between canary.Paces
+	First   canary.LatencyHistogram
+	Between canary.LatencyHistogram
 }
 
 // Evidence is all that a daemon, or a whole data hall, has seen of roll-outs. It
--- a/daemon/peer/codec_test.go
+++ b/daemon/peer/codec_test.go
@@ -40,7 +40,7 @@
 	gossip.Tell{Nonce: 7, Known: []gossip.Known{{Topic: gossip.Servers, Version: revision.New(2, 4), AgeMS: 5, Sum: 1, Base: 2, Rows: []gossip.Row{{Key: "k", Data: []byte("row"), Version: revision.New(2, 4)}}, Removed: []string{"gone"}}}},
 	// Long enough to be compressed.
 	gossip.Tell{Known: []gossip.Known{{Topic: gossip.Operator, Whole: true, Rows: []gossip.Row{{Key: "k", Data: bytes.Repeat([]byte("row "), 1000)}}}}},
-	gossip.Evidence{Hall: "h", Start: 1, Sequence: 2, Counts: []gossip.Count{{Service: "s", Version: "v", Route: "r", Answers: 3, Failed: 2, First: canary.Paces{1, 2}, Between: canary.Paces{10: 1}}}, OldInFlight: map[string]int{"s": 4}, Withdrawn: []string{"s@v"}},
+	gossip.Evidence{Hall: "h", Start: 1, Sequence: 2, Counts: []gossip.Count{{Service: "s", Version: "v", Route: "r", Answers: 3, Failed: 2, First: canary.LatencyHistogram{1, 2}, Between: canary.LatencyHistogram{10: 1}}}, OldInFlight: map[string]int{"s": 4}, Withdrawn: []string{"s@v"}},
 }
 
 func TestMessagesReadBackAsThemselves(t *testing.T) {
