--- a/core/canary/canary_test.go
+++ b/core/canary/canary_test.go
@@ -96,7 +96,7 @@
 // judge judges the answers of a new version's servers, all alike, by those of the
 // old one.
 func judge(old, fresh canary.Counts) string {
-	return canary.Evidence{Old: old, New: map[string]canary.Counts{"": fresh}}.Judge().Why
+	return canary.Evidence{Old: old, New: map[string]canary.Counts{"": fresh}}.Judge().Rejection
 }
 
 // one is what was seen if there is one route.
@@ -153,11 +153,11 @@
 	bad := one(canary.Count{Answers: 40, Failed: 20})
 	e := canary.Evidence{Old: one(canary.Count{Answers: 600, Failed: 6}), New: map[string]canary.Counts{"a": bad, "b": one(canary.Count{Answers: 10})}}
 	v := e.Judge()
-	if v.Why != "" || len(v.Aside) != 1 || v.Aside[0] != "a" {
+	if v.Rejection != "" || len(v.Ejected) != 1 || v.Ejected[0] != "a" {
 		t.Errorf("one server: %+v", v)
 	}
 	e.New["b"] = one(canary.Count{Answers: 12, Failed: 5})
-	if e.Judge().Why == "" {
+	if e.Judge().Rejection == "" {
 		t.Error("two servers: the version is kept")
 	}
 }
@@ -182,8 +182,8 @@
 		doubted bool
 	}{{0.9, false}, {1, false}, {1.3, true}, {1.6, true}} {
 		e := canary.Evidence{Old: old, New: slower(rng, 60, 2.2, c.others, c.others)}
-		if v := e.Judge(); (v.Doubt != "") != c.doubted {
-			t.Errorf("others slower by %v: doubted %q", c.others, v.Doubt)
+		if v := e.Judge(); (v.Suspicion != "") != c.doubted {
+			t.Errorf("others slower by %v: doubted %q", c.others, v.Suspicion)
 		}
 	}
 }
@@ -199,8 +199,8 @@
 		condemned bool
 	}{{18, 1.9, false}, {60, 2.1, true}, {18, 4, true}} {
 		e := canary.Evidence{Old: old, New: slower(rng, c.answers, c.slower, c.slower, c.slower)}
-		if v := e.Judge(); (v.Why != "") != c.condemned {
-			t.Errorf("%d answers of each of three servers, %v times slower: condemned %q", c.answers, c.slower, v.Why)
+		if v := e.Judge(); (v.Rejection != "") != c.condemned {
+			t.Errorf("%d answers of each of three servers, %v times slower: condemned %q", c.answers, c.slower, v.Rejection)
 		}
 	}
 }
--- a/core/canary/evidence.go
+++ b/core/canary/evidence.go
@@ -151,18 +151,18 @@
 
 // Verdict is what evidence says of a new version.
 type Verdict struct {
-	// Seen says what was compared.
-	Seen string
-	// Why says why the version is bad, or "".
-	Why string
-	// Doubt says why the version may not be completed, or "": there is less against it
+	// Summary says what was compared.
+	Summary string
+	// Rejection says why the version is bad, or "".
+	Rejection string
+	// Suspicion says why the version may not be completed, or "": there is less against it
 	// than what condemns it, but more than good versions come to.
-	Doubt string
-	// Spent tells that, if the version is bad, so many callers have met a bad answer of more
+	Suspicion string
+	// ErrorBudgetSpent tells that, if the version is bad, so many callers have met a bad answer of more
 	// than one of its servers that a doubt is enough to stop its use.
-	Spent bool
-	// Aside are servers that look bad themselves: others speak for the version.
-	Aside []string
+	ErrorBudgetSpent bool
+	// Ejected are servers that look bad themselves: others speak for the version.
+	Ejected []string
 }
 
 const (
@@ -191,23 +191,23 @@
 		// after the other just when they have shown it, and idle ones asked.
 		weight, _ := e.find(counts, 1).weight(condemning)
 		if weight >= 1 {
-			v.Aside = append(v.Aside, server)
+			v.Ejected = append(v.Ejected, server)
 		}
 		if weight > most {
 			worst, most = server, weight
 		}
 	}
 	whole, rest := e.find(all, len(e.New)), e.find(e.without(worst), len(e.New)-1)
-	v.Seen = whole[""].String()
-	v.Why = verdict(whole, rest, condemning)
-	v.Doubt = verdict(whole, rest, doubting)
+	v.Summary = whole[""].String()
+	v.Rejection = verdict(whole, rest, condemning)
+	v.Suspicion = verdict(whole, rest, doubting)
 	if !rest.speakFor(whole) {
-		v.Doubt = verdict(whole, whole, doubting)
+		v.Suspicion = verdict(whole, whole, doubting)
 	}
-	v.Spent = v.Doubt != "" && whole[""].bad() >= spentAnswers && rest[""].slow()
-	if v.Doubt != "" && whole[""].bad() >= spentAnswers && rest[""].fresh.Answers < spentOthers && worst != "" && !slices.Contains(v.Aside, worst) {
+	v.ErrorBudgetSpent = v.Suspicion != "" && whole[""].bad() >= spentAnswers && rest[""].slow()
+	if v.Suspicion != "" && whole[""].bad() >= spentAnswers && rest[""].fresh.Answers < spentOthers && worst != "" && !slices.Contains(v.Ejected, worst) {
 		// Others are asked whether it is the version or the server.
-		v.Aside = append(v.Aside, worst)
+		v.Ejected = append(v.Ejected, worst)
 	}
 	return v
 }
--- a/core/canary/recorded_test.go
+++ b/core/canary/recorded_test.go
@@ -162,8 +162,8 @@
 		name := fmt.Sprint(step * servers / steps)
 		e.New[name] = e.New[name].Plus(drawAll(rng, rec.fresh, 1.0/steps, by))
 		v := e.Judge()
-		out.found = out.found || v.Why != "" || v.Spent
-		out.doubted = out.found || v.Doubt != ""
+		out.found = out.found || v.Rejection != "" || v.ErrorBudgetSpent
+		out.doubted = out.found || v.Suspicion != ""
 	}
 	return out
 }
--- a/core/canary/rollouts_test.go
+++ b/core/canary/rollouts_test.go
@@ -129,8 +129,8 @@
 			s.answer(server, age)
 		}
 		v := s.evidence.Judge()
-		s.aside = append(s.aside, v.Aside...)
-		if v.Why != "" && !out.found {
+		s.aside = append(s.aside, v.Ejected...)
+		if v.Rejection != "" && !out.found {
 			out.found, out.age = true, age
 		}
 	}
--- a/daemon/storesync/drive.go
+++ b/daemon/storesync/drive.go
@@ -164,14 +164,14 @@
 	default:
 		return
 	}
-	if next.State == canary.Completed && verdict.Doubt != "" {
+	if next.State == canary.Completed && verdict.Suspicion != "" {
 		if now.Sub(k.due(service, next.State, now)) < k.turnAfter(next.State) {
 			return
 		}
-		k.withdraw(r, "not known to be good: "+verdict.Doubt, own, now)
+		k.withdraw(r, "not known to be good: "+verdict.Suspicion, own, now)
 		next.State = canary.RolledBack
 	}
-	k.writeInTurn(ctx, service, next, verdict.Seen, k.due(service, next.State, now), now)
+	k.writeInTurn(ctx, service, next, verdict.Summary, k.due(service, next.State, now), now)
 }
 
 // due is since when a state of an order is to be written.
@@ -199,17 +199,17 @@
 	service, version := r.Order.Service, r.Order.Version
 	verdict := seen.Judge()
 	k.noteDoubt(r, verdict, now)
-	for _, id := range verdict.Aside {
+	for _, id := range verdict.Ejected {
 		if !slices.Contains(k.rollouts.aside[service], id) {
 			k.rollouts.aside[service] = append(slices.Clone(k.rollouts.aside[service]), id)
 			k.Log.Warn().Str("service", service).Str("version", version).Str("server", id).Dur("age", now.Sub(r.Since)).Msg("rollout: a server of the version looks bad: others are asked")
 		}
 	}
 	switch {
-	case verdict.Why != "":
-		k.withdraw(r, verdict.Why, own, now)
-	case (verdict.Spent || k.tried(r, seen, now)) && k.reading.Load() && k.proven(service, seen, now):
-		k.withdraw(r, "not known to be good: "+verdict.Doubt, own, now)
+	case verdict.Rejection != "":
+		k.withdraw(r, verdict.Rejection, own, now)
+	case (verdict.ErrorBudgetSpent || k.tried(r, seen, now)) && k.reading.Load() && k.proven(service, seen, now):
+		k.withdraw(r, "not known to be good: "+verdict.Suspicion, own, now)
 	}
 	return verdict
 }
@@ -229,14 +229,14 @@
 func (k *Keeper) noteDoubt(r canary.Rollout, v canary.Verdict, now time.Time) {
 	service := r.Order.Service
 	s := k.rollouts.doubts[service]
-	if v.Doubt == "" {
+	if v.Suspicion == "" {
 		s.since = time.Time{}
 	} else if s.since.IsZero() {
 		s.since = now
 	}
 	if k.reading.Load() && now.Sub(s.loggedAt) >= seenEvery {
 		s.loggedAt = now
-		k.Log.Info().Str("service", service).Str("version", r.Order.Version).Dur("age", now.Sub(r.Since)).Dur("doubt_for", s.stoodFor(now)).Bool("tried", r.Tried(now)).Str("seen", v.Seen).Msg("rollout: seen so far")
+		k.Log.Info().Str("service", service).Str("version", r.Order.Version).Dur("age", now.Sub(r.Since)).Dur("doubt_for", s.stoodFor(now)).Bool("tried", r.Tried(now)).Str("seen", v.Summary).Msg("rollout: seen so far")
 	}
 	k.rollouts.doubts[service] = s
 }
