--- a/core/canary/canary.go
+++ b/core/canary/canary.go
@@ -64,9 +64,9 @@
 	SinceMS uint64
 	// Order is the number of the order that it belongs to.
 	Order revision.Revision
-	// First is the share of the sessions that the new version has until it is
+	// InitialShare is the share of the sessions that the new version has until it is
 	// opened to all.
-	First float64
+	InitialShare float64
 }
 
 // Exposure bounds the requests that a version may get before it is known to be
@@ -99,11 +99,11 @@
 	unpausedFor = 0.54
 )
 
-// First is the share of the sessions that the new version gets until it is opened
+// InitialShare is the share of the sessions that the new version gets until it is opened
 // to all, with the number of requests that are expected in the order's time; 0 is
 // unknown. It is what the exposure leaves: few requests are told from the usual
 // only by a larger share of them.
-func (e Exposure) First(requests float64, within time.Duration) float64 {
+func (e Exposure) InitialShare(requests float64, within time.Duration) float64 {
 	share := e.Share
 	if requests > 0 {
 		share += e.Slack / requests
@@ -175,8 +175,8 @@
 	Since time.Time
 	// Started tells that all daemons agree on Since and First.
 	Started bool
-	// First is the share until the version is opened to all.
-	First float64
+	// InitialShare is the share until the version is opened to all.
+	InitialShare float64
 }
 
 // Share is the new version's part at a time.
@@ -187,7 +187,7 @@
 	case r.State == RolledBack || !r.Started:
 		return 0
 	}
-	return share(r.First, now.Sub(r.Since), r.Order.Within)
+	return share(r.InitialShare, now.Sub(r.Since), r.Order.Within)
 }
 
 // Tried reports whether the version has been tried for so long that a doubt is enough to
--- a/core/canary/canary_test.go
+++ b/core/canary/canary_test.go
@@ -13,7 +13,7 @@
 
 // started is a roll-out with a first share.
 func started(first float64) canary.Rollout {
-	return canary.Rollout{Order: canary.Order{Version: "v2", Within: within}, Since: time.Unix(0, 0), Started: true, First: first}
+	return canary.Rollout{Order: canary.Order{Version: "v2", Within: within}, Since: time.Unix(0, 0), Started: true, InitialShare: first}
 }
 
 func TestShareOnlyGrowsAndStaysSmallUntilTheEnd(t *testing.T) {
@@ -44,7 +44,7 @@
 	for _, busier := range []float64{1, 1.25} {
 		for _, allowed := range []canary.Exposure{{Share: 0.15, Slack: 30}, {Share: 0.2}, {Share: 0.13, Slack: 100}} {
 			for _, requests := range []float64{0, 50, 400, 1000, 5000, 100000} {
-				r := started(allowed.First(requests, within))
+				r := started(allowed.InitialShare(requests, within))
 				got, all := 0.0, 0.0
 				const steps = 10000
 				for i := range steps {
@@ -87,7 +87,7 @@
 	if r.UsesNew(0, r.Since.Add(within)) {
 		t.Error("before all daemons agree on its start")
 	}
-	r.Started, r.First, r.State = true, 0.1, canary.RolledBack
+	r.Started, r.InitialShare, r.State = true, 0.1, canary.RolledBack
 	if r.UsesNew(0, r.Since.Add(within)) {
 		t.Error("after its roll-back")
 	}
--- a/core/canary/rollouts_test.go
+++ b/core/canary/rollouts_test.go
@@ -112,7 +112,7 @@
 		rng: rand.New(rand.NewPCG(seed, 1)), site: at, bad: bad,
 		evidence: canary.Evidence{Old: canary.Counts{}, New: map[string]canary.Counts{}},
 	}
-	r := started(allowed.First(at.perSecond*within.Seconds(), within))
+	r := started(allowed.InitialShare(at.perSecond*within.Seconds(), within))
 	var out outcome
 	for age := time.Duration(0); age < within; age += step {
 		share := r.Share(r.Since.Add(age))
--- a/daemon/storesync/drive.go
+++ b/daemon/storesync/drive.go
@@ -147,13 +147,13 @@
 func (k *Keeper) drive(ctx context.Context, service string, r canary.Rollout, own map[string]int, now time.Time) {
 	version := r.Order.Version
 	if !r.Started {
-		p := canary.Progress{State: canary.Running, Version: version, SinceMS: k.storeSince(service, now), Order: r.Order.Number, First: k.firstShare(r.Order)}
+		p := canary.Progress{State: canary.Running, Version: version, SinceMS: k.storeSince(service, now), Order: r.Order.Number, InitialShare: k.firstShare(r.Order)}
 		k.writeInTurn(ctx, service, p, "", k.rollouts.seenAt[service], now)
 		return
 	}
 	seen := k.rollouts.evidence(service)
 	verdict := k.judge(seen, r, own, now)
-	next := canary.Progress{Version: version, SinceMS: k.storeSince(service, now), Order: r.Order.Number, First: r.First}
+	next := canary.Progress{Version: version, SinceMS: k.storeSince(service, now), Order: r.Order.Number, InitialShare: r.InitialShare}
 	switch {
 	case k.rollouts.withdrawn[versionName(service, version)]:
 		next.State = canary.RolledBack
@@ -190,7 +190,7 @@
 	if k.Rate != nil {
 		requests = k.Rate(o.Service) * float64(max(1, k.view.Load().Daemons)) * o.Within.Seconds()
 	}
-	return k.Exposure.First(requests, o.Within)
+	return k.Exposure.InitialShare(requests, o.Within)
 }
 
 // judge weighs what all daemons have seen of a version, and stops its use if it is
--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -153,7 +153,7 @@
 		return false
 	}
 	r.rows[service] = row
-	was.Started, was.First = true, p.First
+	was.Started, was.InitialShare = true, p.InitialShare
 	was.State = max(was.State, p.State)
 	was.Since = now.Add(-time.Duration(int64(r.storeClock(now))-int64(p.SinceMS)) * time.Millisecond)
 	r.byService[service] = was
