--- a/core/canary/canary.go
+++ b/core/canary/canary.go
@@ -47,9 +47,9 @@
 	return o.Service == other.Service && o.Version == other.Version && o.Within == other.Within
 }
 
-// Has reports whether a state is one of this order. An order that the operator has written again
+// Matches reports whether a state is one of this order. An order that the operator has written again
 // after the store returned from a copy has another number than the one that the state names.
-func (o Order) Has(p Progress) bool {
+func (o Order) Matches(p Progress) bool {
 	if p.Order.Era == o.Number.Era || p.Order.Era == 0 {
 		return p.Order.Number == o.Number.Number
 	}
@@ -131,28 +131,28 @@
 // part is a part of a time.
 func part(of float64, d time.Duration) time.Duration { return time.Duration(of * float64(d)) }
 
-// Candidate reports whether a session's hash may fall to a new version before it
+// CanaryEligible reports whether a session's hash may fall to a new version before it
 // is opened to all.
-func Candidate(hash uint64) bool { return Chosen(hash, mostFirst) }
+func CanaryEligible(hash uint64) bool { return Chosen(hash, mostFirst) }
 
-// Early reports whether sessions may not move yet: one that was served by the
+// KeepsActiveSessions reports whether sessions may not move yet: one that was served by the
 // old version a moment ago stays there until it has paused.
-func Early(age, within time.Duration) bool { return age < part(unpausedFor, within) }
+func KeepsActiveSessions(age, within time.Duration) bool { return age < part(unpausedFor, within) }
 
-// Judged reports whether a version has had all sessions for so long that all daemons
+// ReadyToComplete reports whether a version has had all sessions for so long that all daemons
 // have heard what that showed, or else whether its time is nearly over: before, it is
 // not completed, which cannot be taken back.
-func Judged(age, within time.Duration) bool {
-	return age >= openAt(within)+judgeTime || Late(age, within)
+func ReadyToComplete(age, within time.Duration) bool {
+	return age >= openAt(within)+judgeTime || NearDeadline(age, within)
 }
 
 // judgeTime is the time in which daemons hear what all of them have seen: they tell
 // each other every 0.7 s.
 const judgeTime = 700 * time.Millisecond
 
-// Late reports whether the order's time is so nearly over that a version that
+// NearDeadline reports whether the order's time is so nearly over that a version that
 // has all requests is completed whatever is still under way on the old one.
-func Late(age, within time.Duration) bool { return age >= within-writeTime }
+func NearDeadline(age, within time.Duration) bool { return age >= within-writeTime }
 
 // writeTime is the time that is left for a state to be written in time: readers of
 // the store take turns, and one or two may be gone.
@@ -190,10 +190,10 @@
 	return share(r.InitialShare, now.Sub(r.Since), r.Order.Within)
 }
 
-// Tried reports whether the version has been tried for so long that a doubt is enough to
+// TrialElapsed reports whether the version has been tried for so long that a doubt is enough to
 // stop its use: what is left of the time would only let more callers meet what is not
 // going to be completed. Of servers that are used in turn two have had theirs.
-func (r Rollout) Tried(now time.Time) bool { return r.Phase(now) >= triedPhase }
+func (r Rollout) TrialElapsed(now time.Time) bool { return r.Phase(now) >= triedPhase }
 
 // triedPhase leaves a bad version a third of its time. On a service that sends it a
 // hundred requests by half of the time, of which every second one is slow, bad answers
--- a/core/canary/canary_test.go
+++ b/core/canary/canary_test.go
@@ -277,7 +277,7 @@
 			if r.Share(r.Since.Add(age)) == 1 && open == 0 {
 				open = age
 			}
-			if canary.Judged(age, within) && judged == 0 {
+			if canary.ReadyToComplete(age, within) && judged == 0 {
 				judged = age
 			}
 		}
--- a/core/canary/evidence.go
+++ b/core/canary/evidence.go
@@ -71,10 +71,10 @@
 	triedAnswers = 300
 )
 
-// Tried reports whether so many answers of so many servers have been seen that a doubt is
+// SampleSufficient reports whether so many answers of so many servers have been seen that a doubt is
 // enough to stop the use of the version, whatever time is left: of a large service a few
 // seconds bring more bad answers than a small one's order.
-func (e Evidence) Tried() bool { return len(e.New) >= triedServers && e.Answers() >= triedAnswers }
+func (e Evidence) SampleSufficient() bool { return len(e.New) >= triedServers && e.Answers() >= triedAnswers }
 
 // What is expected of versions before anything was seen.
 const (
--- a/daemon/storesync/drive.go
+++ b/daemon/storesync/drive.go
@@ -159,7 +159,7 @@
 		next.State = canary.RolledBack
 	case !k.proven(service, seen, now):
 		return
-	case r.Share(now) >= 1 && canary.Judged(now.Sub(r.Since), r.Order.Within) && (canary.Late(now.Sub(r.Since), r.Order.Within) || k.nothingOld(service, own)):
+	case r.Share(now) >= 1 && canary.ReadyToComplete(now.Sub(r.Since), r.Order.Within) && (canary.NearDeadline(now.Sub(r.Since), r.Order.Within) || k.nothingOld(service, own)):
 		next.State = canary.Completed
 	default:
 		return
@@ -218,7 +218,7 @@
 // stands is enough to stop its use.
 func (k *Keeper) tried(r canary.Rollout, seen canary.Evidence, now time.Time) bool {
 	stands := k.rollouts.doubts[r.Order.Service].stoodFor(now) >= doubtStands
-	return stands && (r.Tried(now) || seen.Tried())
+	return stands && (r.TrialElapsed(now) || seen.SampleSufficient())
 }
 
 // seenEvery is the time between two lines of a reader about what was seen of a version.
@@ -236,7 +236,7 @@
 	}
 	if k.reading.Load() && now.Sub(s.loggedAt) >= seenEvery {
 		s.loggedAt = now
-		k.Log.Info().Str("service", service).Str("version", r.Order.Version).Dur("age", now.Sub(r.Since)).Dur("doubt_for", s.stoodFor(now)).Bool("tried", r.Tried(now)).Str("seen", v.Summary).Msg("rollout: seen so far")
+		k.Log.Info().Str("service", service).Str("version", r.Order.Version).Dur("age", now.Sub(r.Since)).Dur("doubt_for", s.stoodFor(now)).Bool("tried", r.TrialElapsed(now)).Str("seen", v.Summary).Msg("rollout: seen so far")
 	}
 	k.rollouts.doubts[service] = s
 }
--- a/daemon/storesync/era.go
+++ b/daemon/storesync/era.go
@@ -194,7 +194,7 @@
 			continue
 		}
 		r, ordered := k.rollouts.byService[service]
-		if !ordered || !r.Order.Has(p) {
+		if !ordered || !r.Order.Matches(p) {
 			// A later order has replaced it.
 			delete(t.held, key)
 			continue
--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -149,7 +149,7 @@
 		return false
 	}
 	was, ok := r.byService[service]
-	if !ok || !was.Order.Has(p) {
+	if !ok || !was.Order.Matches(p) {
 		return false
 	}
 	r.rows[service] = row
--- a/daemon/storesync/sessions.go
+++ b/daemon/storesync/sessions.go
@@ -81,12 +81,12 @@
 
 // Ran notes which version serves a session.
 func (k *Keeper) Ran(service string, hash uint64, version string) {
-	if !canary.Candidate(hash) {
+	if !canary.CanaryEligible(hash) {
 		return
 	}
 	now := time.Now()
 	r, ok := k.View().Rollout(service)
-	if ok && r.State == canary.Running && version == r.Order.Version && canary.Early(now.Sub(r.Since), r.Order.Within) {
+	if ok && r.State == canary.Running && version == r.Order.Version && canary.KeepsActiveSessions(now.Sub(r.Since), r.Order.Within) {
 		// It has moved. Later on the next order may already be near, for which
 		// this version is an old one.
 		return
--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -150,7 +150,7 @@
 // stays reports whether a session stays on the old version though its hash falls
 // to the new one: it is early, and the session has not paused.
 func (v *View) stays(r canary.Rollout, hash uint64, now time.Time) bool {
-	return canary.Early(now.Sub(r.Since), r.Order.Within) && v.sessions.active(hash, now)
+	return canary.KeepsActiveSessions(now.Sub(r.Since), r.Order.Within) && v.sessions.active(hash, now)
 }
 
 // settled reports whether a version has been listed for so long that an order
