--- a/core/canary/recorded_test.go
+++ b/core/canary/recorded_test.go
@@ -14,22 +14,22 @@
 	"ladderridge.example/core/canary"
 )
 
-// recordedRuns is how many roll-outs are drawn of each recorded kind;
-// -canary.recorded 1000 gives the figures of the design note.
+// recordedRuns is the number of roll-outs drawn of each recorded kind; -canary.recorded 1000 gives
+// the figures of the design note.
 var recordedRuns = flag.Int("canary.recorded", 18, "roll-outs drawn from recorded answers, of each kind")
 
-// recording is what was seen of one recorded roll-out.
+// recording holds the counts of one recorded roll-out.
 type recording struct {
-	old, fresh canary.Counts
+	old, candidate canary.Counts
 }
 
-// recordingKey names a recorded roll-out.
+// recordingKey identifies a recorded roll-out.
 type recordingKey struct {
 	service, kind, run string
 }
 
-// recorded reads the recorded roll-outs. The old version of a bad one is that of the
-// good one of its service and run, the same traffic.
+// recorded reads the recorded roll-outs. For a bad version the old version's counts are those of
+// the good roll-out of the same service and run, which had the same traffic.
 func recorded(t *testing.T) map[recordingKey]recording {
 	t.Helper()
 	f, err := os.Open("testdata/recorded.csv")
@@ -48,10 +48,10 @@
 		key := recordingKey{service: line[0], kind: line[1], run: line[2]}
 		rec, ok := out[key]
 		if !ok {
-			rec = recording{old: canary.Counts{}, fresh: canary.Counts{}}
+			rec = recording{old: canary.Counts{}, candidate: canary.Counts{}}
 			out[key] = rec
 		}
-		counts := rec.fresh
+		counts := rec.candidate
 		if line[3] == "old" {
 			counts = rec.old
 		}
@@ -83,14 +83,14 @@
 	return canary.Count{First: p}
 }
 
-// slowed is what is done to a share of drawn answers: they take some bins longer.
-type slowed struct {
+// slowdown makes a share of the drawn answers slower by a number of bins.
+type slowdown struct {
 	share float64
 	bins  int
 }
 
-// draw draws a part of the answers that were counted, with repetition.
-func draw(rng *rand.Rand, from canary.LatencyHistogram, part float64, by slowed) canary.LatencyHistogram {
+// draw samples a part of the counted answers with replacement.
+func draw(rng *rand.Rand, from canary.LatencyHistogram, part float64, slow slowdown) canary.LatencyHistogram {
 	var bins []int
 	for i, n := range from {
 		for range n {
@@ -100,15 +100,15 @@
 	var out canary.LatencyHistogram
 	for range int(math.Round(part * float64(len(bins)))) {
 		bin := bins[rng.IntN(len(bins))]
-		if rng.Float64() < by.share {
-			bin = min(len(out)-1, bin+by.bins)
+		if rng.Float64() < slow.share {
+			bin = min(len(out)-1, bin+slow.bins)
 		}
 		out[bin]++
 	}
 	return out
 }
 
-// drawFailed draws how many of some answers fail.
+// drawFailed draws how many of a number of answers fail.
 func drawFailed(rng *rand.Rand, from canary.Count, answers int) uint64 {
 	failed := uint64(0)
 	for range answers {
@@ -119,8 +119,8 @@
 	return failed
 }
 
-// drawAll draws a part of what was seen on each route, server by server.
-func drawAll(rng *rand.Rand, from canary.Counts, part float64, by slowed) canary.Counts {
+// drawAll samples a part of the counts of each route.
+func drawAll(rng *rand.Rand, from canary.Counts, part float64, slow slowdown) canary.Counts {
 	out := canary.Counts{}
 	for _, route := range sortedRoutes(from) {
 		c := from[route]
@@ -128,8 +128,8 @@
 		out[route] = canary.Count{
 			Answers: uint64(answers),
 			Failed:  drawFailed(rng, c, answers),
-			First:   draw(rng, c.First, part, by),
-			Between: draw(rng, c.Between, part, by),
+			First:   draw(rng, c.First, part, slow),
+			Between: draw(rng, c.Between, part, slow),
 		}
 	}
 	return out
@@ -144,44 +144,43 @@
 	return routes
 }
 
-// judged is what came of a drawn roll-out.
-type judged struct {
-	// found tells that it was found bad before its last step, doubted that it was not
-	// completed.
-	found, doubted bool
+// result is the outcome of a drawn roll-out.
+type result struct {
+	// rejected means rejected before the last step, suspected not completed.
+	rejected, suspected bool
 }
 
-// playRecorded draws a roll-out from a recorded one and judges it at each tenth of its
-// answers, which come from three servers, one after the other.
-func playRecorded(rng *rand.Rand, rec recording, by slowed) judged {
+// replay draws a roll-out from a recorded one and judges it at each twelfth of its answers, which
+// come from three servers in turn.
+func replay(rng *rand.Rand, rec recording, slow slowdown) result {
 	const steps, servers = 12, 3
 	e := canary.Evidence{Old: canary.Counts{}, New: map[string]canary.Counts{}}
-	var out judged
+	var out result
 	for step := range steps {
-		e.Old = e.Old.Plus(drawAll(rng, rec.old, 1.0/steps, slowed{}))
+		e.Old = e.Old.Plus(drawAll(rng, rec.old, 1.0/steps, slowdown{}))
 		name := fmt.Sprint(step * servers / steps)
-		e.New[name] = e.New[name].Plus(drawAll(rng, rec.fresh, 1.0/steps, by))
+		e.New[name] = e.New[name].Plus(drawAll(rng, rec.candidate, 1.0/steps, slow))
 		v := e.Judge()
-		out.found = out.found || v.Rejection != "" || v.ErrorBudgetSpent
-		out.doubted = out.found || v.Suspicion != ""
+		out.rejected = out.rejected || v.Rejection != "" || v.ErrorBudgetSpent
+		out.suspected = out.rejected || v.Suspicion != ""
 	}
 	return out
 }
 
-// shares plays a kind of roll-out many times and returns the shares that were found
-// and that were not completed.
-func shares(runs []recording, by slowed) (found, doubted float64) {
+// shares replays a kind of roll-out many times and returns the shares that were rejected and that
+// were not completed.
+func shares(runs []recording, slow slowdown) (rejected, suspected float64) {
 	for i := range *recordedRuns {
 		rng := rand.New(rand.NewPCG(uint64(i), 11))
-		out := playRecorded(rng, runs[i%len(runs)], by)
-		if out.found {
-			found++
+		out := replay(rng, runs[i%len(runs)], slow)
+		if out.rejected {
+			rejected++
 		}
-		if out.doubted {
-			doubted++
+		if out.suspected {
+			suspected++
 		}
 	}
-	return found / float64(*recordedRuns), doubted / float64(*recordedRuns)
+	return rejected / float64(*recordedRuns), suspected / float64(*recordedRuns)
 }
 
 // ofKind returns the recorded roll-outs of a service and kind, in order.
@@ -195,32 +194,32 @@
 	return out
 }
 
-// Answers drawn from recorded roll-outs of four services: versions that fail or are
-// slower for some of their requests are not completed, whatever the share and the
-// strength, and most good ones are. On two services good versions come near to ones of
-// which half of the requests take twice as long, since their servers have read less:
-// those that do are not completed. Of 5 failures in a hundred a few draws have none or
-// one: the answers of the last stage, half as many again, are not among the recorded.
+// Roll-outs drawn from recorded answers of four services. Versions that fail or slow down some
+// requests must not be completed, whatever the share and the factor; most good versions must be.
+// On two services good versions come close to versions with half of the requests slowed down
+// twofold, since the caches of their servers are emptier; some of them are not completed. With 5%
+// failures a few draws have one failure or none: the answers of the final stage, half as many
+// again, are not in the recordings.
 func TestRecordedRollouts(t *testing.T) {
 	all := recorded(t)
 	good := map[string]float64{"a": 0.3, "b": 0.1, "c": 0.5, "d": 0.1}
 	for _, kind := range []string{"good", "some", "most", "few", "half", "errors"} {
 		for _, service := range []string{"a", "b", "c", "d"} {
-			found, doubted := shares(ofKind(all, service, kind), slowed{})
-			t.Logf("%s, service %s: %.3f found, %.3f not completed", kind, service, found, doubted)
+			rejected, suspected := shares(ofKind(all, service, kind), slowdown{})
+			t.Logf("%s, service %s: %.3f rejected, %.3f not completed", kind, service, rejected, suspected)
 			switch {
-			case kind == "errors" && doubted < 0.9, kind != "good" && kind != "errors" && doubted < 0.99:
-				t.Errorf("%s, service %s: only %.3f were not completed", kind, service, doubted)
-			case kind == "good" && doubted > good[service]:
-				t.Errorf("%s, service %s: %.3f were not completed", kind, service, doubted)
+			case kind == "errors" && suspected < 0.9, kind != "good" && kind != "errors" && suspected < 0.99:
+				t.Errorf("%s, service %s: only %.3f were not completed", kind, service, suspected)
+			case kind == "good" && suspected > good[service]:
+				t.Errorf("%s, service %s: %.3f were not completed", kind, service, suspected)
 			}
 		}
 	}
 }
 
-// The power of the judgement over shares and strengths, on answers of good versions of
-// which a share was made slower. That the others wait behind the slow ones, which
-// shows a bad version sooner, is not in these figures.
+// The power of the test by share and factor of the slowdown, on answers of good versions that were
+// slowed down. The figures leave out that other requests queue behind the slow ones, by which a
+// bad version shows earlier.
 func TestPowerOverShareAndStrength(t *testing.T) {
 	all := recorded(t)
 	strengths := map[int]string{3: "2", 5: "3", 7: "4.8", 9: "7.5"}
@@ -229,12 +228,12 @@
 		for _, share := range []float64{0.05, 0.1, 0.2, 0.35, 0.5, 0.7, 1} {
 			sum := 0.0
 			for _, service := range []string{"a", "b", "c", "d"} {
-				_, doubted := shares(ofKind(all, service, "good"), slowed{share: share, bins: bins})
-				sum += doubted / 4
+				_, suspected := shares(ofKind(all, service, "good"), slowdown{share: share, bins: bins})
+				sum += suspected / 4
 			}
 			t.Logf("%s times for a share of %.2f: %.3f not completed", strengths[bins], share, sum)
 			if sum < last-0.05 {
-				t.Errorf("%s times: of a share of %.2f fewer are found than of a smaller one", strengths[bins], share)
+				t.Errorf("%s times: fewer are not completed at a share of %.2f than at a smaller one", strengths[bins], share)
 			}
 			last = sum
 		}
