--- a/core/canary/canary.go
+++ b/core/canary/canary.go
@@ -132,9 +132,9 @@
 	return time.Duration(fraction * float64(d))
 }
 
-// CanaryEligible reports whether a session's hash may be assigned to the new version before it is
+// Eligible reports whether a session's hash may be assigned to the new version before it is
 // opened to all.
-func CanaryEligible(hash uint64) bool { return InShare(hash, maxInitialShare) }
+func Eligible(hash uint64) bool { return InShare(hash, maxInitialShare) }
 
 // KeepsActiveSessions reports whether a session that the old version has just served stays there
 // until it has been idle.
--- a/daemon/storesync/sessions.go
+++ b/daemon/storesync/sessions.go
@@ -81,7 +81,7 @@
 
 // Ran notes which version serves a session.
 func (k *Keeper) Ran(service string, hash uint64, version string) {
-	if !canary.CanaryEligible(hash) {
+	if !canary.Eligible(hash) {
 		return
 	}
 	now := time.Now()
