--- a/core/duty/elector.go
+++ b/core/duty/elector.go
@@ -18,12 +18,12 @@
 	guardDivisor = 10
 )
 
-// Claim takes part in the election of the holder of one duty. It is a value: Step changes it in place,
+// Elector takes part in the election of the holder of one duty. It is a value: Step changes it in place,
 // and a copy is independent. It must be used by one goroutine at a time.
 //
 // Times are readings of a clock that also advances while the VM is suspended. A holder that was
 // suspended for longer than its lease must find the lease expired when it resumes.
-type Claim struct {
+type Elector struct {
 	// Self is the id of the daemon. Start distinguishes its processes.
 	Self  string
 	Start uint64
@@ -58,7 +58,7 @@
 }
 
 // Step processes an event and returns the action to take, or nil.
-func (el *Claim) Step(e Event, now time.Duration) Order {
+func (el *Elector) Step(e Event, now time.Duration) Order {
 	switch e := e.(type) {
 	case Tick:
 		return el.tick(e, now)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func (el *Claim) tick(e Tick, now time.Duration) Order {
+func (el *Elector) tick(e Tick, now time.Duration) Order {
 	switch {
 	case el.inCall, now < el.backoffUntil:
 		return nil
@@ -106,7 +106,7 @@
 // restored from a copy, a write from the era before may still take effect and replace a row whose
 // higher token nobody has read. From the first restore on, tokens are therefore derived from the
 // version of the row as well, which only rises.
-func (el *Claim) nextToken() uint64 {
+func (el *Elector) nextToken() uint64 {
 	floor := uint64(0)
 	if el.version.Era > 0 {
 		floor = el.version.Era*tokensPerEra + el.version.Number
@@ -115,13 +115,13 @@
 }
 
 // readRow requests the row.
-func (el *Claim) readRow(now time.Duration) Order {
+func (el *Elector) readRow(now time.Duration) Order {
 	el.inCall, el.asked, el.readAt = true, true, now
 	return ReadRow{}
 }
 
 // renew writes the row if the renewal is due or if its contents have to change.
-func (el *Claim) renew(now time.Duration) Order {
+func (el *Elector) renew(now time.Duration) Order {
 	next := Record{Holder: el.Self, Start: el.Start, Token: el.record.Token, State: el.state}
 	if el.raise || el.record.Token < el.maxToken {
 		next.Token = el.nextToken()
@@ -132,13 +132,13 @@
 	return el.write(next, now)
 }
 
-func (el *Claim) write(next Record, now time.Duration) Order {
+func (el *Elector) write(next Record, now time.Duration) Order {
 	el.inCall, el.pending, el.sentAt = true, next, now
 	return WriteRow{Record: next, Was: el.version}
 }
 
 // handleRead handles the row as read from the store.
-func (el *Claim) handleRead(e Read, now time.Duration) {
+func (el *Elector) handleRead(e Read, now time.Duration) {
 	wasHolder := el.isHolder()
 	if !el.known || e.Version != el.version {
 		el.seenAt = now
@@ -158,7 +158,7 @@
 }
 
 // handleWritten handles the row that this daemon has written.
-func (el *Claim) handleWritten(e Written, now time.Duration) {
+func (el *Elector) handleWritten(e Written, now time.Duration) {
 	taken := !el.isHolder()
 	el.inCall = false
 	if el.raise && el.pending.Token > el.record.Token {
@@ -175,41 +175,41 @@
 // isHolder reports whether the row as last known belongs to this process and the duty was taken in the
 // present era of the store. A row from an earlier era comes from a copy, or from a late write that
 // replaced the row of another holder.
-func (el *Claim) isHolder() bool {
+func (el *Elector) isHolder() bool {
 	return el.known && el.record.Holder == el.Self && el.record.Start == el.Start && el.record.Token > el.version.Era*tokensPerEra
 }
 
 // expired reports whether no daemon holds the duty: the row does not exist, or it has been unchanged
 // for a whole lease since it was first seen, which is after it was written. A store that was restored
 // from a copy may have lost the row of a holder, which notices this within one lease.
-func (el *Claim) expired(now time.Duration) bool {
+func (el *Elector) expired(now time.Duration) bool {
 	return el.known && (el.version == revision.Revision{} || now-el.seenAt >= el.Lease)
 }
 
 // Holds reports whether this daemon holds the duty, and its fencing token. It must be called right
 // before each request to the platform.
-func (el *Claim) Holds(now time.Duration) (token uint64, ok bool) {
+func (el *Elector) Holds(now time.Duration) (token uint64, ok bool) {
 	return el.record.Token, el.isHolder() && now < el.holdsUntil
 }
 
 // Tenure returns the token with which this process took the duty. It is different for each time that
 // the process takes the duty.
-func (el *Claim) Tenure() uint64 { return el.tenure }
+func (el *Elector) Tenure() uint64 { return el.tenure }
 
 // State returns the state in the row as last known.
-func (el *Claim) State() string { return el.record.State }
+func (el *Elector) State() string { return el.record.State }
 
 // Keep sets the state to be stored in the row. The next tick of a holder writes it.
-func (el *Claim) Keep(state string) { el.state = state }
+func (el *Elector) Keep(state string) { el.state = state }
 
 // Kept reports whether the row is known to hold the current state with the required token.
-func (el *Claim) Kept() bool {
+func (el *Elector) Kept() bool {
 	return el.isHolder() && !el.mustRead && !el.raise && el.record.State == el.state
 }
 
 // Raise requests a higher token. From the next request on, the platform refuses requests that were sent
 // with the old token and not answered.
-func (el *Claim) Raise() { el.raise = true }
+func (el *Elector) Raise() { el.raise = true }
 
 // Record returns the row as last known.
-func (el *Claim) Record() (r Record, ok bool) { return el.record, el.known && el.version.Number != 0 }
+func (el *Elector) Record() (r Record, ok bool) { return el.record, el.known && el.version.Number != 0 }
--- a/core/duty/elector_test.go
+++ b/core/duty/elector_test.go
@@ -17,7 +17,7 @@
 }
 
 // serve carries out an action of an elector and delivers the result.
-func (s *store) serve(el *duty.Claim, o duty.Order, now time.Duration) {
+func (s *store) serve(el *duty.Elector, o duty.Order, now time.Duration) {
 	switch o := o.(type) {
 	case duty.ReadRow:
 		el.Step(duty.Read{Record: s.row, Version: revision.New(0, s.version)}, now)
@@ -32,7 +32,7 @@
 }
 
 // run ticks an elector that contends from one time to another and returns the number of its calls.
-func (s *store) run(el *duty.Claim, from, to time.Duration) (calls int) {
+func (s *store) run(el *duty.Elector, from, to time.Duration) (calls int) {
 	for now := from; now < to; now += 100 * time.Millisecond {
 		if o := el.Step(duty.Tick{Contend: true}, now); o != nil {
 			calls++
@@ -42,7 +42,7 @@
 	return calls
 }
 
-func newElector(id string) *duty.Claim { return &duty.Claim{Self: id, Start: 1, Lease: lease} }
+func newElector(id string) *duty.Elector { return &duty.Elector{Self: id, Start: 1, Lease: lease} }
 
 func TestFirstContenderHoldsTheDuty(t *testing.T) {
 	s, a, b := &store{}, newElector("a"), newElector("b")
@@ -166,7 +166,7 @@
 func TestRestartedDaemonWaitsForTheLease(t *testing.T) {
 	s, a := &store{}, newElector("a")
 	s.run(a, 0, time.Second)
-	again := &duty.Claim{Self: "a", Start: 2, Lease: lease}
+	again := &duty.Elector{Self: "a", Start: 2, Lease: lease}
 	s.run(again, time.Second, 2*time.Second)
 	if _, ok := again.Holds(2 * time.Second); ok {
 		t.Error("the new process holds the duty before the lease has expired")
@@ -202,7 +202,7 @@
 // next holder then got the same token.
 func TestTokenRisesAfterALateWriteReplacedTheRow(t *testing.T) {
 	takeOver := func(self string, r duty.Read) uint64 {
-		el := duty.Claim{Self: self, Start: 1, Lease: lease}
+		el := duty.Elector{Self: self, Start: 1, Lease: lease}
 		for now := time.Duration(0); now < 3*lease; now += 100 * time.Millisecond {
 			switch o := el.Step(duty.Tick{Contend: true}, now).(type) {
 			case duty.ReadRow:
--- a/core/duty/interleavings_test.go
+++ b/core/duty/interleavings_test.go
@@ -43,7 +43,7 @@
 // modelState is the state of the whole model. It is comparable.
 type modelState struct {
 	now      time.Duration
-	electors [exploredDaemons]duty.Claim
+	electors [exploredDaemons]duty.Elector
 	calls    [exploredDaemons]call
 	row      duty.Record
 	version  uint64
@@ -70,7 +70,7 @@
 func newModel(faults, restores int) modelState {
 	m := modelState{faults: faults, restores: restores, withRestores: restores > 0}
 	for i := range m.electors {
-		m.electors[i] = duty.Claim{Self: daemonName(i), Start: 1, Lease: exploredLease}
+		m.electors[i] = duty.Elector{Self: daemonName(i), Start: 1, Lease: exploredLease}
 	}
 	return m
 }
@@ -137,7 +137,7 @@
 		restarted := m
 		restarted.faults--
 		restarted.calls[i] = call{}
-		restarted.electors[i] = duty.Claim{Self: daemonName(i), Start: m.electors[i].Start + 1, Lease: exploredLease}
+		restarted.electors[i] = duty.Elector{Self: daemonName(i), Start: m.electors[i].Start + 1, Lease: exploredLease}
 		out = append(out, restarted)
 	}
 	return out
--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -124,7 +124,7 @@
 // holding is this daemon's part in one duty.
 type holding struct {
 	name  duty.Name
-	claim duty.Claim
+	claim duty.Elector
 	// held is the token by which it held the duty at the last look, 0 if it did not; tenure
 	// is the token with which it took the duty: it takes over what was left only then.
 	held   uint64
@@ -203,7 +203,7 @@
 func (d *Leaseholder) newHoldings() []*holding {
 	var out []*holding
 	for _, name := range d.Settings.Names {
-		h := &holding{name: name, claim: duty.Claim{Self: d.Self, Start: d.Start, Lease: d.Settings.Lease}}
+		h := &holding{name: name, claim: duty.Elector{Self: d.Self, Start: d.Start, Lease: d.Settings.Lease}}
 		switch name {
 		case duty.Usage:
 			h.work = &reporting{}
