--- a/core/duty/elector.go
+++ b/core/duty/elector.go
@@ -27,8 +27,8 @@
 	// Self is the id of the daemon. Start distinguishes its processes.
 	Self  string
 	Start uint64
-	// Lease is how long a holder holds the duty after its last renewal.
-	Lease time.Duration
+	// LeaseDuration is how long a holder holds the duty after its last renewal.
+	LeaseDuration time.Duration
 
 	// record and version are the row as last known; seenAt is when that version was first seen.
 	known   bool
@@ -65,14 +65,14 @@
 	case Read:
 		el.handleRead(e, now)
 	case Unread:
-		el.inCall, el.backoffUntil = false, now+el.Lease/backoffDivisor
+		el.inCall, el.backoffUntil = false, now+el.LeaseDuration/backoffDivisor
 	case Written:
 		el.handleWritten(e, now)
 	case Conflict:
 		// The row belongs to another holder, or to this daemon after a write that took effect late.
 		el.inCall, el.mustRead, el.holdsUntil = false, true, 0
 	case Unanswered:
-		el.inCall, el.mustRead, el.backoffUntil = false, true, now+el.Lease/backoffDivisor
+		el.inCall, el.mustRead, el.backoffUntil = false, true, now+el.LeaseDuration/backoffDivisor
 	case Doubted:
 		el.mustRead = true
 	case Overtaken:
@@ -90,7 +90,7 @@
 	case !e.Contend && !el.isHolder():
 		el.known, el.asked = false, false
 		return nil
-	case el.mustRead || !el.asked || now-el.readAt >= el.Lease:
+	case el.mustRead || !el.asked || now-el.readAt >= el.LeaseDuration:
 		return el.readRow(now)
 	case el.expired(now):
 		return el.write(Record{Holder: el.Self, Start: el.Start, Token: el.nextToken(), State: el.record.State}, now)
@@ -126,7 +126,7 @@
 	if el.raise || el.record.Token < el.maxToken {
 		next.Token = el.nextToken()
 	}
-	if next == el.record && now-el.renewedAt < el.Lease/renewDivisor {
+	if next == el.record && now-el.renewedAt < el.LeaseDuration/renewDivisor {
 		return nil
 	}
 	return el.write(next, now)
@@ -154,7 +154,7 @@
 		el.state, el.tenure = el.record.State, el.record.Token
 	}
 	// The row does not say when it was written, so a row of this daemon is renewed at once.
-	el.renewedAt = now - el.Lease
+	el.renewedAt = now - el.LeaseDuration
 }
 
 // handleWritten handles the row that this daemon has written.
@@ -166,7 +166,7 @@
 	}
 	el.record, el.version, el.seenAt, el.renewedAt = el.pending, e.Version, now, el.sentAt
 	el.maxToken = max(el.maxToken, el.record.Token)
-	el.holdsUntil = el.sentAt + el.Lease - el.Lease/guardDivisor
+	el.holdsUntil = el.sentAt + el.LeaseDuration - el.LeaseDuration/guardDivisor
 	if taken {
 		el.state, el.raise, el.tenure = el.record.State, false, el.record.Token
 	}
@@ -183,7 +183,7 @@
 // for a whole lease since it was first seen, which is after it was written. A store that was restored
 // from a copy may have lost the row of a holder, which notices this within one lease.
 func (el *Elector) expired(now time.Duration) bool {
-	return el.known && (el.version == revision.Revision{} || now-el.seenAt >= el.Lease)
+	return el.known && (el.version == revision.Revision{} || now-el.seenAt >= el.LeaseDuration)
 }
 
 // Holds reports whether this daemon holds the duty, and its fencing token. It must be called right
--- a/core/duty/elector_test.go
+++ b/core/duty/elector_test.go
@@ -42,7 +42,9 @@
 	return calls
 }
 
-func newElector(id string) *duty.Elector { return &duty.Elector{Self: id, Start: 1, Lease: lease} }
+func newElector(id string) *duty.Elector {
+	return &duty.Elector{Self: id, Start: 1, LeaseDuration: lease}
+}
 
 func TestFirstContenderHoldsTheDuty(t *testing.T) {
 	s, a, b := &store{}, newElector("a"), newElector("b")
@@ -166,7 +168,7 @@
 func TestRestartedDaemonWaitsForTheLease(t *testing.T) {
 	s, a := &store{}, newElector("a")
 	s.run(a, 0, time.Second)
-	again := &duty.Elector{Self: "a", Start: 2, Lease: lease}
+	again := &duty.Elector{Self: "a", Start: 2, LeaseDuration: lease}
 	s.run(again, time.Second, 2*time.Second)
 	if _, ok := again.Holds(2 * time.Second); ok {
 		t.Error("the new process holds the duty before the lease has expired")
@@ -202,7 +204,7 @@
 // next holder then got the same token.
 func TestTokenRisesAfterALateWriteReplacedTheRow(t *testing.T) {
 	takeOver := func(self string, r duty.Read) uint64 {
-		el := duty.Elector{Self: self, Start: 1, Lease: lease}
+		el := duty.Elector{Self: self, Start: 1, LeaseDuration: lease}
 		for now := time.Duration(0); now < 3*lease; now += 100 * time.Millisecond {
 			switch o := el.Step(duty.Tick{Contend: true}, now).(type) {
 			case duty.ReadRow:
--- a/core/duty/interleavings_test.go
+++ b/core/duty/interleavings_test.go
@@ -70,7 +70,7 @@
 func newModel(faults, restores int) modelState {
 	m := modelState{faults: faults, restores: restores, withRestores: restores > 0}
 	for i := range m.electors {
-		m.electors[i] = duty.Elector{Self: daemonName(i), Start: 1, Lease: exploredLease}
+		m.electors[i] = duty.Elector{Self: daemonName(i), Start: 1, LeaseDuration: exploredLease}
 	}
 	return m
 }
@@ -137,7 +137,7 @@
 		restarted := m
 		restarted.faults--
 		restarted.calls[i] = call{}
-		restarted.electors[i] = duty.Elector{Self: daemonName(i), Start: m.electors[i].Start + 1, Lease: exploredLease}
+		restarted.electors[i] = duty.Elector{Self: daemonName(i), Start: m.electors[i].Start + 1, LeaseDuration: exploredLease}
 		out = append(out, restarted)
 	}
 	return out
--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -203,7 +203,7 @@
 func (d *Leaseholder) newHoldings() []*holding {
 	var out []*holding
 	for _, name := range d.Settings.Names {
-		h := &holding{name: name, claim: duty.Elector{Self: d.Self, Start: d.Start, Lease: d.Settings.Lease}}
+		h := &holding{name: name, claim: duty.Elector{Self: d.Self, Start: d.Start, LeaseDuration: d.Settings.Lease}}
 		switch name {
 		case duty.Usage:
 			h.work = &reporting{}
