--- a/core/duty/duty.go
+++ b/core/duty/duty.go
@@ -66,8 +66,8 @@
 // Unanswered reports that the last write may have taken effect or may still take effect.
 type Unanswered struct{}
 
-// Overtaken reports that the platform refused a request because its token was outdated.
-type Overtaken struct{}
+// Superseded reports that the platform refused a request because its token was outdated.
+type Superseded struct{}
 
 // Doubted reports that the platform refused a request, possibly because its token was outdated. The row
 // is read again, and until then the state does not count as stored.
@@ -79,7 +79,7 @@
 func (Written) event()    {}
 func (Conflict) event()   {}
 func (Unanswered) event() {}
-func (Overtaken) event()  {}
+func (Superseded) event() {}
 func (Doubted) event()    {}
 
 // Order is an output of the state machine, ReadRow or WriteRow. Each is answered by one event.
--- a/core/duty/elector.go
+++ b/core/duty/elector.go
@@ -75,7 +75,7 @@
 		el.inCall, el.mustRead, el.backoffUntil = false, true, now+el.LeaseDuration/backoffDivisor
 	case Doubted:
 		el.mustRead = true
-	case Overtaken:
+	case Superseded:
 		el.mustRead, el.holdsUntil, el.raise = true, 0, true
 	}
 	return nil
--- a/core/duty/elector_test.go
+++ b/core/duty/elector_test.go
@@ -154,7 +154,7 @@
 	s, a, b := &store{}, newElector("a"), newElector("b")
 	s.run(a, 0, time.Second)
 	s.run(b, time.Second, 6*time.Second)
-	a.Step(duty.Overtaken{}, 6*time.Second)
+	a.Step(duty.Superseded{}, 6*time.Second)
 	if _, ok := a.Holds(6 * time.Second); ok {
 		t.Error("a still holds the duty")
 	}
--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -260,7 +260,7 @@
 	}
 	switch {
 	case fault.Is(e.err, Overtaken):
-		e.to.claim.Step(duty.Overtaken{}, d.clock())
+		e.to.claim.Step(duty.Superseded{}, d.clock())
 	case fault.Is(e.err, Forbidden):
 		e.to.claim.Step(duty.Doubted{}, d.clock())
 	}
