--- a/core/duty/duty.go
+++ b/core/duty/duty.go
@@ -69,18 +69,18 @@
 // Superseded reports that the platform refused a request because its token was outdated.
 type Superseded struct{}
 
-// Doubted reports that the platform refused a request, possibly because its token was outdated. The row
+// MaybeSuperseded reports that the platform refused a request, possibly because its token was outdated. The row
 // is read again, and until then the state does not count as stored.
-type Doubted struct{}
-
-func (Tick) event()       {}
-func (Read) event()       {}
-func (Unread) event()     {}
-func (Written) event()    {}
-func (Conflict) event()   {}
-func (Unanswered) event() {}
-func (Superseded) event() {}
-func (Doubted) event()    {}
+type MaybeSuperseded struct{}
+
+func (Tick) event()            {}
+func (Read) event()            {}
+func (Unread) event()          {}
+func (Written) event()         {}
+func (Conflict) event()        {}
+func (Unanswered) event()      {}
+func (Superseded) event()      {}
+func (MaybeSuperseded) event() {}
 
 // Order is an output of the state machine, ReadRow or WriteRow. Each is answered by one event.
 type Order interface{ order() }
--- a/core/duty/elector.go
+++ b/core/duty/elector.go
@@ -73,7 +73,7 @@
 		el.inCall, el.mustRead, el.holdsUntil = false, true, 0
 	case Unanswered:
 		el.inCall, el.mustRead, el.backoffUntil = false, true, now+el.LeaseDuration/backoffDivisor
-	case Doubted:
+	case MaybeSuperseded:
 		el.mustRead = true
 	case Superseded:
 		el.mustRead, el.holdsUntil, el.raise = true, 0, true
--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -262,7 +262,7 @@
 	case fault.Is(e.err, Overtaken):
 		e.to.claim.Step(duty.Superseded{}, d.clock())
 	case fault.Is(e.err, Forbidden):
-		e.to.claim.Step(duty.Doubted{}, d.clock())
+		e.to.claim.Step(duty.MaybeSuperseded{}, d.clock())
 	}
 	e.done(e.err)
 }
