--- a/core/duty/duty.go
+++ b/core/duty/duty.go
@@ -54,8 +54,8 @@
 	Version revision.Revision
 }
 
-// Unread reports that the row could not be read.
-type Unread struct{}
+// ReadFailed reports that the row could not be read.
+type ReadFailed struct{}
 
 // Written reports that the last write took effect, with the new version of the row.
 type Written struct{ Version revision.Revision }
@@ -75,7 +75,7 @@
 
 func (Tick) event()            {}
 func (Read) event()            {}
-func (Unread) event()          {}
+func (ReadFailed) event()      {}
 func (Written) event()         {}
 func (Conflict) event()        {}
 func (Unanswered) event()      {}
--- a/core/duty/elector.go
+++ b/core/duty/elector.go
@@ -64,7 +64,7 @@
 		return el.tick(e, now)
 	case Read:
 		el.handleRead(e, now)
-	case Unread:
+	case ReadFailed:
 		el.inCall, el.backoffUntil = false, now+el.LeaseDuration/backoffDivisor
 	case Written:
 		el.handleWritten(e, now)
--- a/core/duty/elector_test.go
+++ b/core/duty/elector_test.go
@@ -189,7 +189,7 @@
 		switch a.Step(duty.Tick{Contend: true}, now).(type) {
 		case duty.ReadRow:
 			calls++
-			a.Step(duty.Unread{}, now)
+			a.Step(duty.ReadFailed{}, now)
 		case duty.WriteRow:
 			calls++
 			a.Step(duty.Unanswered{}, now)
--- a/daemon/duties/rows.go
+++ b/daemon/duties/rows.go
@@ -16,7 +16,7 @@
 	page, err := d.Rows.Read(ctx, gossip.Duties)
 	if err != nil {
 		d.Log.Warn().Str("duty", string(name)).Err(err).Msg("duty: its row could not be read")
-		return duty.Unread{}
+		return duty.ReadFailed{}
 	}
 	for _, r := range page.Rows {
 		if r.Key != string(name) {
@@ -25,7 +25,7 @@
 		var in duty.Record
 		if err := json.Unmarshal(r.Data, &in); err != nil {
 			d.Log.Error().Str("duty", string(name)).Err(&Error{Op: "read duty", Kind: Malformed, Err: err}).Msg("duty: its row does not decode: nobody takes it until an operator removes the row")
-			return duty.Unread{}
+			return duty.ReadFailed{}
 		}
 		return duty.Read{Record: in, Version: r.Version}
 	}
@@ -37,7 +37,7 @@
 	data, err := json.Marshal(o.Record)
 	if err != nil {
 		d.Log.Error().Str("duty", string(name)).Err(err).Msg("duty: its row cannot be encoded")
-		return duty.Unread{}
+		return duty.ReadFailed{}
 	}
 	version, err := d.Rows.Swap(ctx, gossip.Duties, string(name), data, o.Was)
 	switch {
