--- a/core/duty/duty.go
+++ b/core/duty/duty.go
@@ -63,8 +63,8 @@
 // Conflict reports that the row did not have the version that the last write expected.
 type Conflict struct{}
 
-// Unanswered reports that the last write may have taken effect or may still take effect.
-type Unanswered struct{}
+// WriteOutcomeUnknown reports that the last write may have taken effect or may still take effect.
+type WriteOutcomeUnknown struct{}
 
 // Superseded reports that the platform refused a request because its token was outdated.
 type Superseded struct{}
@@ -73,14 +73,14 @@
 // is read again, and until then the state does not count as stored.
 type MaybeSuperseded struct{}
 
-func (Tick) event()            {}
-func (Read) event()            {}
-func (ReadFailed) event()      {}
-func (Written) event()         {}
-func (Conflict) event()        {}
-func (Unanswered) event()      {}
-func (Superseded) event()      {}
-func (MaybeSuperseded) event() {}
+func (Tick) event()                {}
+func (Read) event()                {}
+func (ReadFailed) event()          {}
+func (Written) event()             {}
+func (Conflict) event()            {}
+func (WriteOutcomeUnknown) event() {}
+func (Superseded) event()          {}
+func (MaybeSuperseded) event()     {}
 
 // Order is an output of the state machine, ReadRow or WriteRow. Each is answered by one event.
 type Order interface{ order() }
--- a/core/duty/elector.go
+++ b/core/duty/elector.go
@@ -71,7 +71,7 @@
 	case Conflict:
 		// The row belongs to another holder, or to this daemon after a write that took effect late.
 		el.inCall, el.mustRead, el.holdsUntil = false, true, 0
-	case Unanswered:
+	case WriteOutcomeUnknown:
 		el.inCall, el.mustRead, el.backoffUntil = false, true, now+el.LeaseDuration/backoffDivisor
 	case MaybeSuperseded:
 		el.mustRead = true
--- a/core/duty/elector_test.go
+++ b/core/duty/elector_test.go
@@ -108,7 +108,7 @@
 		t.Fatal("the holder does not renew its lease")
 	}
 	s.row, s.version = o.Record, s.version+1
-	a.Step(duty.Unanswered{}, 2*time.Second)
+	a.Step(duty.WriteOutcomeUnknown{}, 2*time.Second)
 	if _, ok := a.Holds(2 * time.Second); !ok {
 		t.Error("the holder gave the duty up before its lease expired")
 	}
@@ -192,7 +192,7 @@
 			a.Step(duty.ReadFailed{}, now)
 		case duty.WriteRow:
 			calls++
-			a.Step(duty.Unanswered{}, now)
+			a.Step(duty.WriteOutcomeUnknown{}, now)
 		}
 	}
 	if calls > 9*2 {
--- a/core/duty/interleavings_test.go
+++ b/core/duty/interleavings_test.go
@@ -172,7 +172,7 @@
 			m.electors[i].Step(duty.Conflict{}, m.now)
 		case c.write.Was.Era != m.era:
 			// It took effect, but the condition was met by a row of another era.
-			m.electors[i].Step(duty.Unanswered{}, m.now)
+			m.electors[i].Step(duty.WriteOutcomeUnknown{}, m.now)
 		default:
 			m.electors[i].Step(duty.Written{Version: m.revision()}, m.now)
 		}
@@ -186,7 +186,7 @@
 		m.late = c
 	case notExecuted:
 	}
-	m.electors[i].Step(duty.Unanswered{}, m.now)
+	m.electors[i].Step(duty.WriteOutcomeUnknown{}, m.now)
 	return m, true
 }
 
--- a/daemon/duties/rows.go
+++ b/daemon/duties/rows.go
@@ -47,6 +47,6 @@
 		return duty.Conflict{}
 	default:
 		d.Log.Warn().Str("duty", string(name)).Stringer("was", o.Was).Err(err).Msg("duty: its row may not have been written")
-		return duty.Unanswered{}
+		return duty.WriteOutcomeUnknown{}
 	}
 }
