--- a/core/duty/duty.go
+++ b/core/duty/duty.go
@@ -91,8 +91,8 @@
 // WriteRow writes the row if its version is still Expected; the number 0 means that the row must not
 // exist.
 type WriteRow struct {
-	Record Record
-	Was    revision.Revision
+	Record   Record
+	Expected revision.Revision
 }
 
 func (ReadRow) order()  {}
--- a/core/duty/elector.go
+++ b/core/duty/elector.go
@@ -134,7 +134,7 @@
 
 func (el *Elector) write(next Record, now time.Duration) Order {
 	el.inCall, el.pending, el.sentAt = true, next, now
-	return WriteRow{Record: next, Was: el.version}
+	return WriteRow{Record: next, Expected: el.version}
 }
 
 // handleRead handles the row as read from the store.
--- a/core/duty/elector_test.go
+++ b/core/duty/elector_test.go
@@ -22,7 +22,7 @@
 	case duty.ReadRow:
 		el.Step(duty.Read{Record: s.row, Version: revision.New(0, s.version)}, now)
 	case duty.WriteRow:
-		if o.Was != revision.New(0, s.version) {
+		if o.Expected != revision.New(0, s.version) {
 			el.Step(duty.Conflict{}, now)
 			return
 		}
--- a/core/duty/interleavings_test.go
+++ b/core/duty/interleavings_test.go
@@ -77,7 +77,7 @@
 
 // apply executes a write if its condition holds. The store compares row numbers only.
 func (m *modelState) apply(c duty.WriteRow) bool {
-	if c.Was.Number != m.version {
+	if c.Expected.Number != m.version {
 		return false
 	}
 	m.copied, m.copiedVersion = m.row, m.version
@@ -170,7 +170,7 @@
 		switch {
 		case !m.apply(c.write):
 			m.electors[i].Step(duty.Conflict{}, m.now)
-		case c.write.Was.Era != m.era:
+		case c.write.Expected.Era != m.era:
 			// It took effect, but the condition was met by a row of another era.
 			m.electors[i].Step(duty.WriteOutcomeUnknown{}, m.now)
 		default:
--- a/daemon/duties/rows.go
+++ b/daemon/duties/rows.go
@@ -39,14 +39,14 @@
 		d.Log.Error().Str("duty", string(name)).Err(err).Msg("duty: its row cannot be encoded")
 		return duty.ReadFailed{}
 	}
-	version, err := d.Rows.Swap(ctx, gossip.Duties, string(name), data, o.Was)
+	version, err := d.Rows.Swap(ctx, gossip.Duties, string(name), data, o.Expected)
 	switch {
 	case err == nil:
 		return duty.Written{Version: version}
 	case fault.Is(err, storesync.Conflict):
 		return duty.Conflict{}
 	default:
-		d.Log.Warn().Str("duty", string(name)).Stringer("was", o.Was).Err(err).Msg("duty: its row may not have been written")
+		d.Log.Warn().Str("duty", string(name)).Stringer("was", o.Expected).Err(err).Msg("duty: its row may not have been written")
 		return duty.WriteOutcomeUnknown{}
 	}
 }
