--- a/core/duty/duty.go
+++ b/core/duty/duty.go
@@ -20,8 +20,8 @@
 const (
 	// Usage reports to the platform how many requests of each organisation were started.
 	Usage Name = "usage"
-	// Sizes orders backend servers from the platform.
-	Sizes Name = "sizes"
+	// Autoscaling orders backend servers from the platform.
+	Autoscaling Name = "sizes"
 )
 
 // Record is the row of a duty in the store.
--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -207,7 +207,7 @@
 		switch name {
 		case duty.Usage:
 			h.work = &reporting{}
-		case duty.Sizes:
+		case duty.Autoscaling:
 			h.work = newOrdering()
 		}
 		out = append(out, h)
--- a/daemon/duties/leaseholder_test.go
+++ b/daemon/duties/leaseholder_test.go
@@ -123,7 +123,7 @@
 
 func TestHolderOrdersServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 2, duty.Sizes)
+		s := newSite(t, 2, duty.Autoscaling)
 		s.start(t.Context())
 		time.Sleep(10 * time.Second)
 		for _, hall := range []string{"hall-a", "hall-b"} {
@@ -138,7 +138,7 @@
 // one. The newer one has a higher token, so that the late one is refused.
 func TestLateOrderDoesNotUndoANewerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1, duty.Sizes)
+		s := newSite(t, 1, duty.Autoscaling)
 		s.platform.mute = true
 		s.start(t.Context())
 		time.Sleep(6 * time.Second)
@@ -156,11 +156,11 @@
 // the duty.
 func TestRefusedOrderDoesNotCostTheDuty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1, duty.Sizes)
+		s := newSite(t, 1, duty.Autoscaling)
 		s.platform.none["hall-a"] = true
 		s.start(t.Context())
 		time.Sleep(20 * time.Second)
-		if s.holder(duty.Sizes) == nil {
+		if s.holder(duty.Autoscaling) == nil {
 			t.Error("nobody holds the duty")
 		}
 		if n := s.platform.newest(autoscaling.Place{Hall: "hall-b", Kind: autoscaling.Spot}); n < 4 {
@@ -174,13 +174,13 @@
 
 func TestNextHolderKnowsWhatWasOrdered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 2, duty.Sizes)
+		s := newSite(t, 2, duty.Autoscaling)
 		s.start(t.Context())
 		time.Sleep(8 * time.Second)
 		orders := s.platform.taken()
-		s.holder(duty.Sizes).way.set(true, false)
+		s.holder(duty.Autoscaling).way.set(true, false)
 		time.Sleep(9 * time.Second)
-		if s.holder(duty.Sizes) == nil || orders == 0 {
+		if s.holder(duty.Autoscaling) == nil || orders == 0 {
 			t.Fatalf("nobody holds the duty, or none was ordered before: %d", orders)
 		}
 		place := autoscaling.Place{Hall: "hall-a", Kind: autoscaling.Spot}
