--- a/core/duty/duty.go
+++ b/core/duty/duty.go
@@ -82,8 +82,8 @@
 func (Superseded) event()          {}
 func (MaybeSuperseded) event()     {}
 
-// Order is an output of the state machine, ReadRow or WriteRow. Each is answered by one event.
-type Order interface{ order() }
+// Action is an output of the state machine, ReadRow or WriteRow. Each is answered by one event.
+type Action interface{ order() }
 
 // ReadRow reads the row of the duty.
 type ReadRow struct{}
--- a/core/duty/elector.go
+++ b/core/duty/elector.go
@@ -58,7 +58,7 @@
 }
 
 // Step processes an event and returns the action to take, or nil.
-func (el *Elector) Step(e Event, now time.Duration) Order {
+func (el *Elector) Step(e Event, now time.Duration) Action {
 	switch e := e.(type) {
 	case Tick:
 		return el.tick(e, now)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func (el *Elector) tick(e Tick, now time.Duration) Order {
+func (el *Elector) tick(e Tick, now time.Duration) Action {
 	switch {
 	case el.inCall, now < el.backoffUntil:
 		return nil
@@ -115,13 +115,13 @@
 }
 
 // readRow requests the row.
-func (el *Elector) readRow(now time.Duration) Order {
+func (el *Elector) readRow(now time.Duration) Action {
 	el.inCall, el.asked, el.readAt = true, true, now
 	return ReadRow{}
 }
 
 // renew writes the row if the renewal is due or if its contents have to change.
-func (el *Elector) renew(now time.Duration) Order {
+func (el *Elector) renew(now time.Duration) Action {
 	next := Record{Holder: el.Self, Start: el.Start, Token: el.record.Token, State: el.state}
 	if el.raise || el.record.Token < el.maxToken {
 		next.Token = el.nextToken()
@@ -132,7 +132,7 @@
 	return el.write(next, now)
 }
 
-func (el *Elector) write(next Record, now time.Duration) Order {
+func (el *Elector) write(next Record, now time.Duration) Action {
 	el.inCall, el.pending, el.sentAt = true, next, now
 	return WriteRow{Record: next, Expected: el.version}
 }
--- a/core/duty/elector_test.go
+++ b/core/duty/elector_test.go
@@ -17,7 +17,7 @@
 }
 
 // serve carries out an action of an elector and delivers the result.
-func (s *store) serve(el *duty.Elector, o duty.Order, now time.Duration) {
+func (s *store) serve(el *duty.Elector, o duty.Action, now time.Duration) {
 	switch o := o.(type) {
 	case duty.ReadRow:
 		el.Step(duty.Read{Record: s.row, Version: revision.New(0, s.version)}, now)
--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -325,7 +325,7 @@
 }
 
 // do makes the call to the store that a claim wants.
-func (d *Leaseholder) do(ctx context.Context, h *holding, o duty.Order) {
+func (d *Leaseholder) do(ctx context.Context, h *holding, o duty.Action) {
 	if o == nil {
 		return
 	}
