--- a/core/duty/elector.go
+++ b/core/duty/elector.go
@@ -199,8 +199,8 @@
 // State returns the state in the row as last known.
 func (el *Elector) State() string { return el.record.State }
 
-// Keep sets the state to be stored in the row. The next tick of a holder writes it.
-func (el *Elector) Keep(state string) { el.state = state }
+// SetState sets the state to be stored in the row. The next tick of a holder writes it.
+func (el *Elector) SetState(state string) { el.state = state }
 
 // Kept reports whether the row is known to hold the current state with the required token.
 func (el *Elector) Kept() bool {
--- a/core/duty/elector_test.go
+++ b/core/duty/elector_test.go
@@ -121,7 +121,7 @@
 func TestStateIsHandedToTheNextHolder(t *testing.T) {
 	s, a, b := &store{}, newElector("a"), newElector("b")
 	s.run(a, 0, time.Second)
-	a.Keep("what was sent")
+	a.SetState("what was sent")
 	if a.Kept() {
 		t.Error("the state counts as stored before it is written")
 	}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -140,7 +140,7 @@
 		d.Log.Error().Err(err).Msg("duty: orders cannot be encoded")
 		return
 	}
-	h.claim.Keep(string(data))
+	h.claim.SetState(string(data))
 }
 
 // order decides how many servers are needed, and sends orders that the store keeps.
--- a/daemon/duties/report.go
+++ b/daemon/duties/report.go
@@ -56,7 +56,7 @@
 		return
 	}
 	w.book = book
-	h.claim.Keep(state)
+	h.claim.SetState(state)
 }
 
 // holderOfUsage is who holds the duty to report usage, as far as is known here.
