--- a/core/duty/elector.go
+++ b/core/duty/elector.go
@@ -202,8 +202,8 @@
 // SetState sets the state to be stored in the row. The next tick of a holder writes it.
 func (el *Elector) SetState(state string) { el.state = state }
 
-// Kept reports whether the row is known to hold the current state with the required token.
-func (el *Elector) Kept() bool {
+// StateStored reports whether the row is known to hold the current state with the required token.
+func (el *Elector) StateStored() bool {
 	return el.isHolder() && !el.mustRead && !el.raise && el.record.State == el.state
 }
 
--- a/core/duty/elector_test.go
+++ b/core/duty/elector_test.go
@@ -122,11 +122,11 @@
 	s, a, b := &store{}, newElector("a"), newElector("b")
 	s.run(a, 0, time.Second)
 	a.SetState("what was sent")
-	if a.Kept() {
+	if a.StateStored() {
 		t.Error("the state counts as stored before it is written")
 	}
 	s.run(a, time.Second, 2*time.Second)
-	if !a.Kept() {
+	if !a.StateStored() {
 		t.Error("the state does not count as stored")
 	}
 	s.run(b, 2*time.Second, 8*time.Second)
@@ -141,11 +141,11 @@
 	s, a := &store{}, newElector("a")
 	s.run(a, 0, time.Second)
 	a.Raise()
-	if a.Kept() {
+	if a.StateStored() {
 		t.Error("the token has not risen yet")
 	}
 	s.run(a, time.Second, 2*time.Second)
-	if token, ok := a.Holds(2 * time.Second); !ok || token != 2 || !a.Kept() {
+	if token, ok := a.Holds(2 * time.Second); !ok || token != 2 || !a.StateStored() {
 		t.Errorf("token %d, %v", token, ok)
 	}
 }
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -153,7 +153,7 @@
 		w.decidedAt = now
 		d.decide(h, w, v, now)
 	}
-	if !h.claim.Kept() {
+	if !h.claim.StateStored() {
 		return
 	}
 	for name, service := range w.services {
--- a/daemon/duties/report.go
+++ b/daemon/duties/report.go
@@ -26,7 +26,7 @@
 func (d *Leaseholder) report(ctx context.Context, h *holding, w *reporting, now time.Time) {
 	d.compose(h, w, now)
 	r, ok := w.book.Due(now, d.Settings.Window, d.Settings.Late)
-	if !ok || !h.claim.Kept() || !d.mayCall(h, now) {
+	if !ok || !h.claim.StateStored() || !d.mayCall(h, now) {
 		return
 	}
 	d.call(ctx, h, func(ctx context.Context, by Signature) error { return d.Platform.Report(ctx, by, r) }, func(err error) {
