--- a/core/duty/elector.go
+++ b/core/duty/elector.go
@@ -207,9 +207,9 @@
 	return el.isHolder() && !el.mustRead && !el.raise && el.record.State == el.state
 }
 
-// Raise requests a higher token. From the next request on, the platform refuses requests that were sent
+// RaiseToken requests a higher token. From the next request on, the platform refuses requests that were sent
 // with the old token and not answered.
-func (el *Elector) Raise() { el.raise = true }
+func (el *Elector) RaiseToken() { el.raise = true }
 
 // Record returns the row as last known.
 func (el *Elector) Record() (r Record, ok bool) { return el.record, el.known && el.version.Number != 0 }
--- a/core/duty/elector_test.go
+++ b/core/duty/elector_test.go
@@ -140,7 +140,7 @@
 func TestTokenRisesOnRequest(t *testing.T) {
 	s, a := &store{}, newElector("a")
 	s.run(a, 0, time.Second)
-	a.Raise()
+	a.RaiseToken()
 	if a.StateStored() {
 		t.Error("the token has not risen yet")
 	}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -236,7 +236,7 @@
 			p.none, p.asked = time.Now().Add(p.noneFor), false
 		case fault.Is(err, Unanswered):
 			// It may be carried out after the next one, unless that carries a higher token.
-			h.claim.Raise()
+			h.claim.RaiseToken()
 			return
 		default:
 			return
