--- a/core/duty/duty.go
+++ b/core/duty/duty.go
@@ -83,7 +83,7 @@
 func (MaybeSuperseded) event()     {}
 
 // Action is an output of the state machine, ReadRow or WriteRow. Each is answered by one event.
-type Action interface{ order() }
+type Action interface{ action() }
 
 // ReadRow reads the row of the duty.
 type ReadRow struct{}
@@ -95,5 +95,5 @@
 	Expected revision.Revision
 }
 
-func (ReadRow) order()  {}
-func (WriteRow) order() {}
+func (ReadRow) action()  {}
+func (WriteRow) action() {}
