--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -8,10 +8,11 @@
 	"ladderridge.example/core/prefixcache"
 )
 
-// BenchmarkChoose chooses a server for a long prompt of which some have a part: 0.7 us
-// among 12, 6.1 us among 116 and 6.9 us among 140, without an allocation, on a machine
-// that was busy with other runs; with lists of those that fit, a hash of each name and a
-// lock for each hall it took 3.2 us among 12 and 32 us among 140, and 2 KB.
+// BenchmarkChoose chooses a server for a long prompt of which some servers have a part
+// cached: 0.7 us among 12 servers, 6.1 us among 116 and 6.9 us among 140, without an
+// allocation, on a machine that was busy with other runs. With lists of candidates, a
+// hash of each name and a lock for each hall it took 3.2 us among 12 and 32 us among
+// 140, and allocated 2 KB.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{12, 116, 140} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -9,95 +9,97 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Choose returns the server for a request, or false if none may be used. Servers
-// that have just failed are taken only if there is no other.
+// Choose returns the server for a request, or false if no server may be used. Servers
+// that have failed recently are chosen only if there is no other.
 //
-// Servers are looked at once, without a list of those that fit: among 116 of them, a
-// third of which have read the prompt, that takes a fifth of the time that it took
-// with lists and a hash of each name (BenchmarkChoose).
+// The servers are scanned once, without building lists of candidates: with 116 servers,
+// a third of which have the prompt cached, this takes a fifth of the time that lists
+// and a hash of each name took (BenchmarkChoose).
 func (l *List) Choose(w Want, now time.Time) (*Server, bool) {
 	for {
 		s := l.choose(w, now)
 		if s == nil {
 			return nil, false
 		}
-		// Another request may have used up the server's limit meanwhile: then it is full.
+		// A concurrent request may have used up the server's limit since the scan. The
+		// next scan then sees the server as full.
 		if s.Load.take(now) {
 			return s, true
 		}
 	}
 }
 
-// choose returns the best server, or nil without one.
+// choose returns the best server, or nil if there is none.
 func (l *List) choose(w Want, now time.Time) *Server {
 	if w.Part > 0 {
-		return l.chooseOfFew(w, now)
+		return l.chooseFromSubset(w, now)
 	}
-	fit, last := newRace(w, now), newRace(w, now)
+	preferred, fallback := newSelector(w, now), newSelector(w, now)
 	for _, s := range l.open[w.Service] {
-		if !mayTake(s, w, now) {
+		if !eligible(s, w, now) {
 			continue
 		}
-		seen := s.Load.look(now)
+		seen := s.Load.snapshot(now)
 		switch {
 		case seen.full:
-		case seen.resting || goesLast(s, w):
-			last.enter(s, seen)
+		case seen.inBackoff || isFallback(s, w):
+			fallback.consider(s, seen)
 		default:
-			fit.enter(s, seen)
+			preferred.consider(s, seen)
 		}
 	}
-	return best(fit, last)
+	return best(preferred, fallback)
 }
 
-// chooseOfFew chooses among a part of the servers.
-func (l *List) chooseOfFew(w Want, now time.Time) *Server {
-	var fit, last []*Server
+// chooseFromSubset chooses from the fraction of the servers that the request may use.
+func (l *List) chooseFromSubset(w Want, now time.Time) *Server {
+	var preferred, fallback []*Server
 	for _, s := range l.open[w.Service] {
-		seen := s.Load.look(now)
+		seen := s.Load.snapshot(now)
 		switch {
-		case seen.full || !mayTake(s, w, now):
-		case seen.resting || goesLast(s, w):
-			last = append(last, s)
+		case seen.full || !eligible(s, w, now):
+		case seen.inBackoff || isFallback(s, w):
+			fallback = append(fallback, s)
 		default:
-			fit = append(fit, s)
+			preferred = append(preferred, s)
 		}
 	}
-	if len(fit) == 0 {
-		fit = last
+	if len(preferred) == 0 {
+		preferred = fallback
 	}
-	r := newRace(w, now)
-	for _, s := range l.few(fit, w) {
-		r.enter(s, s.Load.look(now))
+	r := newSelector(w, now)
+	for _, s := range l.subset(preferred, w) {
+		r.consider(s, s.Load.snapshot(now))
 	}
-	return best(r, newRace(w, now))
+	return best(r, newSelector(w, now))
 }
 
-// best returns the best of those that fit, or else of the last.
-func best(fit, last race) *Server {
-	if s := fit.winner(); s != nil {
+// best returns the winner of the preferred servers, or else that of the fallback
+// servers.
+func best(preferred, fallback selector) *Server {
+	if s := preferred.winner(); s != nil {
 		return s
 	}
-	return last.winner()
+	return fallback.winner()
 }
 
-// take counts a request that is about to be sent, and reports whether the server's limit still
-// allows it.
-func (l *Load) take(now time.Time) bool {
-	l.mu.Lock()
-	ok := l.limit.take(now)
+// take counts a request that is about to be sent, and reports whether the server's
+// limit still allows it.
+func (s *Load) take(now time.Time) bool {
+	s.mu.Lock()
+	ok := s.limit.take(now)
 	if ok {
-		l.cold.taken(now)
+		s.cold.taken(now)
 	}
-	l.mu.Unlock()
+	s.mu.Unlock()
 	if ok {
-		l.hall.taken(now)
+		s.hall.taken(now)
 	}
 	return ok
 }
 
-// mayTake reports whether a server may get the request at all.
-func mayTake(s *Server, w Want, now time.Time) bool {
+// eligible reports whether a server may receive the request at all.
+func eligible(s *Server, w Want, now time.Time) bool {
 	switch {
 	case !s.Open(now), slices.Contains(w.Avoid, s.Incarnation()):
 		return false
@@ -107,97 +109,102 @@
 	return w.Home == nil || w.Home(s.Hall)
 }
 
-// goesLast reports whether others go before a server.
-func goesLast(s *Server, w Want) bool {
+// isFallback reports whether a server is used only if there is no other.
+func isFallback(s *Server, w Want) bool {
 	return slices.Contains(w.Silent, s.Hall) || slices.Contains(w.Aside, s.name)
 }
 
-// race finds the server where a request costs least: the work before it and what has to
-// be read for it, in the same unit. Without a difference all daemons choose alike. The
-// server that they prefer has what the request shares with others: they send it there.
+// selector finds the server with the lowest cost for a request: the load ahead of the
+// request and the tokens that the server has to process for it, in the same unit. Ties
+// are broken by a rendezvous hash, so that all daemons choose alike. The preferred
+// server of the hash is assumed to have the shared part of the prompt cached, because
+// all daemons send it there.
 //
-// A prompt so goes elsewhere only where waiting costs more than reading it again,
-// which takes ten times as long for the largest model. Against the same preferred
-// server with a bound on its requests (consistent hashing with bounded loads), the
-// mean worth of days with trouble rose by 0.017 of what is owed with long prompts on
-// few servers, and by 0.004 and -0.003 with shorter ones on more (six and three seeds
-// of five days each).
-type race struct {
-	want Want
-	now  time.Time
-
-	// own is what the request's own part costs to be read.
-	own float64
+// A prompt therefore moves to another server only when waiting costs more than
+// processing the prompt again, which costs ten times as much on the largest model.
+// Compared with a preferred server whose requests are bounded (consistent hashing with
+// bounded loads), the mean value earned on simulated days with faults rose by 0.017 of
+// the attainable value with long prompts on few servers, and by 0.004 and -0.003 with
+// shorter prompts on more servers (six and three seeds of five days each).
+type selector struct {
+	criteria Want
+	now      time.Time
+
+	// ownCost is the cost of processing the part of the prompt that no other request
+	// shares.
+	ownCost float64
 
 	best *Server
 	cost float64
-	draw uint64
-	// any and near are the preferred servers of all halls and of the own.
-	any, near favourite
+	hash uint64
+	// overall and inHall are the preferred servers among all halls and in the request's
+	// own hall.
+	overall, inHall preferredServer
 }
 
-// favourite is the server with the highest draw and what is before a request there.
-type favourite struct {
+// preferredServer is the server with the highest rendezvous hash, and the load ahead of
+// a request there.
+type preferredServer struct {
 	server *Server
-	draw   uint64
-	work   float64
+	hash   uint64
+	load   float64
 }
 
-func newRace(w Want, now time.Time) race {
-	return race{want: w, now: now, own: w.Piece * float64(w.Prompt.Own()) / PieceTokens, cost: math.Inf(1)}
+func newSelector(w Want, now time.Time) selector {
+	return selector{criteria: w, now: now, ownCost: w.Piece * float64(w.Prompt.Own()) / PieceTokens, cost: math.Inf(1)}
 }
 
-// enter looks at one more server.
-func (r *race) enter(s *Server, seen look) {
-	c := (seen.work + 1) * seen.slowness
-	if s.Hall != r.want.Hall {
-		c += awayCost
-	}
-	draw := score(s, r.want.Affinity)
-	if r.want.Affinity != 0 {
-		r.favour(s, seen, draw)
-		if c+r.own >= r.cost {
-			// At least its own part is to be read anywhere.
+// consider compares one more server with the best so far.
+func (r *selector) consider(s *Server, seen snapshot) {
+	c := (seen.load + 1) * seen.slowness
+	if s.Hall != r.criteria.Hall {
+		c += otherHallCost
+	}
+	hash := rendezvousHash(s, r.criteria.Affinity)
+	if r.criteria.Affinity != 0 {
+		r.updatePreferred(s, seen, hash)
+		if c+r.ownCost >= r.cost {
+			// Every server has to process at least the request's own part.
 			return
 		}
-		c += r.want.Piece * float64(s.Load.Prompts.Missing(r.want.Prompt, r.now)) / PieceTokens
+		c += r.criteria.Piece * float64(s.Load.Prompts.Missing(r.criteria.Prompt, r.now)) / PieceTokens
 	}
-	if c < r.cost || (c == r.cost && draw > r.draw) {
-		r.best, r.cost, r.draw = s, c, draw
+	if c < r.cost || (c == r.cost && hash > r.hash) {
+		r.best, r.cost, r.hash = s, c, hash
 	}
 }
 
-// favour notes the server if it is the preferred one so far.
-func (r *race) favour(s *Server, seen look, draw uint64) {
-	f := favourite{server: s, draw: draw, work: seen.work * seen.slowness}
-	if r.any.server == nil || draw > r.any.draw {
-		r.any = f
+// updatePreferred records the server if its rendezvous hash is the highest so far.
+func (r *selector) updatePreferred(s *Server, seen snapshot, hash uint64) {
+	f := preferredServer{server: s, hash: hash, load: seen.load * seen.slowness}
+	if r.overall.server == nil || hash > r.overall.hash {
+		r.overall = f
 	}
-	if s.Hall == r.want.Hall && (r.near.server == nil || draw > r.near.draw) {
-		r.near = f
+	if s.Hall == r.criteria.Hall && (r.inHall.server == nil || hash > r.inHall.hash) {
+		r.inHall = f
 	}
 }
 
-// winner is the best server, or nil without one.
-func (r *race) winner() *Server {
-	home := r.any
-	if r.want.Near && r.near.server != nil {
-		home = r.near
+// winner returns the best server, or nil if there is none.
+func (r *selector) winner() *Server {
+	preferred := r.overall
+	if r.criteria.Near && r.inHall.server != nil {
+		preferred = r.inHall
 	}
-	if home.server == nil {
+	if preferred.server == nil {
 		return r.best
 	}
-	if c := home.work + r.own; c < r.cost || (c == r.cost && home.draw > r.draw) {
-		return home.server
+	if c := preferred.load + r.ownCost; c < r.cost || (c == r.cost && preferred.hash > r.hash) {
+		return preferred.server
 	}
 	return r.best
 }
 
-// score is a server's draw for a hash (rendezvous hashing): the highest wins,
-// and all daemons find the same one.
-func score(s *Server, hash uint64) uint64 {
+// rendezvousHash returns the hash of a server for a key (rendezvous hashing): the
+// server with the highest hash wins, and all daemons find the same one.
+func rendezvousHash(s *Server, key uint64) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], s.hash)
-	binary.LittleEndian.PutUint64(b[8:], hash)
+	binary.LittleEndian.PutUint64(b[8:], key)
 	return xxhash.Sum64(b[:])
 }
--- a/core/fleet/cold.go
+++ b/core/fleet/cold.go
@@ -6,41 +6,43 @@
 	"ladderridge.example/core/quota"
 )
 
-// Cold is how much a daemon may send to a server that has started a moment ago, or
-// whose hall has just been taken back: it is slow at first and falls over if all
-// daemons, which see that it is idle, send to it at once.
+// ColdLimit bounds the requests that a daemon sends to a server that has just started,
+// or whose hall has just come back into use. Such a server is slow at first and becomes
+// overloaded if all daemons see that it is idle and send to it at once.
 type Cold struct {
-	// From is when this daemon may begin to send: a daemon that has just started does not
-	// know what was sent before it.
+	// From is when this daemon may start to send. A daemon that has just started does
+	// not know which requests it sent before.
 	From time.Time
 	// Until is when the server is warm.
 	Until time.Time
-	// Most is how many requests this daemon may send within ColdSpan.
+	// MaxRequests is how many requests this daemon may send within ColdWindow.
 	Most int
 }
 
 const (
-	// ColdSpan is the time within which requests to a cold server are counted. Bounds
-	// are set for a second: what leaves a daemon further apart than that never falls
-	// into one, whatever the second begins with, and the rest is for what a link adds.
+	// ColdWindow is the sliding window over which requests to a cold server are
+	// counted. The capacity of a server is given for a second. Any second, wherever it
+	// starts, holds at most the requests of one window; the extra 50 ms allow for the
+	// network, which may deliver two requests closer together than they were sent.
 	ColdSpan = 1050 * time.Millisecond
-	// coldPart is the part of what a cold server bears that daemons plan for: their
-	// lists of daemons may differ for a moment.
-	coldPart = 0.8
+	// coldFraction is the fraction of a cold server's capacity that daemons plan for.
+	// It leaves room for daemons whose membership lists differ for a moment.
+	coldFraction = 0.8
 )
 
-// ColdMost is how many requests all daemons together may send to a cold server within
-// ColdSpan, by how many a second it works on and what it bears beyond that: a factor
-// and some more.
+// ColdCapacity returns how many requests all daemons together may send to a cold server
+// within ColdWindow. The server handles rate requests a second, times the factor
+// overage, and slack requests on top.
 func ColdMost(rate, overage, slack float64) int {
-	return int(coldPart * (max(0, rate)*overage + slack))
+	return int(coldFraction * (max(0, rate)*overage + slack))
 }
 
-// ColdShare is a daemon's share of what all of them may send to a cold server. With
-// fewer requests than daemons only some send, the same ones by all lists that are
-// alike, others for each server: each may then send a whole request in each span, and
-// no two need to speak to each other. Shares of a token for everybody would add up to
-// one request of each daemon at the same moment.
+// ColdShare returns a daemon's share of the requests that all daemons may send to a
+// cold server. If there are fewer requests than daemons, only some daemons send.
+// Daemons with the same membership list select the same senders, and each server has
+// different ones. Each sender may then send at least one whole request in each window,
+// and no two daemons need to communicate. With a fractional token for every daemon, all
+// daemons would send one request at the same moment.
 func ColdShare(server, self string, daemons []string, most int) int {
 	if len(daemons) == 0 || most <= 0 {
 		return 0
@@ -56,15 +58,17 @@
 	return each
 }
 
-// coldness is what a daemon may send to one server and has sent. The owner locks it.
-type coldness struct {
+// coldState is the limit of one cold server and the requests that were sent to it. The
+// owner locks it.
+type coldState struct {
 	Cold
-	// sent are the latest requests, oldest first, as many as may be sent in a span.
+	// sent holds the times of the latest requests, oldest first, at most as many as the
+	// limit allows within a window.
 	sent []time.Time
 }
 
-// full reports whether the server may get no request now.
-func (c *coldness) full(now time.Time) bool {
+// full reports whether the server may receive no request now.
+func (c *coldState) full(now time.Time) bool {
 	if !now.Before(c.Until) {
 		return false
 	}
@@ -72,7 +76,7 @@
 }
 
 // taken counts a request.
-func (c *coldness) taken(now time.Time) {
+func (c *coldState) taken(now time.Time) {
 	if !now.Before(c.Until) || c.Most <= 0 {
 		return
 	}
@@ -82,17 +86,17 @@
 	}
 }
 
-// SetCold says until when the server is cold and what this daemon may send to it. What
-// it has sent goes on to count.
-func (l *Load) SetCold(c Cold) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.cold.Cold = c
+// SetColdLimit sets until when the server is cold and what this daemon may send to it.
+// Requests that were sent before still count.
+func (s *Load) SetCold(c Cold) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cold.Cold = c
 }
 
-// Cold returns what was set last.
-func (l *Load) Cold() Cold {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.cold.Cold
+// ColdLimit returns the limit that was set last.
+func (s *Load) Cold() Cold {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.cold.Cold
 }
--- a/core/fleet/cold_test.go
+++ b/core/fleet/cold_test.go
@@ -10,27 +10,27 @@
 	"ladderridge.example/core/fleet"
 )
 
-func TestEmptiedHallGetsNothing(t *testing.T) {
+func TestDrainedHallReceivesNoRequests(t *testing.T) {
 	servers := pool(4)
 	for _, s := range servers[:2] {
-		s.Hall = "emptied"
+		s.Hall = "drained"
 	}
 	all := fleet.NewList(servers)
-	some := all.WithEmptied(map[string]bool{"emptied": true})
+	some := all.WithEmptied(map[string]bool{"drained": true})
 	for i := range uint64(200) {
-		if s, ok := some.Choose(fleet.Want{Service: "s", Affinity: i + 1}, now); !ok || s.Hall == "emptied" {
-			t.Fatal("an emptied hall was chosen, or none")
+		if s, ok := some.Choose(fleet.Want{Service: "s", Affinity: i + 1}, now); !ok || s.Hall == "drained" {
+			t.Fatal("a drained hall was chosen, or no server")
 		}
 	}
-	if s, ok := some.WithEmptied(map[string]bool{"emptied": true, "h": true}).Choose(fleet.Want{Service: "s"}, now); ok {
-		t.Errorf("%s was chosen though all halls are emptied", s.ID)
+	if s, ok := some.WithEmptied(map[string]bool{"drained": true, "h": true}).Choose(fleet.Want{Service: "s"}, now); ok {
+		t.Errorf("%s was chosen though all halls are drained", s.ID)
 	}
-	if s, _ := all.Choose(fleet.Want{Service: "s", Hall: "emptied"}, now); s.Hall != "emptied" {
-		t.Error("a hall that is not emptied any more gets nothing")
+	if s, _ := all.Choose(fleet.Want{Service: "s", Hall: "drained"}, now); s.Hall != "drained" {
+		t.Error("a hall that is no longer drained receives no requests")
 	}
 }
 
-func TestOnlyHomeHallsAreChosen(t *testing.T) {
+func TestOnlyAllowedHallsAreChosen(t *testing.T) {
 	servers := pool(4)
 	servers[3].Hall = "home"
 	w := fleet.Want{Home: func(hall string) bool { return hall == "home" }}
@@ -42,12 +42,13 @@
 	}
 	w.Service = "s"
 	if s, ok := fleet.NewList(servers[:3]).Choose(w, now); ok {
-		t.Errorf("%s was chosen though no server is at home", s.ID)
+		t.Errorf("%s was chosen though no server is in an allowed hall", s.ID)
 	}
 }
 
-// A cold server gets what it may in any second, and the rest goes elsewhere.
-func TestColdServerGetsItsShareInAnySecond(t *testing.T) {
+// A cold server receives at most this daemon's limit in any second, and the other
+// requests go to other servers.
+func TestColdServerReceivesAtMostItsLimitInAnySecond(t *testing.T) {
 	servers := pool(2)
 	servers[0].Load.SetCold(fleet.Cold{Until: now.Add(3 * time.Second), Most: 2})
 	list := fleet.NewList(servers)
@@ -61,12 +62,12 @@
 			sent = append(sent, at)
 			continue
 		}
-		// The other one is busier: the cold one would be chosen.
+		// The other server is busier, so that the cold one would be preferred.
 		s.Load.Begin(1)
 	}
 	for i, at := range sent {
 		if n := len(slices.DeleteFunc(slices.Clone(sent[i:]), func(o time.Time) bool { return o.Sub(at) > time.Second })); n > 2 {
-			t.Fatalf("%d requests in a second", n)
+			t.Fatalf("%d requests within a second", n)
 		}
 	}
 	if len(sent) < 5 {
@@ -74,18 +75,18 @@
 	}
 	servers[0].Load.SetCold(fleet.Cold{Until: now.Add(10 * time.Second)})
 	if s, _ := list.Choose(fleet.Want{Service: "s"}, now.Add(5*time.Second)); s != servers[1] {
-		t.Error("a cold server of which this daemon has no share was chosen")
+		t.Error("a cold server was chosen though this daemon's share is zero")
 	}
 	if _, ok := fleet.NewList(servers[:1]).Choose(fleet.Want{Service: "s"}, now.Add(5*time.Second)); ok {
-		t.Error("it was chosen because there is no other")
+		t.Error("it was chosen because there is no other server")
 	}
 	if s, _ := fleet.NewList(servers[:1]).Choose(fleet.Want{Service: "s"}, now.Add(10*time.Second)); s != servers[0] {
-		t.Error("a server that is warm again is not chosen")
+		t.Error("a server that has warmed up is not chosen")
 	}
 }
 
-// A daemon that ends and starts again within a second does not send its share twice.
-func TestStartRenewsNoShareOfAColdServer(t *testing.T) {
+// A daemon that restarts within a second does not send its share twice.
+func TestRestartDoesNotRenewShareOfColdServer(t *testing.T) {
 	const most, downFor = 4, 100 * time.Millisecond
 	var sent []time.Time
 	start := now
@@ -102,21 +103,21 @@
 	}
 	for i, at := range sent {
 		if n := len(slices.DeleteFunc(slices.Clone(sent[i:]), func(o time.Time) bool { return o.Sub(at) > time.Second })); n > most {
-			t.Fatalf("%d requests in a second", n)
+			t.Fatalf("%d requests within a second", n)
 		}
 	}
 	if len(sent) != 5*most {
-		t.Errorf("%d requests in all", len(sent))
+		t.Errorf("%d requests in total", len(sent))
 	}
 }
 
-// However many daemons there are, and however their requests fall to them, together they
-// send a cold server no more than it bears.
-func TestSharesOfAColdServerAddUp(t *testing.T) {
+// The shares of all daemons add up to no more than a cold server's capacity, whatever
+// the number of daemons.
+func TestColdSharesStayWithinCapacity(t *testing.T) {
 	rate, overage, slack := 13.0, 1.5, 5.0
 	most := fleet.ColdMost(rate, overage, slack)
 	if bears := int(rate*overage + slack); most > bears || most < bears*3/4 {
-		t.Fatalf("%d requests are planned for of %d", most, bears)
+		t.Fatalf("planned capacity is %d requests of %d", most, bears)
 	}
 	for _, n := range []int{1, 6, 7, 19, 20, 65, 295, 1000} {
 		daemons := make([]string, n)
@@ -129,14 +130,14 @@
 				sum += fleet.ColdShare(fmt.Sprint(server), d, daemons, most)
 			}
 			if sum > most || sum < most/2 {
-				t.Fatalf("%d daemons may send %d to a server that bears %d", n, sum, most)
+				t.Fatalf("%d daemons may send %d requests to a server with a capacity of %d", n, sum, most)
 			}
 		}
 	}
 }
 
-// Lists of daemons that differ by some still add up to less than a server bears.
-func TestSharesOfAColdServerBearDifferentLists(t *testing.T) {
+// The shares stay within the capacity when daemons have different membership lists.
+func TestColdSharesWithDifferentMembershipListsStayWithinCapacity(t *testing.T) {
 	most := fleet.ColdMost(13, 1.5, 5)
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
@@ -146,12 +147,12 @@
 		}
 		sum := 0
 		for _, d := range daemons {
-			// Each has not heard of some of the others yet.
+			// Each daemon does not know some of the others yet.
 			known := slices.DeleteFunc(slices.Clone(daemons), func(o string) bool { return o != d && random.IntN(12) == 0 })
 			sum += fleet.ColdShare("server", d, known, most)
 		}
 		if sum > 24 {
-			t.Fatalf("with lists that differ %d requests are sent where 24 are borne", sum)
+			t.Fatalf("with different membership lists %d requests are sent to a server with a capacity of 24", sum)
 		}
 	}
 }
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet chooses a backend server for a request from those that the
-// platform lists, by what this daemon's own requests have seen of them. Health
-// that somebody else reports is not asked for: only answers count.
+// Package fleet chooses a backend server for a request from those that the platform
+// lists. Health is derived only from the answers to this daemon's own requests: reports
+// of servers' health by anybody else are not used.
 package fleet
 
 import (
@@ -16,15 +16,15 @@
 	"ladderridge.example/core/prefixcache"
 )
 
-// Incarnation is one start of a server. A server that begins again under its id is another
-// incarnation, which holds nothing of what the one before did.
+// Incarnation identifies one run of a server. A server that restarts under the same id
+// is another incarnation, which holds none of the state of the previous one.
 type Incarnation struct {
 	ID string
-	// Born is the Unix millisecond of the start, 0 if the server does not tell it.
+	// Born is the start time in Unix milliseconds, 0 if the server does not report it.
 	Born int64
 }
 
-// String names the incarnation: by the id alone if its start is not known.
+// String names the incarnation: by the id alone if its start time is not known.
 func (i Incarnation) String() string {
 	if i.Born == 0 {
 		return i.ID
@@ -32,47 +32,51 @@
 	return i.ID + "@" + strconv.FormatInt(i.Born, 10)
 }
 
-// Server is one backend server as the platform lists it. It is never changed;
-// what requests have seen of it is in Load, which later lists share.
+// Server is one backend server as the platform lists it. It is immutable; what requests
+// have observed of it is in State, which later lists share.
 type Server struct {
 	ID string
-	// Born is the Unix millisecond of its start, 0 if it does not tell it.
+	// Born is the start time in Unix milliseconds, 0 if the server does not report it.
 	Born    int64
 	Service string
 	Addr    string
 	Hall    string
-	// Version is that of its software.
+	// Version is the version of the server's software.
 	Version string
-	// Slots is how many requests it works on; 0 is unknown.
+	// Slots is how many requests the server processes at the same time; 0 is unknown.
 	Slots int
-	// Spot servers cost less, and the provider may take them back.
+	// Spot servers cost less, and the provider may reclaim them.
 	Spot bool
-	// Leaving servers take no new work.
+	// Leaving servers accept no new requests.
 	Leaving bool
-	// Models are those that it has in memory; none means that it has no models.
+	// Models are the models that the server has loaded. It is empty if the server runs
+	// no models.
 	Models []string
-	// ColdFor is how much longer the server is cold, as it says itself.
+	// ColdFor is the remaining warm-up time that the server reports.
 	ColdFor time.Duration
 	Load    *Load
 
-	// hash is that of the ID, name the incarnation's.
+	// hash is the hash of ID, name the name of the incarnation.
 	hash uint64
 	name string
 }
 
-// Incarnation is the server's start that this is.
+// Incarnation returns the identity of this run of the server.
 func (s *Server) Incarnation() Incarnation { return Incarnation{ID: s.ID, Born: s.Born} }
 
-// Usable reports whether the server stays, by its entry and by its own word.
+// Usable reports whether the server stays in service, by its platform entry and its own
+// notices.
 func (s *Server) Usable() bool { return !s.Leaving && !s.Load.Notices.State().Leaving() }
 
-// Open reports whether the server may get new work now.
+// Open reports whether the server may receive new requests now.
 //
-// A server's own word counts as much as its entry, which may be late or never come. One that
-// declines everything is idle and would be preferred.
+// A server's own notice counts as much as its platform entry, which may be late or
+// never arrive. Without it a server that declines every request is idle and would be
+// preferred.
 func (s *Server) Open(now time.Time) bool { return !s.Leaving && s.Load.Notices.Open(now) }
 
-// identify works out what the server is told apart by, once: lists that are in use share it.
+// identify computes the hash and name once, before the server is shared by lists in
+// use.
 func (s *Server) identify() {
 	if s.hash == 0 {
 		s.hash = xxhash.Sum64String(s.ID)
@@ -80,14 +84,14 @@
 	}
 }
 
-// List is the servers of all services. It is never changed.
+// List holds the servers of all services. It is immutable.
 type List struct {
 	byService map[string][]*Server
-	// open are those whose data halls are not emptied.
+	// open holds the servers whose data halls are not drained.
 	open map[string][]*Server
 }
 
-// NewList makes a list.
+// NewList returns a list of the servers.
 func NewList(servers []*Server) *List {
 	l := &List{byService: map[string][]*Server{}}
 	for _, s := range servers {
@@ -101,8 +105,9 @@
 	return l
 }
 
-// With returns the list without some of its servers and with others, which may have the same
-// ids. What it costs grows with these, and with the list only by copying it.
+// With returns the list without the removed servers and with the added ones, which may
+// have the same ids. Its cost grows with the number of changes; the rest of the list is
+// only copied.
 func (l *List) With(removed, added []*Server) *List {
 	out := &List{byService: maps.Clone(l.byService)}
 	copied := map[string]bool{}
@@ -130,13 +135,14 @@
 	return out
 }
 
-// position is where a server of an id stands among servers in order, or would.
+// position returns the index at which a server id stands, or would be inserted, in a
+// sorted slice.
 func position(servers []*Server, id string) (at int, found bool) {
 	return slices.BinarySearchFunc(servers, id, func(s *Server, id string) int { return cmp.Compare(s.ID, id) })
 }
 
-// WithEmptied returns the list with these data halls emptied: what runs there goes on,
-// and nothing new is sent there.
+// WithDrained returns the list with these data halls drained: requests in flight there
+// continue, and no new ones are sent there.
 func (l *List) WithEmptied(halls map[string]bool) *List {
 	if len(halls) == 0 {
 		return &List{byService: l.byService, open: l.byService}
@@ -151,102 +157,104 @@
 // Service returns the servers of a service.
 func (l *List) Service(name string) []*Server { return l.byService[name] }
 
-// Want is what a request wants of its server.
+// Criteria are the requirements and preferences of a request for its server.
 type Want struct {
 	Service string
 	// Allowed reports whether a version may be used; nil allows all.
 	Allowed func(version string) bool
-	// Home reports whether servers of a data hall may be used; nil allows all.
+	// HallAllowed reports whether servers of a data hall may be used; nil allows all.
 	Home func(hall string) bool
-	// Part is the part of the allowed servers that is used, the same ones by all
+	// Fraction is the fraction of the allowed servers in use, the same servers for all
 	// daemons; 0 is all.
 	Part float64
-	// Phase is how far that use has come, from 0 to 1: if the part is less than a few
-	// servers, others of them are used one after the other.
+	// Progress is how far a trial of the version has come, from 0 to 1: if the fraction
+	// amounts to fewer servers than the trial needs, different ones are used in turn.
 	Phase float64
-	// Affinity is a hash of what the request shares with earlier ones, such as
-	// a session's prompt; 0 is nothing.
+	// Affinity is a hash of what the request shares with earlier ones, such as a
+	// session's prompt; 0 is none.
 	Affinity uint64
-	// Prompt is what the server has to read, and Piece how much of its work a piece
-	// of PieceTokens of it is, with a small request as 1.
+	// Prompt is what the server has to process. BlockCost is the cost of BlockTokens
+	// tokens of it, with a small request as 1.
 	Prompt prefixcache.Prompt
 	Piece  float64
 	// Hall is preferred while its servers are not much busier than others.
 	Hall string
-	// Near keeps a request with an affinity to its hall as well: what it shares
-	// is soon read again, and costs less than bytes between halls.
+	// KeepInHall keeps a request with an affinity in its hall as well. The part that it
+	// shares is small: processing it again costs less than traffic between halls.
 	Near bool
-	// Avoid are servers that the request has been to.
+	// Exclude lists the servers that the request has already been sent to.
 	Avoid []Incarnation
-	// Aside are servers that go last, as those do that have just failed, by the names of
-	// their incarnations.
+	// Ejected lists the names of incarnations that are used only if there is no other
+	// server, like those that have failed recently.
 	Aside []string
-	// Silent are halls of which a server has timed out for the request: others
-	// go first.
+	// TimedOutHalls lists halls in which a server timed out for this request. They are
+	// used only if there is no other.
 	Silent []string
 }
 
 const (
-	// awayCost is what a server of another hall must be less loaded by, in
-	// requests, to be preferred: bytes between halls are paid for.
-	awayCost = 2
-	// PieceTokens is about how much of a prompt a model server reads in one step,
-	// between which the tokens of all other requests wait.
+	// otherHallCost is the load, in requests, by which a server of another hall must be
+	// less busy to be preferred, because traffic between halls is paid for.
+	otherHallCost = 2
+	// BlockTokens is about how many tokens of a prompt a model server processes in one
+	// step. The output tokens of all other requests wait for the step.
 	PieceTokens = 2000
 )
 
-// few returns a part of the servers by a draw that all daemons make alike, rounded,
-// so that each of them has about the load that it would have with all requests; more
-// are used only while all of these have more to do than others. Rounded down, one
-// server carries nearly twice its load, and good versions look slow.
-func (l *List) few(fit []*Server, w Want) []*Server {
-	n := max(1, int(math.Round(w.Part*float64(len(fit)))))
-	if w.Part <= 0 || n >= len(fit) {
-		return fit
+// subset returns the fraction of the servers that the request may use. All daemons
+// order the servers alike. The number is rounded, so that each server has about the
+// load that it would have with all requests: rounded down, one server carried nearly
+// twice its load and made good versions look slow. More servers are used only while all
+// of these are busier than the bound.
+func (l *List) subset(servers []*Server, w Want) []*Server {
+	n := max(1, int(math.Round(w.Part*float64(len(servers)))))
+	if w.Part <= 0 || n >= len(servers) {
+		return servers
 	}
-	turn := turnOfFew(n, w.Phase) % len(fit)
-	slices.SortFunc(fit, func(a, b *Server) int { return cmp.Compare(score(a, 0), score(b, 0)) })
-	fit = slices.Concat(fit[turn:], fit[:turn])
-	most := l.mostOfFew(w)
-	for n < len(fit) && leastRequests(fit[:n]) > most {
+	offset := subsetOffset(n, w.Phase) % len(servers)
+	slices.SortFunc(servers, func(a, b *Server) int { return cmp.Compare(rendezvousHash(a, 0), rendezvousHash(b, 0)) })
+	servers = slices.Concat(servers[offset:], servers[:offset])
+	limit := l.subsetLimit(w)
+	for n < len(servers) && minRequests(servers[:n]) > limit {
 		n++
 	}
-	return fit[:n]
+	return servers[:n]
 }
 
-// leastTried is how many servers a version in roll-out is tried on. Servers of one version
-// differ in how fast they are: where one carries all requests of the version, it decides
-// what comes out.
-const leastTried = 3
+// minTrialServers is how many servers a version in roll-out is tried on. Servers of one
+// version differ in speed: if one server received all requests of the version, its
+// speed would decide the verdict.
+const minTrialServers = 3
 
-// turnOfFew is how many servers are passed over in a phase when n are used at a time.
-func turnOfFew(n int, phase float64) int {
-	turns := (leastTried + n - 1) / n
-	return n * min(turns-1, int(phase*float64(turns)))
+// subsetOffset returns the index of the first server of the subset at a stage of the
+// trial, when n servers are used at a time.
+func subsetOffset(n int, progress float64) int {
+	stages := (minTrialServers + n - 1) / n
+	return n * min(stages-1, int(progress*float64(stages)))
 }
 
 const (
-	// fewFactor and fewExtra are how many requests a server that is one of few may
-	// have: so many times those of a server of another version, and some more.
-	fewFactor = 1.5
-	fewExtra  = 2
+	// subsetFactor and subsetExtra bound the requests of a server in the subset: a
+	// multiple of the mean of the other versions' servers, and some more.
+	subsetFactor = 1.5
+	subsetExtra  = 2
 )
 
-// mostOfFew is how many requests a server may have that is one of few. Without a
-// bound, sessions that are busier than others meet on one server and make a good
+// subsetLimit returns how many requests a server in the subset may have. Without a
+// bound, sessions that are busier than others concentrate on one server and make a good
 // version look slow.
-func (l *List) mostOfFew(w Want) float64 {
+func (l *List) subsetLimit(w Want) float64 {
 	sum, n := 0.0, 0.0
 	for _, s := range l.byService[w.Service] {
 		if s.Usable() && w.Allowed != nil && !w.Allowed(s.Version) {
 			sum, n = sum+float64(s.Load.Requests()), n+1
 		}
 	}
-	return fewFactor*sum/max(1, n) + fewExtra
+	return subsetFactor*sum/max(1, n) + subsetExtra
 }
 
-// leastRequests is how many requests the one of some servers has that has the fewest.
-func leastRequests(servers []*Server) float64 {
+// minRequests returns the lowest number of requests that any of the servers has.
+func minRequests(servers []*Server) float64 {
 	least := math.Inf(1)
 	for _, s := range servers {
 		least = min(least, float64(s.Load.Requests()))
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -33,7 +33,7 @@
 	return s
 }
 
-func TestLeavingAvoidedAndOtherVersionsAreNeverChosen(t *testing.T) {
+func TestLeavingExcludedAndDisallowedServersAreNeverChosen(t *testing.T) {
 	servers := pool(4)
 	servers[0].Leaving = true
 	servers[1].Version = "v2"
@@ -46,11 +46,11 @@
 	}
 	only.Avoid = append(only.Avoid, fleet.Incarnation{ID: "e03"})
 	if s, ok := fleet.NewList(servers).Choose(only, now); ok {
-		t.Errorf("%s was chosen though none may be", s.ID)
+		t.Errorf("%s was chosen though no server is allowed", s.ID)
 	}
 }
 
-func TestLikePromptsMeetOnOneServerUntilItIsMuchBusier(t *testing.T) {
+func TestSharedPromptStaysOnOneServerUntilItIsMuchBusier(t *testing.T) {
 	servers := pool(8)
 	first := choose(t, servers, fleet.Want{Affinity: 42})
 	for range 4 {
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestLossOfAServerMovesOnlyItsPrompts(t *testing.T) {
+func TestRemovedServerMovesOnlyItsPrompts(t *testing.T) {
 	servers := pool(8)
 	moved := 0
 	for i := range uint64(1000) {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestServerThatFailsRestsAndReturns(t *testing.T) {
+func TestFailingServerIsBackedOffAndReturns(t *testing.T) {
 	servers := pool(2)
 	servers[0].Load.Unreachable(now)
 	for range 5 {
@@ -92,52 +92,52 @@
 	}
 	later := now.Add(5 * time.Second)
 	if s, _ := fleet.NewList(servers).Choose(fleet.Want{Service: "s"}, later); s != servers[0] {
-		t.Error("it did not return")
+		t.Error("the server was not chosen again after its back-off")
 	}
 	servers[1].Load.Unreachable(now)
 	if _, ok := fleet.NewList(servers).Choose(fleet.Want{Service: "s"}, now); !ok {
-		t.Error("with all servers resting there is none")
+		t.Error("no server was chosen while all are in back-off")
 	}
 }
 
-func TestSlowAndFailingServersGetLess(t *testing.T) {
-	for name, spoil := range map[string]func(l *fleet.Load){
+func TestSlowAndFailingServersReceiveLess(t *testing.T) {
+	for name, impair := range map[string]func(l *fleet.Load){
 		"slow":    func(l *fleet.Load) { l.Answered(8) },
 		"failing": func(l *fleet.Load) { l.Failed() },
 	} {
 		servers := pool(2)
 		for range 20 {
-			spoil(servers[0].Load)
+			impair(servers[0].Load)
 			servers[1].Load.Answered(1)
 		}
 		servers[1].Load.Begin(1)
 		if s := choose(t, servers, fleet.Want{}); s != servers[1] {
-			t.Errorf("%s: the bad server was chosen before one with a request more", name)
+			t.Errorf("%s: the impaired server was chosen over one with one more request", name)
 		}
 		for range 60 {
 			servers[0].Load.Answered(1)
 		}
 		if s := choose(t, servers, fleet.Want{}); s != servers[0] {
-			t.Errorf("%s: it did not recover", name)
+			t.Errorf("%s: the server did not recover", name)
 		}
 	}
 }
 
-func TestOwnHallGoesFirstUntilItIsBusier(t *testing.T) {
+func TestOwnHallIsPreferredUntilItIsBusier(t *testing.T) {
 	servers := pool(2)
 	servers[1].Hall = "other"
 	if s := choose(t, servers, fleet.Want{Hall: "h"}); s != servers[0] {
-		t.Error("another hall was chosen")
+		t.Error("a server of another hall was chosen")
 	}
 	for range 5 {
 		servers[0].Load.Begin(1)
 	}
 	if s := choose(t, servers, fleet.Want{Hall: "h"}); s != servers[1] {
-		t.Error("the own hall was chosen though it is busier")
+		t.Error("the request's own hall was chosen though it is busier")
 	}
 }
 
-func TestRequestThatSharesLittleStaysInItsHall(t *testing.T) {
+func TestKeepInHallChoosesServerOfHall(t *testing.T) {
 	servers := pool(8)
 	for _, s := range servers[:4] {
 		s.Hall = "other"
@@ -154,12 +154,12 @@
 		t.Errorf("%d of the hall's 4 servers were chosen", len(met))
 	}
 	if s := choose(t, servers[:4], fleet.Want{Affinity: 1, Hall: "h", Near: true}); s.Hall != "other" {
-		t.Error("without a server in the hall none was chosen")
+		t.Error("without a server in the hall, no server of another hall was chosen")
 	}
 }
 
-// When the way to a hall is cut, a few time-outs tell for all of its servers.
-func TestHallWhoseServersTimeOutRestsWhole(t *testing.T) {
+// When the network path to a hall fails, a few time-outs back off all of its servers.
+func TestTimeOutsBackOffWholeHall(t *testing.T) {
 	near, far := pool(4), pool(4)
 	for _, s := range far {
 		s.ID, s.Hall = "far-"+s.ID, "far"
@@ -169,7 +169,7 @@
 	far[1].Load.Silent(now)
 	far[0].Load.Silent(now)
 	if far[3].Load.Resting(now) {
-		t.Fatal("two servers make a hall rest")
+		t.Fatal("time-outs of two servers back off a hall")
 	}
 	far[2].Load.Silent(now)
 	for i := range uint64(200) {
@@ -178,37 +178,37 @@
 		}
 	}
 	if s, ok := fleet.NewList(far).Choose(fleet.Want{Service: "s"}, now); !ok || s.Hall != "far" {
-		t.Error("with no other hall it is not used")
+		t.Error("the hall is not used though there is no other")
 	}
 	far[3].Load.Answered(1)
 	if far[3].Load.Resting(now) {
-		t.Error("an answer does not end the rest")
+		t.Error("an answer does not end the hall's back-off")
 	}
 	if !far[0].Load.Resting(now) {
-		t.Error("a server that timed out does not rest itself")
+		t.Error("a server that timed out is not in back-off itself")
 	}
 }
 
-// A hall whose way is cut with resets rests as one that is silent does, and an
-// answer of any of its servers counts against that.
-func TestHallWhoseConnectionsBreakRestsWhole(t *testing.T) {
+// Connection resets back off a hall as time-outs do, and an answer from any of its
+// servers resets the count.
+func TestBrokenConnectionsBackOffWholeHall(t *testing.T) {
 	far := pool(6)
 	far[0].Load.Broke(now)
 	far[1].Load.Broke(now)
 	far[5].Load.Answered(1)
 	far[2].Load.Broke(now)
 	if far[3].Load.Resting(now) {
-		t.Fatal("it rests though a server has answered")
+		t.Fatal("the hall is in back-off though a server has answered")
 	}
 	far[0].Load.Broke(now)
 	far[1].Load.Broke(now)
 	if !far[3].Load.Resting(now) {
-		t.Error("it does not rest")
+		t.Error("the hall is not in back-off")
 	}
 }
 
-// After its rest a hall is tried by one request at a time.
-func TestHallIsTriedByOneRequestAtATime(t *testing.T) {
+// After its back-off, a hall is probed by one request at a time.
+func TestHallIsProbedByOneRequestAtATime(t *testing.T) {
 	near, far := pool(4), pool(4)
 	for i, s := range far {
 		s.ID, s.Hall = "far-"+s.ID, "far"
@@ -218,19 +218,19 @@
 	}
 	all := append(near, far...)
 	later := now.Add(1500 * time.Millisecond)
-	tried := 0
+	probes := 0
 	for i := range uint64(200) {
 		s, ok := fleet.NewList(all).Choose(fleet.Want{Service: "s", Affinity: i + 1}, later)
 		if ok && s.Hall == "far" {
-			tried++
+			probes++
 		}
 	}
-	if tried != 1 {
-		t.Errorf("%d requests tried the hall at once", tried)
+	if probes != 1 {
+		t.Errorf("%d requests probed the hall at once", probes)
 	}
 }
 
-func TestHallThatWasSilentForTheRequestGoesLast(t *testing.T) {
+func TestHallThatTimedOutForTheRequestIsFallback(t *testing.T) {
 	near, far := pool(2), pool(2)
 	for _, s := range far {
 		s.ID, s.Hall = "far-"+s.ID, "far"
@@ -238,16 +238,15 @@
 	all := append(near, far...)
 	for i := range uint64(50) {
 		if s := choose(t, all, fleet.Want{Affinity: i + 1, Silent: []string{"far"}}); s.Hall == "far" {
-			t.Fatal("it was chosen")
+			t.Fatal("a server of the hall that timed out was chosen")
 		}
 	}
 	if s := choose(t, far, fleet.Want{Silent: []string{"far"}}); s.Hall != "far" {
-		t.Error("without another it is not used")
+		t.Error("the hall is not used though there is no other")
 	}
 }
 
-// A server that reads a long prompt is busier than one with several small
-// requests.
+// A server that processes a long prompt is busier than one with several small requests.
 func TestLongPromptsWeighMore(t *testing.T) {
 	servers := pool(2)
 	servers[0].Load.Begin(6)
@@ -259,13 +258,13 @@
 	}
 	servers[0].Load.End(6)
 	if s := choose(t, servers, fleet.Want{}); s != servers[0] {
-		t.Error("its end does not count")
+		t.Error("the end of the request does not reduce the load")
 	}
 }
 
-// A part of the servers is the same one for all prompts, and goes round those
-// that rest.
-func TestPartOfTheServersIsTheSameForAll(t *testing.T) {
+// The subset of the servers is the same for all prompts, and excludes servers in
+// back-off.
+func TestSubsetIsTheSameForAllPrompts(t *testing.T) {
 	used := func(servers []*fleet.Server, part float64) map[string]bool {
 		out := map[string]bool{}
 		for i := range uint64(200) {
@@ -280,7 +279,7 @@
 	}
 	for id := range small {
 		if !larger[id] {
-			t.Errorf("%s is not among the larger part", id)
+			t.Errorf("%s is not in the larger subset", id)
 		}
 	}
 	for _, s := range servers {
@@ -288,33 +287,34 @@
 			s.Load.Unreachable(now)
 		}
 	}
-	if rest := used(servers, 0.08); len(rest) != 1 {
-		t.Errorf("%d servers were used while one rests", len(rest))
+	if others := used(servers, 0.08); len(others) != 1 {
+		t.Errorf("%d servers were used while one is in back-off", len(others))
 	}
 }
 
-// A prompt stays where it was read until waiting there costs more than reading it
-// elsewhere, and goes to a server that has read it before to one that has not.
-func TestPromptMovesWhenWaitingCostsMoreThanReading(t *testing.T) {
+// A prompt stays at the server that has it cached until waiting there costs more than
+// processing it elsewhere, and prefers another server that has it cached to one that
+// has not.
+func TestPromptMovesWhenWaitingCostsMoreThanProcessing(t *testing.T) {
 	servers := pool(6)
 	parts := []prefixcache.Part{{ID: "policy", Tokens: 12000}, {ID: "own", Tokens: 1000}}
-	want := func(model string, piece float64) fleet.Want {
-		return fleet.Want{Affinity: 42, Prompt: prefixcache.For(model, parts), Piece: piece}
+	want := func(model string, blockCost float64) fleet.Want {
+		return fleet.Want{Affinity: 42, Prompt: prefixcache.For(model, parts), Piece: blockCost}
 	}
 	home := choose(t, servers, want("small", 1))
 	home.Load.Begin(5)
 	if s := choose(t, servers, want("small", 1)); s != home {
-		t.Errorf("%s reads again what costs six", s.ID)
+		t.Errorf("the prompt was moved to %s, which has to process tokens at a cost of 6", s.ID)
 	}
 	home.Load.Begin(5)
 	if s := choose(t, servers, want("large", 10)); s != home {
-		t.Errorf("%s reads again what costs sixty", s.ID)
+		t.Errorf("the prompt was moved to %s, which has to process tokens at a cost of 60", s.ID)
 	}
 	next := choose(t, servers, want("small", 1))
 	if next == home {
-		t.Fatal("it waits behind ten to save six")
+		t.Fatal("the prompt waits behind a load of 10 to save a cost of 6")
 	}
-	// Another server has read it now, and has a little more to do than others.
+	// Another server has the prompt cached, and slightly more load than the others.
 	var other *fleet.Server
 	for _, s := range servers {
 		if s != home && s != next {
@@ -324,13 +324,13 @@
 	other.Load.Prompts.Read(prefixcache.For("small", parts), now)
 	other.Load.Begin(2)
 	if s := choose(t, servers, want("small", 1)); s != other {
-		t.Errorf("%s was chosen, %s has read the prompt", s.ID, other.ID)
+		t.Errorf("%s was chosen, but %s has the prompt cached", s.ID, other.ID)
 	}
 }
 
-// The part of the servers is rounded to the nearest, so that none carries nearly twice
-// what it would with all requests.
-func TestPartOfTheServersIsRounded(t *testing.T) {
+// The size of the subset is rounded to the nearest number, so that no server carries
+// nearly twice the load that it would have with all requests.
+func TestSubsetSizeIsRounded(t *testing.T) {
 	for part, want := range map[float64]int{0.01: 1, 0.08: 1, 0.15: 2, 0.1: 1, 0.22: 3} {
 		servers := pool(12)
 		used := map[string]bool{}
@@ -338,14 +338,14 @@
 			used[choose(t, servers, fleet.Want{Affinity: i + 1, Part: part}).ID] = true
 		}
 		if len(used) != want {
-			t.Errorf("a part of %v uses %d of 12 servers, not %d", part, len(used), want)
+			t.Errorf("a fraction of %v uses %d of 12 servers, want %d", part, len(used), want)
 		}
 	}
 }
 
-// More servers than the part are used while those have more to do than the servers of
-// the other version.
-func TestPartOfTheServersGrowsWhenItIsBusy(t *testing.T) {
+// The subset grows while its servers have more requests than those of the other
+// version.
+func TestSubsetGrowsUnderLoad(t *testing.T) {
 	servers := pool(18)
 	for i, s := range servers {
 		if i >= 12 {
@@ -368,7 +368,7 @@
 		}
 	}
 	if n := len(used()); len(first) != 1 || n != 1 {
-		t.Errorf("%d and %d servers are used while they have little to do", len(first), n)
+		t.Errorf("%d and %d servers are used while their load is low", len(first), n)
 	}
 	for _, s := range servers {
 		if first[s.ID] {
@@ -376,13 +376,13 @@
 		}
 	}
 	if n := len(used()); n != 2 {
-		t.Errorf("%d servers are used while the first has much to do", n)
+		t.Errorf("%d servers are used while the load of the first is high", n)
 	}
 }
 
-// A version of which one server is used at a time is tried on three, one after the
-// other, the same ones by all daemons.
-func TestFewServersTakeTurns(t *testing.T) {
+// A version that uses one server at a time is tried on three, one after the other,
+// which are the same for all daemons.
+func TestSubsetRotatesDuringTrial(t *testing.T) {
 	servers := pool(12)
 	used := func(part, phase float64) map[string]bool {
 		out := map[string]bool{}
@@ -395,7 +395,7 @@
 	for _, phase := range []float64{0, 0.3, 0.4, 0.6, 0.7, 1} {
 		now := used(0.08, phase)
 		if len(now) != 1 {
-			t.Fatalf("%d servers are used at once", len(now))
+			t.Fatalf("%d servers are used at the same time", len(now))
 		}
 		for id := range now {
 			all[id] = true
@@ -405,12 +405,13 @@
 		t.Errorf("%d servers were tried", len(all))
 	}
 	if diff := cmp.Diff(used(0.25, 0), used(0.25, 1)); diff != "" {
-		t.Errorf("three at once take turns: %s", diff)
+		t.Errorf("three servers at a time are used in turn: %s", diff)
 	}
 }
 
-// Whatever servers have to do, the one that is chosen costs least of those that fit.
-func TestChosenServerCostsLeast(t *testing.T) {
+// Whatever the load of the servers, the chosen one has the lowest cost of the eligible
+// ones.
+func TestChosenServerHasLowestCost(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 5))
 	for range 300 {
 		servers := pool(1 + random.IntN(30))
@@ -441,7 +442,7 @@
 				continue
 			}
 			if !ok || got.Leaving || cost(s) < cost(got) {
-				t.Fatalf("%v was chosen, %s costs less", got, s.ID)
+				t.Fatalf("%v was chosen, %s has a lower cost", got, s.ID)
 			}
 		}
 	}
--- a/core/fleet/hall.go
+++ b/core/fleet/hall.go
@@ -7,68 +7,69 @@
 	"time"
 )
 
-// Hall is what this daemon's requests have seen of a data hall's servers
-// together. When the way to a hall is cut, each of its servers would cost some
-// requests a time-out; here the first few tell for all.
+// HallState is the reachability of a data hall, derived from this daemon's requests to
+// all of its servers. When the network path to a hall fails, each of its servers would
+// cost some requests a time-out. Here the first few failures back off the whole hall.
 type Hall struct {
 	mu sync.Mutex
-	// failed are the servers that could not be reached, broke off or timed out
-	// since one of the hall last answered.
-	failed map[*Load]bool
-	rest   time.Duration
+	// failed holds the servers that were unreachable, broke the connection or timed out
+	// since any server of the hall last answered.
+	failed  map[*Load]bool
+	backoff time.Duration
 
-	// until is when the rest ends, by the time since began: each choice of a server
-	// asks for it, for each server, and a lock took a third of its time.
+	// until is when the back-off ends, as a duration since began. It is atomic because
+	// each choice of a server reads it for each server, and a lock took a third of the
+	// time of a choice.
 	until atomic.Int64
 	began time.Time
 }
 
-// never is an end of a rest that is long over.
+// never is the end of a back-off that ended long ago.
 const never = math.MinInt64
 
 const (
-	// hallFailed is how many servers must fail so, with none answering, for a
-	// hall to rest: one or two may have crashed at once.
-	hallFailed = 3
-	// hallRestFloor and hallRestCeiling bound the rest, which doubles. After
-	// it requests try the hall again.
-	hallRestFloor   = time.Second
-	hallRestCeiling = 2 * time.Second
-	// hallProbeEvery is the time between two requests that try a hall after
-	// its rest, until one is answered.
-	hallProbeEvery = 300 * time.Millisecond
+	// hallFailureThreshold is how many servers must fail, with none answering, before
+	// the hall is backed off: one or two may have crashed at the same time.
+	hallFailureThreshold = 3
+	// hallBackoffMin and hallBackoffMax bound the back-off, which doubles. When it
+	// ends, requests probe the hall again.
+	hallBackoffMin = time.Second
+	hallBackoffMax = 2 * time.Second
+	// hallProbeInterval is the time between two requests that probe a hall after its
+	// back-off, until one is answered.
+	hallProbeInterval = 300 * time.Millisecond
 )
 
-// NewHall returns a hall of which nothing has been seen.
+// NewHallState returns the state of a hall to which nothing has been sent.
 func NewHall() *Hall {
 	h := &Hall{failed: map[*Load]bool{}, began: time.Now()}
 	h.until.Store(never)
 	return h
 }
 
-func (h *Hall) resting(now time.Time) bool { return int64(now.Sub(h.began)) < h.until.Load() }
+func (h *Hall) inBackoff(now time.Time) bool { return int64(now.Sub(h.began)) < h.until.Load() }
 
-// restUntil sets the end of the rest.
-func (h *Hall) restUntil(at time.Time) { h.until.Store(int64(at.Sub(h.began))) }
+// backoffUntil sets the end of the back-off.
+func (h *Hall) backoffUntil(at time.Time) { h.until.Store(int64(at.Sub(h.began))) }
 
 func (h *Hall) failure(l *Load, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failed[l] = true
-	if len(h.failed) < hallFailed || h.resting(now) {
+	if len(h.failed) < hallFailureThreshold || h.inBackoff(now) {
 		return
 	}
-	h.rest = min(max(2*h.rest, hallRestFloor), hallRestCeiling)
-	h.restUntil(now.Add(h.rest))
+	h.backoff = min(max(2*h.backoff, hallBackoffMin), hallBackoffMax)
+	h.backoffUntil(now.Add(h.backoff))
 }
 
-// taken notes that a request goes to the hall. If it tries whether the hall is
-// back, others wait for what comes of it.
+// taken records that a request is sent to the hall. If it probes a hall after its
+// back-off, other requests wait for the result.
 func (h *Hall) taken(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.failed) >= hallFailed && !h.resting(now) {
-		h.restUntil(now.Add(hallProbeEvery))
+	if len(h.failed) >= hallFailureThreshold && !h.inBackoff(now) {
+		h.backoffUntil(now.Add(hallProbeInterval))
 	}
 }
 
@@ -79,6 +80,6 @@
 		return
 	}
 	clear(h.failed)
-	h.rest = 0
+	h.backoff = 0
 	h.until.Store(never)
 }
--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -7,22 +7,24 @@
 	"ladderridge.example/core/quota"
 )
 
-// limit is what a daemon may send to a server that names a limit. The owner locks it.
+// limit is what a daemon may send to a server that announces a rate limit. The owner
+// locks it.
 type limit struct {
-	// stands tells that there is one, since when this daemon keeps it.
-	stands bool
+	// active reports whether the server has a limit; since is when this daemon started
+	// to apply it.
+	active bool
 	since  time.Time
 	bucket quota.Bucket
-	// sent counts the requests since then.
+	// sent is the number of requests since then.
 	sent int64
 }
 
-// full reports whether the server may get no request now.
-func (l *limit) full(now time.Time) bool { return l.stands && !l.bucket.Ready(now) }
+// full reports whether the server may receive no request now.
+func (l *limit) full(now time.Time) bool { return l.active && !l.bucket.Ready(now) }
 
 // take counts a request, and reports whether it may be sent.
 func (l *limit) take(now time.Time) bool {
-	if !l.stands {
+	if !l.active {
 		return true
 	}
 	if !l.bucket.Ready(now) {
@@ -33,58 +35,63 @@
 	return true
 }
 
-// Quota is what this daemon may send to a server that names a limit.
+// Quota is what this daemon may send to a server that announces a rate limit.
 type Quota struct {
 	quota.Share
-	// Since is when this daemon began to keep the limit, Sent how many requests it has sent
-	// since then.
+	// Since is when this daemon started to apply the limit, Sent how many requests it
+	// has sent since then.
 	Since time.Time
 	Sent  int64
 }
 
-// KeepLimit takes the limit that stands for the server, and divides it among the daemons.
+// ApplyLimit reads the limit that the server has announced, and takes this daemon's
+// share of it.
 func (s *Server) KeepLimit(among quota.Daemons, now time.Time) {
 	l := s.Load
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// Several answers may come at once: whoever has the lock last reads what stands last.
+	// Several answers may arrive at once. The limit is read under the lock, so that the
+	// last reader applies the latest limit.
 	rate := l.Notices.State().Limit.Rate
 	if rate == 0 {
 		l.limit = limit{}
 		return
 	}
-	if !l.limit.stands {
-		l.limit = limit{stands: true, since: now}
+	if !l.limit.active {
+		l.limit = limit{active: true, since: now}
 	}
 	l.limit.bucket = l.limit.bucket.With(among.Share(s.Incarnation().String(), s.Hall, rate), now)
 }
 
-// Quota returns what this daemon may send to the server, if that names a limit.
-func (l *Load) Quota() (q Quota, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return Quota{Share: l.limit.bucket.Share(), Since: l.limit.since, Sent: l.limit.sent}, l.limit.stands
+// Quota returns what this daemon may send to the server, and whether the server
+// announces a limit.
+func (s *Load) Quota() (q Quota, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return Quota{Share: s.limit.bucket.Share(), Since: s.limit.since, Sent: s.limit.sent}, s.limit.active
 }
 
-// Admit reports whether a request for which the server was chosen at a time may be sent to it
-// now. One that was chosen before the limit was known has not been counted.
-func (l *Load) Admit(chosen, now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.limit.stands || !chosen.Before(l.limit.since) || l.limit.take(now)
+// Admit reports whether a request for which the server was chosen at the time chosen
+// may be sent now. A request that was chosen before the limit was known has not been
+// counted yet.
+func (s *Load) Admit(chosen, now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return !s.limit.active || !chosen.Before(s.limit.since) || s.limit.take(now)
 }
 
-// OpensAt returns when the first server of a service takes a request of this daemon again, if
-// all that stay want rest or have their limit; limited tells whether one has.
+// AvailableAt returns when the first server of a service accepts a request of this
+// daemon again, if all servers that stay in service are in back-off or have reached
+// their limit; limited reports whether one has reached its limit.
 func (l *List) OpensAt(service string, now time.Time) (at time.Time, limited, ok bool) {
 	listed := func(yield func(notice.State) bool) {
 		for _, s := range l.open[service] {
 			if !s.Usable() {
 				continue
 			}
-			opens, atLimit := s.Load.opensAt(now)
+			available, atLimit := s.Load.availableAt(now)
 			limited = limited || atLimit
-			if !yield(notice.State{BackoffUntil: opens}) {
+			if !yield(notice.State{BackoffUntil: available}) {
 				return
 			}
 		}
@@ -93,16 +100,16 @@
 	return at, limited, ok
 }
 
-// opensAt is when the server takes a request of this daemon again.
-func (l *Load) opensAt(now time.Time) (at time.Time, limited bool) {
-	at = l.Notices.State().BackoffUntil
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.limit.full(now) {
+// availableAt returns when the server accepts a request of this daemon again.
+func (s *Load) availableAt(now time.Time) (at time.Time, limited bool) {
+	at = s.Notices.State().BackoffUntil
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.limit.full(now) {
 		return at, false
 	}
-	if room := now.Add(l.limit.bucket.Wait(now)); room.After(at) {
-		at = room
+	if refilled := now.Add(s.limit.bucket.Wait(now)); refilled.After(at) {
+		at = refilled
 	}
 	return at, true
 }
--- a/core/fleet/notice_test.go
+++ b/core/fleet/notice_test.go
@@ -8,34 +8,36 @@
 	"ladderridge.example/core/notice"
 )
 
-// The recorded load of one daemon: twelve servers, four of which turn every request away and
-// ask for three seconds of rest, 20 requests a second, up to three tries each, 100 ms a run.
-// A server that declines is idle, so it was the first choice again: two of the four got 31
-// and 28 requests in one rest, and requests were refused with eight servers at work. In this
-// replay 220 requests reached servers in their rest and 16 of 400 were refused.
-func TestServersThatWantRestAreNotTheFirstChoice(t *testing.T) {
-	const rest = 3 * time.Second
+// Guards against sending requests to servers that asked for back-off. Replays the
+// recorded load of one daemon: twelve servers, four of which decline every request and
+// ask for three seconds of back-off, 20 requests a second, up to three attempts each,
+// 100 ms per answer. A server that declines is idle, so it was the first choice again:
+// two of the four received 31 and 28 requests in one back-off, and requests were
+// refused while eight servers were available. In this replay 220 requests reached
+// servers in their back-off, and 16 of 400 requests were refused.
+func TestServersInRequestedBackoffReceiveNoRequests(t *testing.T) {
+	const backoff = 3 * time.Second
 	asked := map[string]time.Time{}
 	early := 0
 	declined := func(s *fleet.Server, at time.Time) {
-		if was, ok := asked[s.ID]; ok && at.Sub(was) < rest {
+		if was, ok := asked[s.ID]; ok && at.Sub(was) < backoff {
 			early++
 		}
 		asked[s.ID] = at
-		s.Load.Notices.Observe(notice.Notice{Backoff: rest}, at)
+		s.Load.Notices.Observe(notice.Notice{Backoff: backoff}, at)
 	}
 	refused, end := replayDeclines(declined)
 	if early > 0 || refused > 1 {
-		t.Errorf("%d requests reached servers in their rest, %d were refused", early, refused)
+		t.Errorf("%d requests reached servers in back-off, %d were refused", early, refused)
 	}
-	if len(asked) != 4 || end.Sub(asked["e00"]) > 2*rest {
-		t.Errorf("servers whose rest is over are not asked again: %v", asked)
+	if len(asked) != 4 || end.Sub(asked["e00"]) > 2*backoff {
+		t.Errorf("servers are not tried again after their back-off: %v", asked)
 	}
 }
 
-// The same load, where the four servers name no time to come back: each of them took a try
-// of nearly every request while it lasted.
-func TestServersThatDeclineGoLastForAWhile(t *testing.T) {
+// The same load with four servers that decline without a retry time: each of them used
+// up one attempt of nearly every request.
+func TestDecliningServersAreFallback(t *testing.T) {
 	declines := map[string]int{}
 	refused, _ := replayDeclines(func(s *fleet.Server, at time.Time) {
 		declines[s.ID]++
@@ -51,8 +53,8 @@
 	}
 }
 
-// A server that has answered again goes with the others at once.
-func TestAnswerEndsTheCountOfDeclines(t *testing.T) {
+// An answer resets the count of declined requests at once.
+func TestAnswerResetsDeclineBackoff(t *testing.T) {
 	servers := pool(2)
 	l := fleet.NewList(servers)
 	servers[1].Load.Begin(5)
@@ -61,26 +63,27 @@
 		servers[0].Load.Declined(at)
 	}
 	if s, _ := l.Choose(fleet.Want{Service: "s"}, at.Add(time.Second)); s != servers[1] {
-		t.Error("a server that has declined ten times goes first after a second")
+		t.Error("a server that has declined ten times is preferred after a second")
 	}
 	if s, _ := l.Choose(fleet.Want{Service: "s", Avoid: []fleet.Incarnation{servers[1].Incarnation()}}, at); s != servers[0] {
-		t.Error("the last one there is not chosen")
+		t.Error("the last remaining server is not chosen")
 	}
 	at = at.Add(2 * time.Second)
 	servers[0].Load.Answered(1)
 	servers[0].Load.Declined(at)
 	if s, _ := l.Choose(fleet.Want{Service: "s"}, at.Add(150*time.Millisecond)); s != servers[0] {
-		t.Error("the count of declines outlives an answer")
+		t.Error("an answer does not reset the count of declined requests")
 	}
 }
 
-// replayDeclines has twelve servers, four of which decline everything; declined is told of
-// each. It returns how many of the 400 requests were refused, and when it ended.
+// replayDeclines sends 400 requests to twelve servers, four of which decline every
+// request, and calls declined for each declined one. It returns how many requests were
+// refused, and when the replay ended.
 func replayDeclines(declined func(s *fleet.Server, at time.Time)) (refused int, at time.Time) {
 	const (
 		every    = 50 * time.Millisecond
 		run      = 100 * time.Millisecond
-		tries    = 3
+		attempts = 3
 		requests = 400
 	)
 	servers := pool(12)
@@ -100,7 +103,7 @@
 		}
 		var avoid []fleet.Incarnation
 		served := false
-		for range tries {
+		for range attempts {
 			s, ok := l.Choose(fleet.Want{Service: "s", Affinity: uint64(n%50 + 1), Avoid: avoid}, at)
 			if !ok {
 				break
@@ -121,13 +124,13 @@
 	return refused, at
 }
 
-func TestRestEndsOnlyWhereNoneIsOpen(t *testing.T) {
+func TestAvailableAtOnlyIfNoServerIsAvailable(t *testing.T) {
 	servers := pool(3)
 	l := fleet.NewList(servers)
 	servers[0].Load.Notices.Observe(notice.Notice{Backoff: 5 * time.Second}, now)
 	servers[1].Load.Notices.Observe(notice.Notice{Backoff: 2 * time.Second}, now)
 	if _, _, ok := l.OpensAt("s", now); ok {
-		t.Error("one server is open")
+		t.Error("a time was returned though one server is available")
 	}
 	servers[2].Load.Notices.Observe(notice.Notice{Leaving: true, Backoff: time.Second}, now)
 	at, limited, ok := l.OpensAt("s", now)
@@ -135,19 +138,19 @@
 		t.Errorf("%v %v", at, ok)
 	}
 	if _, ok := l.Choose(fleet.Want{Service: "s"}, now); ok {
-		t.Error("one was chosen")
+		t.Error("a server was chosen during its back-off")
 	}
 	if s, ok := l.Choose(fleet.Want{Service: "s"}, at); !ok || s != servers[1] {
 		t.Errorf("%v", s)
 	}
 	if _, _, ok := l.OpensAt("other", now); ok {
-		t.Error("a service without servers rests")
+		t.Error("a time was returned for a service without servers")
 	}
 }
 
-// Part of a service's servers is used for a version in roll-out: one of them that leaves by
-// its own word is not.
-func TestFewServersLeaveOutOneThatLeaves(t *testing.T) {
+// A version in roll-out uses a subset of a service's servers. A server that announces
+// that it leaves is excluded from it.
+func TestSubsetExcludesLeavingServer(t *testing.T) {
 	servers := pool(6)
 	l := fleet.NewList(servers)
 	w := fleet.Want{Service: "s", Part: 0.2}
--- /dev/null
+++ b/core/fleet/remote_test.go
@@ -0,0 +1,85 @@
+package fleet_test
+
+import (
+	"testing"
+	"time"
+
+	"ladderridge.example/core/fleet"
+	"ladderridge.example/core/prefixcache"
+)
+
+// reportLoad reports the same remote load to a list for five seconds, and returns when
+// it ended.
+func reportLoad(l *fleet.List, load map[string]float64) time.Time {
+	const length, every = 5 * time.Second, 450 * time.Millisecond
+	at := now
+	for ; at.Sub(now) < length; at = at.Add(every) {
+		l.Crowd(load, at)
+	}
+	return at
+}
+
+// equalLoad returns the same load for all servers.
+func equalLoad(servers []*fleet.Server) map[string]float64 {
+	out := map[string]float64{}
+	for _, s := range servers {
+		out[s.ID] = 10
+	}
+	return out
+}
+
+// sharedPrompt returns the criteria of a request whose prompt is shared with others.
+func sharedPrompt() fleet.Want {
+	prompt := prefixcache.For("small", []prefixcache.Part{{ID: "policy", Tokens: 3 * fleet.PieceTokens}, {ID: "own", Tokens: 500}})
+	return fleet.Want{Service: "s", Affinity: 42, Prompt: prompt, Piece: 1}
+}
+
+func TestPromptMovesFromOverloadedServer(t *testing.T) {
+	servers := pool(8)
+	list := fleet.NewList(servers)
+	home, _ := list.Choose(sharedPrompt(), now)
+	work := equalLoad(servers)
+	at := reportLoad(list, work)
+	if s, _ := list.Choose(sharedPrompt(), at); s != home {
+		t.Errorf("with equal load on all servers the prompt goes to %s, not %s", s.ID, home.ID)
+	}
+	work[home.ID] = 40
+	at = reportLoad(list, work)
+	if s, _ := list.Choose(sharedPrompt(), at); s == home {
+		t.Errorf("the prompt goes to %s with a remote load of %v, while the other servers have 10", s.ID, work[s.ID])
+	}
+	if s, _ := list.Choose(sharedPrompt(), at.Add(10*time.Second)); s != home {
+		t.Errorf("ten seconds after the last report of the load the prompt still goes to %s", s.ID)
+	}
+}
+
+// A single report of high load is noise: by the time it arrives, the requests have
+// ended.
+func TestMomentaryLoadDoesNotMovePrompt(t *testing.T) {
+	servers := pool(8)
+	list := fleet.NewList(servers)
+	home, _ := list.Choose(sharedPrompt(), now)
+	at := reportLoad(list, equalLoad(servers))
+	work := equalLoad(servers)
+	work[home.ID] = 20
+	list.Crowd(work, at)
+	if s, _ := list.Choose(sharedPrompt(), at); s != home {
+		t.Errorf("the prompt goes to %s", s.ID)
+	}
+}
+
+// Servers of a new version, most of which receive no requests yet, do not make those of
+// the stable version look overloaded.
+func TestExcessLoadIsComputedPerVersion(t *testing.T) {
+	servers := pool(16)
+	for _, s := range servers[8:] {
+		s.Version = "v2"
+	}
+	list := fleet.NewList(servers)
+	at := reportLoad(list, equalLoad(servers[:8]))
+	for _, s := range servers {
+		if c := s.Load.Crowded(at); c > 0 {
+			t.Errorf("%s of version %s has an excess load of %v", s.ID, s.Version, c)
+		}
+	}
+}
--- /dev/null
+++ b/core/fleet/state.go
@@ -0,0 +1,229 @@
+package fleet
+
+import (
+	"sync"
+	"time"
+
+	"ladderridge.example/core/notice"
+	"ladderridge.example/core/prefixcache"
+)
+
+// ServerState is what this daemon has observed of a server through its requests. It is
+// safe for concurrent use.
+type Load struct {
+	// PrefixCache predicts which prompts the server has cached.
+	Prompts *prefixcache.Memory
+	// Notices holds what the server has announced about itself in its answers.
+	Notices *notice.Tracker
+
+	mu       sync.Mutex
+	inFlight int
+	// load is the sum of the weights of the requests in flight.
+	load float64
+	// failures counts consecutive failures; backoffUntil is until when the server is
+	// used only if there is no other.
+	failures     int
+	backoffUntil time.Time
+	// declines counts consecutive declined requests.
+	declines int
+	// failureRate is the moving average of the share of failures.
+	failureRate float64
+	// slowness is the moving average of the response time relative to that of other
+	// servers for similar requests, 1 if they are equal.
+	slowness float64
+	// reported is how many requests the server had according to its latest report.
+	reported int
+	cold     coldState
+	limit    limit
+	remote   remoteLoad
+	hall     *Hall
+}
+
+// Back-off of failing servers, and the weights of failures.
+const (
+	// backoffThreshold is how many consecutive failures back off a server.
+	backoffThreshold = 2
+	// backoffMin and backoffMax bound the back-off, which doubles with each further
+	// failure: a server that restarts is back within seconds.
+	backoffMin = 500 * time.Millisecond
+	backoffMax = 4 * time.Second
+	// declineBackoffMin and declineBackoffMax bound the back-off of a server that
+	// declines a request without a retry time: about the duration of a short request,
+	// and of a load peak.
+	declineBackoffMin = 100 * time.Millisecond
+	declineBackoffMax = 1600 * time.Millisecond
+	// smoothing is the weight of the newest answer in the moving averages.
+	smoothing = 0.1
+	// maxSlowness bounds the slowness of a server, so that it still receives a request
+	// now and then that can show that it has recovered.
+	maxSlowness = 20
+	// failureCost converts the failure rate to slowness: a server that fails half of
+	// its requests counts as busy as one with three times its load.
+	failureCost = 4
+)
+
+// NewServerState returns the state of a server that has answered nothing yet. All
+// servers of a data hall share one HallState.
+func NewLoad(hall *Hall) *Load {
+	return &Load{Prompts: prefixcache.NewMemory(), Notices: &notice.Tracker{}, slowness: 1, hall: hall}
+}
+
+// InFlight returns the number of this daemon's requests in flight at the server.
+func (s *Load) InFlight() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.inFlight
+}
+
+// OwnLoad returns the sum of the weights of this daemon's requests in flight at the
+// server.
+func (s *Load) Work() float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.load
+}
+
+// TotalLoad returns the load of all daemons at the server, as far as it is known.
+func (s *Load) All() float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.load + s.remote.recent
+}
+
+// Begin counts a request that is sent, by its weight: 1 is a small one.
+func (s *Load) Begin(weight float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.inFlight++
+	s.load += weight
+}
+
+// End counts a request that has ended, by the weight that it began with.
+func (s *Load) End(weight float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.inFlight--
+	s.load = max(0, s.load-weight)
+}
+
+// snapshot holds the state that the choice of a server depends on.
+type snapshot struct {
+	// load is OwnLoad plus ExcessLoad; slowness is as Slowness returns it.
+	load      float64
+	slowness  float64
+	inBackoff bool
+	// full reports that the server is cold or has a limit, and that this daemon's share
+	// is used up.
+	full bool
+}
+
+func (s *Load) snapshot(now time.Time) snapshot {
+	hallInBackoff := s.hall.inBackoff(now)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return snapshot{
+		load: s.load + s.remote.current(now), slowness: s.slowness * (1 + failureCost*s.failureRate),
+		inBackoff: hallInBackoff || now.Before(s.backoffUntil), full: s.cold.full(now) || s.limit.full(now),
+	}
+}
+
+// SetReportedRequests records how many requests the server reports that it has.
+func (s *Load) Report(requests int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reported = requests
+}
+
+// Requests returns how many requests the server has: by its own report, or else those
+// of this daemon.
+func (s *Load) Requests() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.reported > 0 {
+		return s.reported
+	}
+	return s.inFlight
+}
+
+// Slowness returns how much longer than others the server takes, with failures weighted
+// in.
+func (s *Load) Slowness() float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.slowness * (1 + failureCost*s.failureRate)
+}
+
+// InBackoff reports whether the server, or its hall, has failed so recently that other
+// servers are preferred.
+func (s *Load) Resting(now time.Time) bool {
+	if s.hall.inBackoff(now) {
+		return true
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return now.Before(s.backoffUntil)
+}
+
+// ConnectTimedOut records that a connection attempt to the server timed out. The server
+// is backed off at once.
+func (s *Load) Silent(now time.Time) {
+	s.Unreachable(now)
+}
+
+// Answered records a good answer; relative is its response time relative to that of
+// similar requests, or 0 if that is unknown.
+func (s *Load) Answered(relative float64) {
+	s.hall.answered()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.failures, s.declines = 0, 0
+	s.failureRate *= 1 - smoothing
+	if relative > 0 {
+		s.slowness = min(maxSlowness, max(1/maxSlowness, s.slowness*(1-smoothing)+relative*smoothing))
+	}
+}
+
+// Declined records that the server declined a request without a retry time. Other
+// servers are preferred for a while, which doubles until the server answers. Without
+// this the server, which is idle, would be the first choice of the next request again.
+func (s *Load) Declined(now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	backoff := min(declineBackoffMin<<min(s.declines, 4), declineBackoffMax)
+	s.declines++
+	if until := now.Add(backoff); until.After(s.backoffUntil) {
+		s.backoffUntil = until
+	}
+}
+
+// Failed records an answer that reports a server failure.
+func (s *Load) Failed() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.failureRate = s.failureRate*(1-smoothing) + smoothing
+}
+
+// NoResponse records that the server did not answer or was unreachable. It is backed
+// off if that happens repeatedly, and so is its hall if it happens to several of its
+// servers.
+func (s *Load) Broke(now time.Time) {
+	s.hall.failure(s, now)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.failures++
+	s.failureRate = s.failureRate*(1-smoothing) + smoothing
+	if s.failures < backoffThreshold {
+		return
+	}
+	backoff := backoffMin << min(s.failures-backoffThreshold, 4)
+	s.backoffUntil = now.Add(min(backoff, backoffMax))
+}
+
+// Unreachable records that no connection to the server could be established. The server
+// is backed off at once.
+func (s *Load) Unreachable(now time.Time) {
+	s.mu.Lock()
+	s.failures = max(s.failures, backoffThreshold-1)
+	s.mu.Unlock()
+	s.Broke(now)
+}
--- a/core/fleet/with_test.go
+++ b/core/fleet/with_test.go
@@ -10,7 +10,7 @@
 	"ladderridge.example/core/fleet"
 )
 
-// ids are the ids and versions of a service's servers.
+// ids returns the ids and versions of a service's servers.
 func ids(l *fleet.List, service string) []string {
 	out := []string{}
 	for _, s := range l.Service(service) {
@@ -19,8 +19,9 @@
 	return out
 }
 
-// A list that is changed again and again must be the one that is made of what is left.
-func TestChangedListIsTheListMadeAnew(t *testing.T) {
+// A list that is changed repeatedly must equal a list that is built from the remaining
+// servers.
+func TestChangedListEqualsRebuiltList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		current := map[string]*fleet.Server{}
 		list := fleet.NewList(nil)
@@ -48,14 +49,14 @@
 			for _, s := range current {
 				all = append(all, s)
 			}
-			anew := fleet.NewList(all)
+			rebuilt := fleet.NewList(all)
 			for _, service := range []string{"a", "b"} {
-				if diff := cmp.Diff(ids(anew, service), ids(list, service)); diff != "" {
+				if diff := cmp.Diff(ids(rebuilt, service), ids(list, service)); diff != "" {
 					t.Fatalf("%s: %s", service, diff)
 				}
 			}
 			if diff := cmp.Diff(before, ids(was, "a")); diff != "" {
-				t.Fatalf("the list before has changed: %s", diff)
+				t.Fatalf("the original list was modified: %s", diff)
 			}
 		}
 	})
