--- a/core/fleet/hall.go
+++ b/core/fleet/hall.go
@@ -10,7 +10,7 @@
 // HallState is the reachability of a data hall, derived from this daemon's requests to
 // all of its servers. When the network path to a hall fails, each of its servers would
 // cost some requests a time-out. Here the first few failures back off the whole hall.
-type Hall struct {
+type HallState struct {
 	mu sync.Mutex
 	// failed holds the servers that were unreachable, broke the connection or timed out
 	// since any server of the hall last answered.
@@ -41,18 +41,18 @@
 )
 
 // NewHallState returns the state of a hall to which nothing has been sent.
-func NewHall() *Hall {
-	h := &Hall{failed: map[*Load]bool{}, began: time.Now()}
+func NewHall() *HallState {
+	h := &HallState{failed: map[*Load]bool{}, began: time.Now()}
 	h.until.Store(never)
 	return h
 }
 
-func (h *Hall) inBackoff(now time.Time) bool { return int64(now.Sub(h.began)) < h.until.Load() }
+func (h *HallState) inBackoff(now time.Time) bool { return int64(now.Sub(h.began)) < h.until.Load() }
 
 // backoffUntil sets the end of the back-off.
-func (h *Hall) backoffUntil(at time.Time) { h.until.Store(int64(at.Sub(h.began))) }
+func (h *HallState) backoffUntil(at time.Time) { h.until.Store(int64(at.Sub(h.began))) }
 
-func (h *Hall) failure(l *Load, now time.Time) {
+func (h *HallState) failure(l *Load, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failed[l] = true
@@ -65,7 +65,7 @@
 
 // taken records that a request is sent to the hall. If it probes a hall after its
 // back-off, other requests wait for the result.
-func (h *Hall) taken(now time.Time) {
+func (h *HallState) taken(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.failed) >= hallFailureThreshold && !h.inBackoff(now) {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (h *Hall) answered() {
+func (h *HallState) answered() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.failed) == 0 {
--- a/core/fleet/state.go
+++ b/core/fleet/state.go
@@ -36,7 +36,7 @@
 	cold     coldState
 	limit    limit
 	remote   remoteLoad
-	hall     *Hall
+	hall     *HallState
 }
 
 // Back-off of failing servers, and the weights of failures.
@@ -64,7 +64,7 @@
 
 // NewServerState returns the state of a server that has answered nothing yet. All
 // servers of a data hall share one HallState.
-func NewLoad(hall *Hall) *Load {
+func NewLoad(hall *HallState) *Load {
 	return &Load{Prompts: prefixcache.NewMemory(), Notices: &notice.Tracker{}, slowness: 1, hall: hall}
 }
 
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -151,7 +151,7 @@
 	hidden bool
 	// unlisted are the notices of servers that are not listed any more.
 	unlisted map[fleet.Incarnation]unlisted
-	halls    map[string]*fleet.Hall
+	halls    map[string]*fleet.HallState
 	// emptied are the data halls that are emptied, by since when this daemon knows;
 	// returned are those that were, by when they were taken back.
 	emptied  map[string]time.Time
@@ -240,7 +240,7 @@
 func New() *Keeper {
 	k := &Keeper{
 		events: make(chan event, eventBacklog), republish: make(chan struct{}, 1), left: map[fleet.Incarnation]uint64{},
-		topics: map[gossip.Topic]*topicState{}, loads: map[fleet.Incarnation]*fleet.Load{}, unlisted: map[fleet.Incarnation]unlisted{}, halls: map[string]*fleet.Hall{},
+		topics: map[gossip.Topic]*topicState{}, loads: map[fleet.Incarnation]*fleet.Load{}, unlisted: map[fleet.Incarnation]unlisted{}, halls: map[string]*fleet.HallState{},
 		emptied: map[string]time.Time{}, returned: map[string]time.Time{}, coldUntil: map[fleet.Incarnation]time.Time{}, coldRows: map[fleet.Incarnation]revision.Revision{}, lapsed: map[string]time.Time{},
 		firstSeen: map[string]time.Time{}, asked: map[uint64]time.Time{}, listeners: map[string]time.Time{}, toldSums: map[gossip.Topic]uint64{}, readers: newReaders(),
 		bad: map[string]uint64{}, rollouts: newRollouts(), sessions: newSessions(), board: serverload.NewBoard(), limits: newLimits(),
