--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 
 func pool(n int) []*fleet.Server {
 	var out []*fleet.Server
-	hall := fleet.NewHall()
+	hall := fleet.NewHallState()
 	for i := range n {
 		out = append(out, &fleet.Server{ID: fmt.Sprintf("e%02d", i), Service: "s", Hall: "h", Version: "v1", Load: fleet.NewLoad(hall)})
 	}
--- a/core/fleet/hall.go
+++ b/core/fleet/hall.go
@@ -41,7 +41,7 @@
 )
 
 // NewHallState returns the state of a hall to which nothing has been sent.
-func NewHall() *HallState {
+func NewHallState() *HallState {
 	h := &HallState{failed: map[*Load]bool{}, began: time.Now()}
 	h.until.Store(never)
 	return h
--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -78,7 +78,7 @@
 	for range daemons {
 		m := &member{loads: map[string]*fleet.Load{}}
 		var list []*fleet.Server
-		hall := fleet.NewHall()
+		hall := fleet.NewHallState()
 		for _, e := range s.servers {
 			m.loads[e.id] = fleet.NewLoad(hall)
 			list = append(list, &fleet.Server{ID: e.id, Service: "llm", Version: "v", Hall: "h", Load: m.loads[e.id]})
--- a/daemon/storesync/read.go
+++ b/daemon/storesync/read.go
@@ -168,7 +168,7 @@
 // hall returns what all servers of a hall share.
 func (k *Keeper) hall(name string) *fleet.HallState {
 	if k.halls[name] == nil {
-		k.halls[name] = fleet.NewHall()
+		k.halls[name] = fleet.NewHallState()
 	}
 	return k.halls[name]
 }
