--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -85,7 +85,7 @@
 
 // take counts a request that is about to be sent, and reports whether the server's
 // limit still allows it.
-func (s *Load) take(now time.Time) bool {
+func (s *ServerState) take(now time.Time) bool {
 	s.mu.Lock()
 	ok := s.limit.take(now)
 	if ok {
--- a/core/fleet/cold.go
+++ b/core/fleet/cold.go
@@ -88,14 +88,14 @@
 
 // SetColdLimit sets until when the server is cold and what this daemon may send to it.
 // Requests that were sent before still count.
-func (s *Load) SetCold(c Cold) {
+func (s *ServerState) SetCold(c Cold) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cold.Cold = c
 }
 
 // ColdLimit returns the limit that was set last.
-func (s *Load) Cold() Cold {
+func (s *ServerState) Cold() Cold {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cold.Cold
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -54,7 +54,7 @@
 	Models []string
 	// ColdFor is the remaining warm-up time that the server reports.
 	ColdFor time.Duration
-	Load    *Load
+	Load    *ServerState
 
 	// hash is the hash of ID, name the name of the incarnation.
 	hash uint64
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -101,9 +101,9 @@
 }
 
 func TestSlowAndFailingServersReceiveLess(t *testing.T) {
-	for name, impair := range map[string]func(l *fleet.Load){
-		"slow":    func(l *fleet.Load) { l.Answered(8) },
-		"failing": func(l *fleet.Load) { l.Failed() },
+	for name, impair := range map[string]func(l *fleet.ServerState){
+		"slow":    func(l *fleet.ServerState) { l.Answered(8) },
+		"failing": func(l *fleet.ServerState) { l.Failed() },
 	} {
 		servers := pool(2)
 		for range 20 {
--- a/core/fleet/hall.go
+++ b/core/fleet/hall.go
@@ -14,7 +14,7 @@
 	mu sync.Mutex
 	// failed holds the servers that were unreachable, broke the connection or timed out
 	// since any server of the hall last answered.
-	failed  map[*Load]bool
+	failed  map[*ServerState]bool
 	backoff time.Duration
 
 	// until is when the back-off ends, as a duration since began. It is atomic because
@@ -42,7 +42,7 @@
 
 // NewHallState returns the state of a hall to which nothing has been sent.
 func NewHallState() *HallState {
-	h := &HallState{failed: map[*Load]bool{}, began: time.Now()}
+	h := &HallState{failed: map[*ServerState]bool{}, began: time.Now()}
 	h.until.Store(never)
 	return h
 }
@@ -52,7 +52,7 @@
 // backoffUntil sets the end of the back-off.
 func (h *HallState) backoffUntil(at time.Time) { h.until.Store(int64(at.Sub(h.began))) }
 
-func (h *HallState) failure(l *Load, now time.Time) {
+func (h *HallState) failure(l *ServerState, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failed[l] = true
--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -65,7 +65,7 @@
 
 // Quota returns what this daemon may send to the server, and whether the server
 // announces a limit.
-func (s *Load) Quota() (q Quota, ok bool) {
+func (s *ServerState) Quota() (q Quota, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Quota{Share: s.limit.bucket.Share(), Since: s.limit.since, Sent: s.limit.sent}, s.limit.active
@@ -74,7 +74,7 @@
 // Admit reports whether a request for which the server was chosen at the time chosen
 // may be sent now. A request that was chosen before the limit was known has not been
 // counted yet.
-func (s *Load) Admit(chosen, now time.Time) bool {
+func (s *ServerState) Admit(chosen, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.limit.active || !chosen.Before(s.limit.since) || s.limit.take(now)
@@ -101,7 +101,7 @@
 }
 
 // availableAt returns when the server accepts a request of this daemon again.
-func (s *Load) availableAt(now time.Time) (at time.Time, limited bool) {
+func (s *ServerState) availableAt(now time.Time) (at time.Time, limited bool) {
 	at = s.Notices.State().BackoffUntil
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/fleet/remote.go
+++ b/core/fleet/remote.go
@@ -69,7 +69,7 @@
 
 // updateRecent adds a report of the load that other daemons have at the server to the
 // moving average, and returns the average.
-func (s *Load) updateRecent(load float64) float64 {
+func (s *ServerState) updateRecent(load float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remote.recent += recentWeight * (load - s.remote.recent)
@@ -95,13 +95,13 @@
 
 // ExcessLoad returns the load of other daemons above the mean of the server's version,
 // decayed by its age.
-func (s *Load) Crowded(now time.Time) float64 {
+func (s *ServerState) Crowded(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.remote.current(now)
 }
 
-func (s *Load) setExcess(excess float64, now time.Time) {
+func (s *ServerState) setExcess(excess float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remote.excess, s.remote.at = excess, now
--- a/core/fleet/state.go
+++ b/core/fleet/state.go
@@ -10,7 +10,7 @@
 
 // ServerState is what this daemon has observed of a server through its requests. It is
 // safe for concurrent use.
-type Load struct {
+type ServerState struct {
 	// PrefixCache predicts which prompts the server has cached.
 	Prompts *prefixcache.Memory
 	// Notices holds what the server has announced about itself in its answers.
@@ -64,12 +64,12 @@
 
 // NewServerState returns the state of a server that has answered nothing yet. All
 // servers of a data hall share one HallState.
-func NewLoad(hall *HallState) *Load {
-	return &Load{Prompts: prefixcache.NewMemory(), Notices: &notice.Tracker{}, slowness: 1, hall: hall}
+func NewLoad(hall *HallState) *ServerState {
+	return &ServerState{Prompts: prefixcache.NewMemory(), Notices: &notice.Tracker{}, slowness: 1, hall: hall}
 }
 
 // InFlight returns the number of this daemon's requests in flight at the server.
-func (s *Load) InFlight() int {
+func (s *ServerState) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inFlight
@@ -77,21 +77,21 @@
 
 // OwnLoad returns the sum of the weights of this daemon's requests in flight at the
 // server.
-func (s *Load) Work() float64 {
+func (s *ServerState) Work() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load
 }
 
 // TotalLoad returns the load of all daemons at the server, as far as it is known.
-func (s *Load) All() float64 {
+func (s *ServerState) All() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load + s.remote.recent
 }
 
 // Begin counts a request that is sent, by its weight: 1 is a small one.
-func (s *Load) Begin(weight float64) {
+func (s *ServerState) Begin(weight float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight++
@@ -99,7 +99,7 @@
 }
 
 // End counts a request that has ended, by the weight that it began with.
-func (s *Load) End(weight float64) {
+func (s *ServerState) End(weight float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
@@ -117,7 +117,7 @@
 	full bool
 }
 
-func (s *Load) snapshot(now time.Time) snapshot {
+func (s *ServerState) snapshot(now time.Time) snapshot {
 	hallInBackoff := s.hall.inBackoff(now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +128,7 @@
 }
 
 // SetReportedRequests records how many requests the server reports that it has.
-func (s *Load) Report(requests int) {
+func (s *ServerState) Report(requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reported = requests
@@ -136,7 +136,7 @@
 
 // Requests returns how many requests the server has: by its own report, or else those
 // of this daemon.
-func (s *Load) Requests() int {
+func (s *ServerState) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reported > 0 {
@@ -147,7 +147,7 @@
 
 // Slowness returns how much longer than others the server takes, with failures weighted
 // in.
-func (s *Load) Slowness() float64 {
+func (s *ServerState) Slowness() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.slowness * (1 + failureCost*s.failureRate)
@@ -155,7 +155,7 @@
 
 // InBackoff reports whether the server, or its hall, has failed so recently that other
 // servers are preferred.
-func (s *Load) Resting(now time.Time) bool {
+func (s *ServerState) Resting(now time.Time) bool {
 	if s.hall.inBackoff(now) {
 		return true
 	}
@@ -166,13 +166,13 @@
 
 // ConnectTimedOut records that a connection attempt to the server timed out. The server
 // is backed off at once.
-func (s *Load) Silent(now time.Time) {
+func (s *ServerState) Silent(now time.Time) {
 	s.Unreachable(now)
 }
 
 // Answered records a good answer; relative is its response time relative to that of
 // similar requests, or 0 if that is unknown.
-func (s *Load) Answered(relative float64) {
+func (s *ServerState) Answered(relative float64) {
 	s.hall.answered()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +186,7 @@
 // Declined records that the server declined a request without a retry time. Other
 // servers are preferred for a while, which doubles until the server answers. Without
 // this the server, which is idle, would be the first choice of the next request again.
-func (s *Load) Declined(now time.Time) {
+func (s *ServerState) Declined(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	backoff := min(declineBackoffMin<<min(s.declines, 4), declineBackoffMax)
@@ -197,7 +197,7 @@
 }
 
 // Failed records an answer that reports a server failure.
-func (s *Load) Failed() {
+func (s *ServerState) Failed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failureRate = s.failureRate*(1-smoothing) + smoothing
@@ -206,7 +206,7 @@
 // NoResponse records that the server did not answer or was unreachable. It is backed
 // off if that happens repeatedly, and so is its hall if it happens to several of its
 // servers.
-func (s *Load) Broke(now time.Time) {
+func (s *ServerState) Broke(now time.Time) {
 	s.hall.failure(s, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,7 +221,7 @@
 
 // Unreachable records that no connection to the server could be established. The server
 // is backed off at once.
-func (s *Load) Unreachable(now time.Time) {
+func (s *ServerState) Unreachable(now time.Time) {
 	s.mu.Lock()
 	s.failures = max(s.failures, backoffThreshold-1)
 	s.mu.Unlock()
--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -37,7 +37,7 @@
 // member is one daemon with its own knowledge of the servers.
 type member struct {
 	list  *fleet.List
-	loads map[string]*fleet.Load
+	loads map[string]*fleet.ServerState
 }
 
 // engine is one model server.
@@ -49,7 +49,7 @@
 
 // run is one request under way.
 type run struct {
-	load *fleet.Load
+	load *fleet.ServerState
 	id   string
 	ends time.Time
 }
@@ -76,7 +76,7 @@
 		s.servers = append(s.servers, &engine{id: "s" + strconv.Itoa(i), has: map[int]bool{}, free: start})
 	}
 	for range daemons {
-		m := &member{loads: map[string]*fleet.Load{}}
+		m := &member{loads: map[string]*fleet.ServerState{}}
 		var list []*fleet.Server
 		hall := fleet.NewHallState()
 		for _, e := range s.servers {
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -141,7 +141,7 @@
 	topics    map[gossip.Topic]*topicState
 	// toldSums are the sums of the topics at the last news.
 	toldSums map[gossip.Topic]uint64
-	loads    map[fleet.Incarnation]*fleet.Load
+	loads    map[fleet.Incarnation]*fleet.ServerState
 	// entries are the servers' rows as they were decoded, by key; atAddress is how many of the
 	// listed servers have an address.
 	entries   map[string]serverEntry
@@ -240,7 +240,7 @@
 func New() *Keeper {
 	k := &Keeper{
 		events: make(chan event, eventBacklog), republish: make(chan struct{}, 1), left: map[fleet.Incarnation]uint64{},
-		topics: map[gossip.Topic]*topicState{}, loads: map[fleet.Incarnation]*fleet.Load{}, unlisted: map[fleet.Incarnation]unlisted{}, halls: map[string]*fleet.HallState{},
+		topics: map[gossip.Topic]*topicState{}, loads: map[fleet.Incarnation]*fleet.ServerState{}, unlisted: map[fleet.Incarnation]unlisted{}, halls: map[string]*fleet.HallState{},
 		emptied: map[string]time.Time{}, returned: map[string]time.Time{}, coldUntil: map[fleet.Incarnation]time.Time{}, coldRows: map[fleet.Incarnation]revision.Revision{}, lapsed: map[string]time.Time{},
 		firstSeen: map[string]time.Time{}, asked: map[uint64]time.Time{}, listeners: map[string]time.Time{}, toldSums: map[gossip.Topic]uint64{}, readers: newReaders(),
 		bad: map[string]uint64{}, rollouts: newRollouts(), sessions: newSessions(), board: serverload.NewBoard(), limits: newLimits(),
--- a/daemon/storesync/notices.go
+++ b/daemon/storesync/notices.go
@@ -35,7 +35,7 @@
 }
 
 // keepNotices keeps the notices of servers that were listed and are not any more.
-func (k *Keeper) keepNotices(listed map[fleet.Incarnation]*fleet.Load, now time.Time) {
+func (k *Keeper) keepNotices(listed map[fleet.Incarnation]*fleet.ServerState, now time.Time) {
 	maps.DeleteFunc(k.unlisted, func(_ fleet.Incarnation, u unlisted) bool { return now.Sub(u.since) > unlistedFor })
 	for i, l := range k.loads {
 		if listed[i] == nil && l.Notices.Active(now) && len(k.unlisted) < mostUnlisted {
--- a/daemon/storesync/read.go
+++ b/daemon/storesync/read.go
@@ -188,7 +188,7 @@
 }
 
 func (k *Keeper) forgetLoads(servers []*fleet.Server, now time.Time) {
-	kept := make(map[fleet.Incarnation]*fleet.Load, len(servers))
+	kept := make(map[fleet.Incarnation]*fleet.ServerState, len(servers))
 	for _, s := range servers {
 		kept[s.Incarnation()] = s.Load
 	}
