--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	var out []*fleet.Server
 	hall := fleet.NewHallState()
 	for i := range n {
-		out = append(out, &fleet.Server{ID: fmt.Sprintf("e%02d", i), Service: "s", Hall: "h", Version: "v1", Load: fleet.NewLoad(hall)})
+		out = append(out, &fleet.Server{ID: fmt.Sprintf("e%02d", i), Service: "s", Hall: "h", Version: "v1", Load: fleet.NewServerState(hall)})
 	}
 	return out
 }
--- a/core/fleet/state.go
+++ b/core/fleet/state.go
@@ -64,7 +64,7 @@
 
 // NewServerState returns the state of a server that has answered nothing yet. All
 // servers of a data hall share one HallState.
-func NewLoad(hall *HallState) *ServerState {
+func NewServerState(hall *HallState) *ServerState {
 	return &ServerState{Prompts: prefixcache.NewMemory(), Notices: &notice.Tracker{}, slowness: 1, hall: hall}
 }
 
--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -80,7 +80,7 @@
 		var list []*fleet.Server
 		hall := fleet.NewHallState()
 		for _, e := range s.servers {
-			m.loads[e.id] = fleet.NewLoad(hall)
+			m.loads[e.id] = fleet.NewServerState(hall)
 			list = append(list, &fleet.Server{ID: e.id, Service: "llm", Version: "v", Hall: "h", Load: m.loads[e.id]})
 		}
 		m.list = fleet.NewList(list)
--- a/daemon/storesync/read.go
+++ b/daemon/storesync/read.go
@@ -158,7 +158,7 @@
 func (k *Keeper) withLoad(s fleet.Server) *fleet.Server {
 	i := s.Incarnation()
 	if k.loads[i] == nil {
-		k.loads[i] = fleet.NewLoad(k.hall(s.Hall))
+		k.loads[i] = fleet.NewServerState(k.hall(s.Hall))
 		k.loads[i].Notices = k.noticesOf(i)
 	}
 	s.Load = k.loads[i]
