--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -23,7 +23,7 @@
 		}
 		// A concurrent request may have used up the server's limit since the scan. The
 		// next scan then sees the server as full.
-		if s.Load.take(now) {
+		if s.State.take(now) {
 			return s, true
 		}
 	}
@@ -39,7 +39,7 @@
 		if !eligible(s, w, now) {
 			continue
 		}
-		seen := s.Load.snapshot(now)
+		seen := s.State.snapshot(now)
 		switch {
 		case seen.full:
 		case seen.inBackoff || isFallback(s, w):
@@ -55,7 +55,7 @@
 func (l *List) chooseFromSubset(w Want, now time.Time) *Server {
 	var preferred, fallback []*Server
 	for _, s := range l.open[w.Service] {
-		seen := s.Load.snapshot(now)
+		seen := s.State.snapshot(now)
 		switch {
 		case seen.full || !eligible(s, w, now):
 		case seen.inBackoff || isFallback(s, w):
@@ -69,7 +69,7 @@
 	}
 	r := newSelector(w, now)
 	for _, s := range l.subset(preferred, w) {
-		r.consider(s, s.Load.snapshot(now))
+		r.consider(s, s.State.snapshot(now))
 	}
 	return best(r, newSelector(w, now))
 }
@@ -167,7 +167,7 @@
 			// Every server has to process at least the request's own part.
 			return
 		}
-		c += r.criteria.Piece * float64(s.Load.Prompts.Missing(r.criteria.Prompt, r.now)) / PieceTokens
+		c += r.criteria.Piece * float64(s.State.Prompts.Missing(r.criteria.Prompt, r.now)) / PieceTokens
 	}
 	if c < r.cost || (c == r.cost && hash > r.hash) {
 		r.best, r.cost, r.hash = s, c, hash
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -54,7 +54,7 @@
 	Models []string
 	// ColdFor is the remaining warm-up time that the server reports.
 	ColdFor time.Duration
-	Load    *ServerState
+	State   *ServerState
 
 	// hash is the hash of ID, name the name of the incarnation.
 	hash uint64
@@ -66,14 +66,14 @@
 
 // Usable reports whether the server stays in service, by its platform entry and its own
 // notices.
-func (s *Server) Usable() bool { return !s.Leaving && !s.Load.Notices.State().Leaving() }
+func (s *Server) Usable() bool { return !s.Leaving && !s.State.Notices.State().Leaving() }
 
 // Open reports whether the server may receive new requests now.
 //
 // A server's own notice counts as much as its platform entry, which may be late or
 // never arrive. Without it a server that declines every request is idle and would be
 // preferred.
-func (s *Server) Open(now time.Time) bool { return !s.Leaving && s.Load.Notices.Open(now) }
+func (s *Server) Open(now time.Time) bool { return !s.Leaving && s.State.Notices.Open(now) }
 
 // identify computes the hash and name once, before the server is shared by lists in
 // use.
@@ -247,7 +247,7 @@
 	sum, n := 0.0, 0.0
 	for _, s := range l.byService[w.Service] {
 		if s.Usable() && w.Allowed != nil && !w.Allowed(s.Version) {
-			sum, n = sum+float64(s.Load.Requests()), n+1
+			sum, n = sum+float64(s.State.Requests()), n+1
 		}
 	}
 	return subsetFactor*sum/max(1, n) + subsetExtra
@@ -257,7 +257,7 @@
 func minRequests(servers []*Server) float64 {
 	least := math.Inf(1)
 	for _, s := range servers {
-		least = min(least, float64(s.Load.Requests()))
+		least = min(least, float64(s.State.Requests()))
 	}
 	return least
 }
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	var out []*fleet.Server
 	hall := fleet.NewHallState()
 	for i := range n {
-		out = append(out, &fleet.Server{ID: fmt.Sprintf("e%02d", i), Service: "s", Hall: "h", Version: "v1", Load: fleet.NewServerState(hall)})
+		out = append(out, &fleet.Server{ID: fmt.Sprintf("e%02d", i), Service: "s", Hall: "h", Version: "v1", State: fleet.NewServerState(hall)})
 	}
 	return out
 }
@@ -59,7 +59,7 @@
 		}
 	}
 	for range 10 {
-		first.Load.Begin(1)
+		first.State.Begin(1)
 	}
 	if s := choose(t, servers, fleet.Want{Affinity: 42}); s == first {
 		t.Error("a server that is much busier than the others was chosen")
@@ -83,9 +83,9 @@
 
 func TestFailingServerIsBackedOffAndReturns(t *testing.T) {
 	servers := pool(2)
-	servers[0].Load.Unreachable(now)
+	servers[0].State.Unreachable(now)
 	for range 5 {
-		servers[1].Load.Begin(1)
+		servers[1].State.Begin(1)
 	}
 	if s := choose(t, servers, fleet.Want{}); s != servers[1] {
 		t.Error("a server that could not be reached was chosen")
@@ -94,7 +94,7 @@
 	if s, _ := fleet.NewList(servers).Choose(fleet.Want{Service: "s"}, later); s != servers[0] {
 		t.Error("the server was not chosen again after its back-off")
 	}
-	servers[1].Load.Unreachable(now)
+	servers[1].State.Unreachable(now)
 	if _, ok := fleet.NewList(servers).Choose(fleet.Want{Service: "s"}, now); !ok {
 		t.Error("no server was chosen while all are in back-off")
 	}
@@ -107,15 +107,15 @@
 	} {
 		servers := pool(2)
 		for range 20 {
-			impair(servers[0].Load)
-			servers[1].Load.Answered(1)
+			impair(servers[0].State)
+			servers[1].State.Answered(1)
 		}
-		servers[1].Load.Begin(1)
+		servers[1].State.Begin(1)
 		if s := choose(t, servers, fleet.Want{}); s != servers[1] {
 			t.Errorf("%s: the impaired server was chosen over one with one more request", name)
 		}
 		for range 60 {
-			servers[0].Load.Answered(1)
+			servers[0].State.Answered(1)
 		}
 		if s := choose(t, servers, fleet.Want{}); s != servers[0] {
 			t.Errorf("%s: the server did not recover", name)
@@ -130,7 +130,7 @@
 		t.Error("a server of another hall was chosen")
 	}
 	for range 5 {
-		servers[0].Load.Begin(1)
+		servers[0].State.Begin(1)
 	}
 	if s := choose(t, servers, fleet.Want{Hall: "h"}); s != servers[1] {
 		t.Error("the request's own hall was chosen though it is busier")
@@ -165,13 +165,13 @@
 		s.ID, s.Hall = "far-"+s.ID, "far"
 	}
 	all := append(near, far...)
-	far[0].Load.Silent(now)
-	far[1].Load.Silent(now)
-	far[0].Load.Silent(now)
-	if far[3].Load.Resting(now) {
+	far[0].State.Silent(now)
+	far[1].State.Silent(now)
+	far[0].State.Silent(now)
+	if far[3].State.Resting(now) {
 		t.Fatal("time-outs of two servers back off a hall")
 	}
-	far[2].Load.Silent(now)
+	far[2].State.Silent(now)
 	for i := range uint64(200) {
 		if s := choose(t, all, fleet.Want{Affinity: i + 1}); s.Hall == "far" {
 			t.Fatalf("%s was chosen", s.ID)
@@ -180,11 +180,11 @@
 	if s, ok := fleet.NewList(far).Choose(fleet.Want{Service: "s"}, now); !ok || s.Hall != "far" {
 		t.Error("the hall is not used though there is no other")
 	}
-	far[3].Load.Answered(1)
-	if far[3].Load.Resting(now) {
+	far[3].State.Answered(1)
+	if far[3].State.Resting(now) {
 		t.Error("an answer does not end the hall's back-off")
 	}
-	if !far[0].Load.Resting(now) {
+	if !far[0].State.Resting(now) {
 		t.Error("a server that timed out is not in back-off itself")
 	}
 }
@@ -193,16 +193,16 @@
 // servers resets the count.
 func TestBrokenConnectionsBackOffWholeHall(t *testing.T) {
 	far := pool(6)
-	far[0].Load.Broke(now)
-	far[1].Load.Broke(now)
-	far[5].Load.Answered(1)
-	far[2].Load.Broke(now)
-	if far[3].Load.Resting(now) {
+	far[0].State.Broke(now)
+	far[1].State.Broke(now)
+	far[5].State.Answered(1)
+	far[2].State.Broke(now)
+	if far[3].State.Resting(now) {
 		t.Fatal("the hall is in back-off though a server has answered")
 	}
-	far[0].Load.Broke(now)
-	far[1].Load.Broke(now)
-	if !far[3].Load.Resting(now) {
+	far[0].State.Broke(now)
+	far[1].State.Broke(now)
+	if !far[3].State.Resting(now) {
 		t.Error("the hall is not in back-off")
 	}
 }
@@ -213,7 +213,7 @@
 	for i, s := range far {
 		s.ID, s.Hall = "far-"+s.ID, "far"
 		if i < 3 {
-			s.Load.Silent(now)
+			s.State.Silent(now)
 		}
 	}
 	all := append(near, far...)
@@ -249,14 +249,14 @@
 // A server that processes a long prompt is busier than one with several small requests.
 func TestLongPromptsWeighMore(t *testing.T) {
 	servers := pool(2)
-	servers[0].Load.Begin(6)
+	servers[0].State.Begin(6)
 	for range 3 {
-		servers[1].Load.Begin(1)
+		servers[1].State.Begin(1)
 	}
 	if s := choose(t, servers, fleet.Want{}); s != servers[1] {
 		t.Error("the server with the long prompt was chosen")
 	}
-	servers[0].Load.End(6)
+	servers[0].State.End(6)
 	if s := choose(t, servers, fleet.Want{}); s != servers[0] {
 		t.Error("the end of the request does not reduce the load")
 	}
@@ -284,7 +284,7 @@
 	}
 	for _, s := range servers {
 		if small[s.ID] {
-			s.Load.Unreachable(now)
+			s.State.Unreachable(now)
 		}
 	}
 	if others := used(servers, 0.08); len(others) != 1 {
@@ -302,11 +302,11 @@
 		return fleet.Want{Affinity: 42, Prompt: prefixcache.For(model, parts), Piece: blockCost}
 	}
 	home := choose(t, servers, want("small", 1))
-	home.Load.Begin(5)
+	home.State.Begin(5)
 	if s := choose(t, servers, want("small", 1)); s != home {
 		t.Errorf("the prompt was moved to %s, which has to process tokens at a cost of 6", s.ID)
 	}
-	home.Load.Begin(5)
+	home.State.Begin(5)
 	if s := choose(t, servers, want("large", 10)); s != home {
 		t.Errorf("the prompt was moved to %s, which has to process tokens at a cost of 60", s.ID)
 	}
@@ -321,8 +321,8 @@
 			other = s
 		}
 	}
-	other.Load.Prompts.Read(prefixcache.For("small", parts), now)
-	other.Load.Begin(2)
+	other.State.Prompts.Read(prefixcache.For("small", parts), now)
+	other.State.Begin(2)
 	if s := choose(t, servers, want("small", 1)); s != other {
 		t.Errorf("%s was chosen, but %s has the prompt cached", s.ID, other.ID)
 	}
@@ -350,7 +350,7 @@
 	for i, s := range servers {
 		if i >= 12 {
 			s.Version = "old"
-			s.Load.Report(4)
+			s.State.Report(4)
 		}
 	}
 	used := func() map[string]bool {
@@ -364,7 +364,7 @@
 	first := used()
 	for _, s := range servers {
 		if first[s.ID] {
-			s.Load.Report(8)
+			s.State.Report(8)
 		}
 	}
 	if n := len(used()); len(first) != 1 || n != 1 {
@@ -372,7 +372,7 @@
 	}
 	for _, s := range servers {
 		if first[s.ID] {
-			s.Load.Report(9)
+			s.State.Report(9)
 		}
 	}
 	if n := len(used()); n != 2 {
@@ -419,19 +419,19 @@
 			s.Hall = []string{"h", "far"}[random.IntN(2)]
 			s.Leaving = random.IntN(8) == 0
 			for range random.IntN(6) {
-				s.Load.Begin(1 + 3*random.Float64())
-				s.Load.Answered(2 * random.Float64())
+				s.State.Begin(1 + 3*random.Float64())
+				s.State.Answered(2 * random.Float64())
 			}
 			if random.IntN(6) == 0 {
-				s.Load.Unreachable(now)
+				s.State.Unreachable(now)
 			}
 		}
 		cost := func(s *fleet.Server) float64 {
-			c := (s.Load.Work() + 1) * s.Load.Slowness()
+			c := (s.State.Work() + 1) * s.State.Slowness()
 			if s.Hall != "h" {
 				c += 2
 			}
-			if s.Load.Resting(now) {
+			if s.State.Resting(now) {
 				c += 1e6
 			}
 			return c
--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -47,7 +47,7 @@
 // ApplyLimit reads the limit that the server has announced, and takes this daemon's
 // share of it.
 func (s *Server) KeepLimit(among quota.Daemons, now time.Time) {
-	l := s.Load
+	l := s.State
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// Several answers may arrive at once. The limit is read under the lock, so that the
@@ -89,7 +89,7 @@
 			if !s.Usable() {
 				continue
 			}
-			available, atLimit := s.Load.availableAt(now)
+			available, atLimit := s.State.availableAt(now)
 			limited = limited || atLimit
 			if !yield(notice.State{BackoffUntil: available}) {
 				return
--- a/core/fleet/notice_test.go
+++ b/core/fleet/notice_test.go
@@ -24,7 +24,7 @@
 			early++
 		}
 		asked[s.ID] = at
-		s.Load.Notices.Observe(notice.Notice{Backoff: backoff}, at)
+		s.State.Notices.Observe(notice.Notice{Backoff: backoff}, at)
 	}
 	refused, end := replayDeclines(declined)
 	if early > 0 || refused > 1 {
@@ -41,7 +41,7 @@
 	declines := map[string]int{}
 	refused, _ := replayDeclines(func(s *fleet.Server, at time.Time) {
 		declines[s.ID]++
-		s.Load.Declined(at)
+		s.State.Declined(at)
 	})
 	if refused > 1 {
 		t.Errorf("%d requests were refused", refused)
@@ -57,10 +57,10 @@
 func TestAnswerResetsDeclineBackoff(t *testing.T) {
 	servers := pool(2)
 	l := fleet.NewList(servers)
-	servers[1].Load.Begin(5)
+	servers[1].State.Begin(5)
 	at := now
 	for range 10 {
-		servers[0].Load.Declined(at)
+		servers[0].State.Declined(at)
 	}
 	if s, _ := l.Choose(fleet.Want{Service: "s"}, at.Add(time.Second)); s != servers[1] {
 		t.Error("a server that has declined ten times is preferred after a second")
@@ -69,8 +69,8 @@
 		t.Error("the last remaining server is not chosen")
 	}
 	at = at.Add(2 * time.Second)
-	servers[0].Load.Answered(1)
-	servers[0].Load.Declined(at)
+	servers[0].State.Answered(1)
+	servers[0].State.Declined(at)
 	if s, _ := l.Choose(fleet.Want{Service: "s"}, at.Add(150*time.Millisecond)); s != servers[0] {
 		t.Error("an answer does not reset the count of declined requests")
 	}
@@ -98,7 +98,7 @@
 	for n := range requests {
 		at = at.Add(every)
 		for len(running) > 0 && !running[0].at.After(at) {
-			running[0].of.Load.End(1)
+			running[0].of.State.End(1)
 			running = running[1:]
 		}
 		var avoid []fleet.Incarnation
@@ -109,7 +109,7 @@
 				break
 			}
 			if !declines(s) {
-				s.Load.Begin(1)
+				s.State.Begin(1)
 				running = append(running, end{at.Add(run), s})
 				served = true
 				break
@@ -127,12 +127,12 @@
 func TestAvailableAtOnlyIfNoServerIsAvailable(t *testing.T) {
 	servers := pool(3)
 	l := fleet.NewList(servers)
-	servers[0].Load.Notices.Observe(notice.Notice{Backoff: 5 * time.Second}, now)
-	servers[1].Load.Notices.Observe(notice.Notice{Backoff: 2 * time.Second}, now)
+	servers[0].State.Notices.Observe(notice.Notice{Backoff: 5 * time.Second}, now)
+	servers[1].State.Notices.Observe(notice.Notice{Backoff: 2 * time.Second}, now)
 	if _, _, ok := l.OpensAt("s", now); ok {
 		t.Error("a time was returned though one server is available")
 	}
-	servers[2].Load.Notices.Observe(notice.Notice{Leaving: true, Backoff: time.Second}, now)
+	servers[2].State.Notices.Observe(notice.Notice{Leaving: true, Backoff: time.Second}, now)
 	at, limited, ok := l.OpensAt("s", now)
 	if !ok || limited || !at.Equal(now.Add(2*time.Second)) {
 		t.Errorf("%v %v", at, ok)
@@ -155,7 +155,7 @@
 	l := fleet.NewList(servers)
 	w := fleet.Want{Service: "s", Part: 0.2}
 	first, _ := l.Choose(w, now)
-	first.Load.Notices.Observe(notice.Notice{Leaving: true}, now)
+	first.State.Notices.Observe(notice.Notice{Leaving: true}, now)
 	if s, ok := l.Choose(w, now); !ok || s == first {
 		t.Errorf("%v after %v", s, first)
 	}
--- a/core/fleet/remote.go
+++ b/core/fleet/remote.go
@@ -58,11 +58,11 @@
 	for _, servers := range l.open {
 		recent := make(map[string]float64, len(servers))
 		for _, s := range servers {
-			recent[s.ID] = s.Load.updateRecent(load[s.ID])
+			recent[s.ID] = s.State.updateRecent(load[s.ID])
 		}
 		mean := meanByVersion(servers, recent)
 		for _, s := range servers {
-			s.Load.setExcess(excessWeight*max(0, recent[s.ID]-mean[s.Version]), now)
+			s.State.setExcess(excessWeight*max(0, recent[s.ID]-mean[s.Version]), now)
 		}
 	}
 }
--- a/core/fleet/with_test.go
+++ b/core/fleet/with_test.go
@@ -39,7 +39,7 @@
 					delete(current, id)
 				}
 				if rapid.Bool().Draw(t, "there") {
-					s := &fleet.Server{ID: id, Service: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service"), Version: "v" + strconv.Itoa(n), Load: fleet.NewServerState(fleet.NewHallState())}
+					s := &fleet.Server{ID: id, Service: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service"), Version: "v" + strconv.Itoa(n), State: fleet.NewServerState(fleet.NewHallState())}
 					current[id] = s
 					added = append(added, s)
 				}
--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -81,7 +81,7 @@
 		hall := fleet.NewHallState()
 		for _, e := range s.servers {
 			m.loads[e.id] = fleet.NewServerState(hall)
-			list = append(list, &fleet.Server{ID: e.id, Service: "llm", Version: "v", Hall: "h", Load: m.loads[e.id]})
+			list = append(list, &fleet.Server{ID: e.id, Service: "llm", Version: "v", Hall: "h", State: m.loads[e.id]})
 		}
 		m.list = fleet.NewList(list)
 		s.daemons = append(s.daemons, m)
@@ -124,9 +124,9 @@
 	}
 	e.free = slices.MaxFunc([]time.Time{e.free, s.now}, time.Time.Compare).Add(reading)
 	s.waits = append(s.waits, e.free.Sub(s.now))
-	chosen.Load.Prompts.Read(prompt, s.now)
-	chosen.Load.Begin(2)
-	s.pending = append(s.pending, &run{load: chosen.Load, id: e.id, ends: e.free.Add(answerTime)})
+	chosen.State.Prompts.Read(prompt, s.now)
+	chosen.State.Begin(2)
+	s.pending = append(s.pending, &run{load: chosen.State, id: e.id, ends: e.free.Add(answerTime)})
 }
 
 // settle ends the requests that are over.
--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -249,7 +249,7 @@
 	var servers []*fleet.Server
 	for _, hall := range []string{"hall-a", "hall-b"} {
 		for i := range each {
-			servers = append(servers, &fleet.Server{ID: hall + "-" + strconv.Itoa(i), Service: "llm", Hall: hall, Version: "v1", Load: fleet.NewServerState(fleet.NewHallState())})
+			servers = append(servers, &fleet.Server{ID: hall + "-" + strconv.Itoa(i), Service: "llm", Hall: hall, Version: "v1", State: fleet.NewServerState(fleet.NewHallState())})
 		}
 	}
 	return &storesync.View{Map: m, Servers: fleet.NewList(servers)}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -253,7 +253,7 @@
 	}
 	work := 0.0
 	for _, server := range v.Servers.Service(s.Name) {
-		work += server.Load.All()
+		work += server.State.All()
 		if !slices.Contains(in.Halls, server.Hall) {
 			in.Halls = append(in.Halls, server.Hall)
 		}
@@ -265,7 +265,7 @@
 		switch {
 		case !v.Stays(s.Name, server.Version):
 			at.Coming++
-		case now.Before(server.Load.Cold().Until):
+		case now.Before(server.State.Cold().Until):
 			at.Serving++
 		default:
 			at.Serving++
--- a/daemon/gateway/dump.go
+++ b/daemon/gateway/dump.go
@@ -97,11 +97,11 @@
 
 // limitDump returns the limit of a server, nil if it has none.
 func limitDump(s *fleet.Server, now time.Time) *LimitDump {
-	is := s.Load.Notices.State().Limit
+	is := s.State.Notices.State().Limit
 	if is.Rate == 0 {
 		return nil
 	}
-	q, _ := s.Load.Quota()
+	q, _ := s.State.Quota()
 	return &LimitDump{PerSecond: is.Rate, SinceMS: now.Sub(is.Since).Milliseconds(), ToldBy: is.From, Share: q.Rate, AtOnce: q.Depth, Sent: q.Sent}
 }
 
@@ -135,15 +135,15 @@
 		_, emptied := v.Emptied[s.Hall]
 		out := ServerDump{
 			ID: s.ID, Born: s.Born, Service: s.Service, Hall: s.Hall, Version: s.Version, Leaving: s.Leaving,
-			InFlight: s.Load.InFlight(), Slowness: s.Load.Slowness(), Crowded: s.Load.Crowded(now), Resting: s.Load.Resting(now), Emptied: emptied,
+			InFlight: s.State.InFlight(), Slowness: s.State.Slowness(), Crowded: s.State.Crowded(now), Resting: s.State.Resting(now), Emptied: emptied,
 		}
-		kept := s.Load.Notices.State()
+		kept := s.State.Notices.State()
 		out.SaysLeaving = kept.Leaving()
 		out.Limit = limitDump(s, now)
 		if kept.InBackoff(now) {
 			out.WantsRestMS = kept.BackoffUntil.Sub(now).Milliseconds()
 		}
-		if cold := s.Load.Cold(); now.Before(cold.Until) {
+		if cold := s.State.Cold(); now.Before(cold.Until) {
 			out.ColdMS, out.ColdMost = cold.Until.Sub(now).Milliseconds(), cold.Most
 		}
 		d.Servers = append(d.Servers, out)
--- a/daemon/gateway/halls.go
+++ b/daemon/gateway/halls.go
@@ -26,8 +26,8 @@
 			halls[s.Hall] = h
 		}
 		h.Servers++
-		h.InFlight += s.Load.InFlight()
-		if now.Before(s.Load.Cold().Until) {
+		h.InFlight += s.State.InFlight()
+		if now.Before(s.State.Cold().Until) {
 			h.Cold++
 		}
 	}
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -143,10 +143,10 @@
 		j.engine.Knowledge.Ran(j.service, j.request.session(), s.Version)
 	}
 	a.prompt = j.prompt
-	a.shared = pieces(s.Load.Prompts.Missing(a.prompt, a.sent) - a.prompt.Own())
+	a.shared = pieces(s.State.Prompts.Missing(a.prompt, a.sent) - a.prompt.Own())
 	a.weight = 1 + j.piece*pieces(a.prompt.Own())
-	s.Load.Prompts.Read(a.prompt, a.sent)
-	s.Load.Begin(a.weight)
+	s.State.Prompts.Read(a.prompt, a.sent)
+	s.State.Begin(a.weight)
 	a.reply, a.err = j.engine.Channels.Send(ctx, j.compose(a))
 	if timer.stop() {
 		if a.err == nil {
@@ -204,9 +204,9 @@
 		j.avoid = append(j.avoid, a.server.Incarnation())
 		switch {
 		case a.head.WrongServer:
-			a.server.Load.Unreachable(now)
+			a.server.State.Unreachable(now)
 		case a.head.Notice.Backoff == 0:
-			a.server.Load.Declined(now)
+			a.server.State.Declined(now)
 		}
 		return
 	}
@@ -214,7 +214,7 @@
 	j.made = j.made.With(attempts.Unknown)
 	j.count()
 	if a.head.Loaded {
-		a.server.Load.Report(a.head.Load)
+		a.server.State.Report(a.head.Load)
 	}
 }
 
@@ -230,7 +230,7 @@
 // hear keeps what a server says of itself with an answer, whatever becomes of that.
 func (j *job) hear(a *attempt, now time.Time) {
 	n := a.head.Notice
-	if (n.Leaving || n.Backoff > 0) && a.server.Load.Notices.Observe(n, now) && j.engine.Noticed != nil {
+	if (n.Leaving || n.Backoff > 0) && a.server.State.Notices.Observe(n, now) && j.engine.Noticed != nil {
 		j.engine.Noticed(a.server, n)
 	}
 	j.hearLimit(a, now)
@@ -238,7 +238,7 @@
 
 // hearLimit keeps the limit that an answer names: the next request goes by it.
 func (j *job) hearLimit(a *attempt, now time.Time) {
-	was, is := a.server.Load.Notices.ObserveLimit(a.head.Notice.Limit, a.sent, now, "")
+	was, is := a.server.State.Notices.ObserveLimit(a.head.Notice.Limit, a.sent, now, "")
 	if !is.Differs(was) {
 		return
 	}
@@ -258,7 +258,7 @@
 // taken long, on a slow VM most of all, and answers to others have come meanwhile.
 func (j *job) mayArrive(a *attempt) error {
 	now := time.Now()
-	if !a.server.Open(now) || !a.server.Load.Admit(a.sent, now) {
+	if !a.server.Open(now) || !a.server.State.Admit(a.sent, now) {
 		return errNotOpen
 	}
 	if !j.paysFor(now) {
@@ -293,15 +293,15 @@
 	}
 	switch {
 	case channel.TimedOut(err):
-		a.server.Load.Silent(now)
+		a.server.State.Silent(now)
 		j.silent = append(j.silent, a.server.Hall)
 	case fault.Is(err, channel.Unreachable):
-		a.server.Load.Unreachable(now)
+		a.server.State.Unreachable(now)
 		if channel.ConnectionRefused(err) {
 			j.engine.serverEnded(placeOf(a.server))
 		}
 	default:
-		a.server.Load.Broke(now)
+		a.server.State.Broke(now)
 		j.engine.look(placeOf(a.server))
 	}
 }
@@ -326,7 +326,7 @@
 		a.reply.Close()
 	}
 	a.cancel()
-	a.server.Load.End(a.weight)
+	a.server.State.End(a.weight)
 	j.depart(a)
 }
 
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -295,7 +295,7 @@
 		first, second := b.server("a", s), b.server("b", s)
 		for range 5 {
 			// The second one has more to do, as far as this daemon knows.
-			second.Load.Begin(1)
+			second.State.Begin(1)
 		}
 		b.known.set(routemap.New(parts(1, "k")), first, second)
 		ask := func() {
@@ -636,7 +636,7 @@
 		grey, sound := b.server("a", whole(500, "")), b.server("b", whole(200, "ok"))
 		for range 5 {
 			// The sound one is busier.
-			sound.Load.Begin(1)
+			sound.State.Begin(1)
 		}
 		b.known.set(routemap.New(parts(1, "k")), grey, sound)
 		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
@@ -691,8 +691,8 @@
 					t.Errorf("%s: %v", name, got.outcome)
 				}
 			}
-			if server.Load.Resting(time.Now()) || server.Load.Slowness() != 1 {
-				t.Errorf("%s: the server rests %v, its slowness is %v", name, server.Load.Resting(time.Now()), server.Load.Slowness())
+			if server.State.Resting(time.Now()) || server.State.Slowness() != 1 {
+				t.Errorf("%s: the server rests %v, its slowness is %v", name, server.State.Resting(time.Now()), server.State.Slowness())
 			}
 		}
 	})
@@ -739,7 +739,7 @@
 		home.Hall = "home"
 		for range 9 {
 			// The one at home is busier.
-			home.Load.Begin(1)
+			home.State.Begin(1)
 		}
 		b.known.set(routemap.New(parts(1, "k")), append(all, home)...)
 		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -205,7 +205,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.scripts[id] = s
-	return &fleet.Server{ID: id, Service: "s", Addr: id, Version: "v1", Load: fleet.NewServerState(fleet.NewHallState())}
+	return &fleet.Server{ID: id, Service: "s", Addr: id, Version: "v1", State: fleet.NewServerState(fleet.NewHallState())}
 }
 
 // mortal is a server that ends some time after a body has reached it: its connections break
--- a/daemon/proxy/limit_test.go
+++ b/daemon/proxy/limit_test.go
@@ -173,10 +173,10 @@
 			inBubble(t, func(t *testing.T) {
 				b := newBench(t)
 				one, other := b.server("a", c.first), b.server("b", events(1, 3, true, "Confidence: 95"))
-				other.Load.Begin(50)
+				other.State.Begin(50)
 				b.known.set(routemap.New(parts(1, "k")), one, other)
 				b.ask(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Wait: time.Second})
-				if q, ok := one.Load.Quota(); !ok || q.TotalRate != 0.45 {
+				if q, ok := one.State.Quota(); !ok || q.TotalRate != 0.45 {
 					t.Fatalf("its quota is %+v, %v", q, ok)
 				}
 				before := b.at("a")
@@ -195,13 +195,13 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		one, other := b.server("a", whole(200, "ok")), b.server("b", whole(200, "ok"))
-		other.Load.Begin(50)
+		other.State.Begin(50)
 		b.known.set(routemap.New(parts(1, "k")), one, other)
 		dial := b.engine.Channels.Dial
 		b.engine.Channels.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			if addr == "a" {
 				time.Sleep(300 * time.Millisecond)
-				one.Load.Notices.ObserveLimit(notice.Limit{Rate: 1}, time.Now(), time.Now(), "")
+				one.State.Notices.ObserveLimit(notice.Limit{Rate: 1}, time.Now(), time.Now(), "")
 				one.KeepLimit(b.known.View().Sharers, time.Now())
 			}
 			return dial(ctx, addr)
@@ -272,7 +272,7 @@
 			inBubble(t, func(t *testing.T) {
 				b := newBench(t)
 				fails, other := b.server("a", whole(500, "no")), b.server("b", whole(200, "ok"))
-				other.Load.Begin(50)
+				other.State.Begin(50)
 				b.known.set(routemap.New(parts(1, "k")), fails, other)
 				dial := b.engine.Channels.Dial
 				b.engine.Channels.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
--- a/daemon/proxy/notice_test.go
+++ b/daemon/proxy/notice_test.go
@@ -60,7 +60,7 @@
 				leaver := b.server("a", c.first)
 				// The other one is busy, so that the first request goes to the one that leaves.
 				other := b.server("b", c.other)
-				other.Load.Begin(50)
+				other.State.Begin(50)
 				b.known.set(routemap.New(parts(1, "k")), leaver, other)
 				b.ask(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Wait: time.Second})
 				if b.at("a") != 1 || leaver.Usable() {
@@ -82,7 +82,7 @@
 		b.engine.Noticed = func(s *fleet.Server, n notice.Notice) { noticed = append(noticed, s.ID+" "+n.String()) }
 		tired := b.server("a", whole(503, "", "Declined: 1", rests))
 		other := b.server("b", whole(200, "ok"))
-		other.Load.Begin(50)
+		other.State.Begin(50)
 		b.known.set(routemap.New(parts(1, "k")), tired, other)
 		if bad := b.ask20("first", "/once/x"); bad > 0 || b.at("a") != 1 {
 			t.Errorf("%d went wrong, %d reached the server that wants rest", bad, b.at("a"))
@@ -131,13 +131,13 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		leaver, other := b.server("a", whole(200, "ok")), b.server("b", whole(200, "ok"))
-		other.Load.Begin(50)
+		other.State.Begin(50)
 		b.known.set(routemap.New(parts(1, "k")), leaver, other)
 		dial := b.engine.Channels.Dial
 		b.engine.Channels.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			if addr == "a" {
 				time.Sleep(300 * time.Millisecond)
-				leaver.Load.Notices.Observe(notice.Notice{Leaving: true}, time.Now())
+				leaver.State.Notices.Observe(notice.Notice{Leaving: true}, time.Now())
 			}
 			return dial(ctx, addr)
 		}
--- a/daemon/proxy/whole.go
+++ b/daemon/proxy/whole.go
@@ -69,7 +69,7 @@
 	a.done = true
 	w := &whole{status: a.reply.Status, header: a.reply.Header, body: body}
 	if w.status >= http.StatusInternalServerError {
-		a.server.Load.Failed()
+		a.server.State.Failed()
 		j.failed = append(j.failed, a.server.Incarnation())
 		j.observe(a, true)
 		j.note(a, fmt.Sprintf("status %d", w.status))
@@ -106,7 +106,7 @@
 // learn notes how long a server took for the first part of an answer.
 func (j *job) learn(a *attempt, took time.Duration) {
 	a.relative = j.engine.paces.of(a.kind).Relative(j.request.size(), took)
-	a.server.Load.Answered(a.relative)
+	a.server.State.Answered(a.relative)
 	j.engine.paces.learn(a.kind, func(e latency.Estimate) latency.Estimate { return e.With(j.request.size(), took, time.Now()) })
 	a.first = j.compare(a, j.like(a), took)
 }
--- a/daemon/storesync/changes.go
+++ b/daemon/storesync/changes.go
@@ -114,8 +114,8 @@
 		return
 	}
 	i := s.Incarnation()
-	if s.Load.Notices.Active(now) && len(k.unlisted) < mostUnlisted {
-		k.unlisted[i] = unlisted{notices: s.Load.Notices, since: now}
+	if s.State.Notices.Active(now) && len(k.unlisted) < mostUnlisted {
+		k.unlisted[i] = unlisted{notices: s.State.Notices, since: now}
 	}
 	delete(k.loads, i)
 	delete(k.coldUntil, i)
--- a/daemon/storesync/drive.go
+++ b/daemon/storesync/drive.go
@@ -134,7 +134,7 @@
 		out[service] = 0
 		for _, s := range v.Servers.Service(service) {
 			if s.Version != r.Order.Version {
-				out[service] += s.Load.InFlight()
+				out[service] += s.State.InFlight()
 			}
 		}
 	}
--- a/daemon/storesync/halls_test.go
+++ b/daemon/storesync/halls_test.go
@@ -126,7 +126,7 @@
 		if s == nil {
 			continue
 		}
-		if c := s.Load.Cold(); time.Now().Before(c.Until) {
+		if c := s.State.Cold(); time.Now().Before(c.Until) {
 			sum, cold = sum+c.Most, cold+1
 		}
 	}
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -100,12 +100,12 @@
 }
 
 func (k *Keeper) listLimit(s *fleet.Server, now time.Time) {
-	if s.Load.Notices.State().Limit.ReceivedAt.IsZero() {
+	if s.State.Notices.State().Limit.ReceivedAt.IsZero() {
 		return
 	}
 	was := k.limits.known[s.Incarnation()]
 	k.limits.known[s.Incarnation()] = s
-	if was == nil || was.Load != s.Load || was.Hall != s.Hall {
+	if was == nil || was.State != s.State || was.Hall != s.Hall {
 		s.KeepLimit(k.view.Load().Sharers, now)
 	}
 }
@@ -114,7 +114,7 @@
 func (l *limits) sum() uint64 {
 	var sum uint64
 	for i, s := range l.known {
-		if rate := s.Load.Notices.State().Limit.Rate; rate > 0 {
+		if rate := s.State.Notices.State().Limit.Rate; rate > 0 {
 			sum += xxhash.Sum64String(i.String()) ^ math.Float64bits(rate)
 		}
 	}
@@ -125,7 +125,7 @@
 func (l *limits) list(now time.Time) []gossip.Limit {
 	var out []gossip.Limit
 	for _, s := range l.known {
-		is := s.Load.Notices.State().Limit
+		is := s.State.Notices.State().Limit
 		if is.ReceivedAt.IsZero() || is.Rate == 0 && now.Sub(is.ReceivedAt) > endedFor {
 			continue
 		}
@@ -175,7 +175,7 @@
 		}
 		s := e.server
 		word := notice.Limit{Rate: l.Rate, Lifted: l.Rate == 0}
-		was, is := s.Load.Notices.ObserveLimit(word, before(now, l.AskedMS), before(now, l.HeardMS), from)
+		was, is := s.State.Notices.ObserveLimit(word, before(now, l.AskedMS), before(now, l.HeardMS), from)
 		if is.Rate == was.Rate {
 			continue
 		}
--- a/daemon/storesync/limits_test.go
+++ b/daemon/storesync/limits_test.go
@@ -13,7 +13,7 @@
 func says(t *testing.T, k *storesync.Keeper, rate float64) {
 	t.Helper()
 	s, now := only(t, k), time.Now()
-	was, is := s.Load.Notices.ObserveLimit(notice.Limit{Rate: rate, Lifted: rate == 0}, now.Add(-10*time.Millisecond), now, "")
+	was, is := s.State.Notices.ObserveLimit(notice.Limit{Rate: rate, Lifted: rate == 0}, now.Add(-10*time.Millisecond), now, "")
 	if is.Rate != was.Rate {
 		s.KeepLimit(k.View().Sharers, now)
 		k.LimitHeard(s)
@@ -25,8 +25,8 @@
 	t.Helper()
 	out := map[float64]int{}
 	for _, k := range daemons {
-		if _, ok := only(t, k).Load.Quota(); ok {
-			out[only(t, k).Load.Notices.State().Limit.Rate]++
+		if _, ok := only(t, k).State.Quota(); ok {
+			out[only(t, k).State.Notices.State().Limit.Rate]++
 		} else {
 			out[0]++
 		}
@@ -70,7 +70,7 @@
 		pass(4 * time.Second)
 		sum := 0.0
 		for _, k := range append(daemons, more) {
-			q, ok := only(t, k).Load.Quota()
+			q, ok := only(t, k).State.Quota()
 			if !ok {
 				t.Error("a daemon keeps no limit")
 			}
@@ -96,12 +96,12 @@
 		pass(5 * time.Second)
 		s.rows.set(gossip.Servers, "a", "v1#100")
 		pass(time.Second)
-		if q, ok := only(t, k).Load.Quota(); !ok || q.Rate == 0 {
+		if q, ok := only(t, k).State.Quota(); !ok || q.Rate == 0 {
 			t.Errorf("the limit is forgotten with its entry: %+v", q)
 		}
 		s.rows.set(gossip.Servers, "a", "v1#200")
 		pass(time.Second)
-		if _, ok := only(t, k).Load.Quota(); ok {
+		if _, ok := only(t, k).State.Quota(); ok {
 			t.Error("a later start is held to the limit of an earlier one")
 		}
 	})
--- a/daemon/storesync/notices_test.go
+++ b/daemon/storesync/notices_test.go
@@ -19,18 +19,18 @@
 		k := s.daemon("d")
 		pass(2 * time.Second)
 		before := only(t, k)
-		before.Load.Notices.Observe(notice.Notice{Leaving: true}, time.Now())
+		before.State.Notices.Observe(notice.Notice{Leaving: true}, time.Now())
 		s.rows.set(gossip.Servers, "a", "")
 		pass(5 * time.Second)
 		if got := only(t, k); got != nil {
 			t.Fatalf("still listed: %+v", got.Incarnation())
 		}
 		// An answer that was under way tells more.
-		before.Load.Notices.Observe(notice.Notice{Backoff: time.Minute}, time.Now())
+		before.State.Notices.Observe(notice.Notice{Backoff: time.Minute}, time.Now())
 		s.rows.set(gossip.Servers, "a", "v1#100")
 		pass(time.Second)
 		after := only(t, k)
-		if after == nil || after == before || after.Usable() || !after.Load.Notices.State().InBackoff(time.Now()) {
+		if after == nil || after == before || after.Usable() || !after.State.Notices.State().InBackoff(time.Now()) {
 			t.Errorf("what the server said is forgotten with its entry")
 		}
 		s.rows.set(gossip.Servers, "a", "v1#200")
--- a/daemon/storesync/read.go
+++ b/daemon/storesync/read.go
@@ -161,7 +161,7 @@
 		k.loads[i] = fleet.NewServerState(k.hall(s.Hall))
 		k.loads[i].Notices = k.noticesOf(i)
 	}
-	s.Load = k.loads[i]
+	s.State = k.loads[i]
 	return &s
 }
 
@@ -190,7 +190,7 @@
 func (k *Keeper) forgetLoads(servers []*fleet.Server, now time.Time) {
 	kept := make(map[fleet.Incarnation]*fleet.ServerState, len(servers))
 	for _, s := range servers {
-		kept[s.Incarnation()] = s.Load
+		kept[s.Incarnation()] = s.State
 	}
 	k.keepNotices(kept, now)
 	k.loads = kept
--- a/daemon/storesync/starts_test.go
+++ b/daemon/storesync/starts_test.go
@@ -34,19 +34,19 @@
 		k.BeganAgain = func(was *fleet.Server) { again = append(again, was.Incarnation()) }
 		pass(2 * time.Second)
 		before := only(t, k)
-		before.Load.Begin(3)
-		before.Load.Broke(time.Now())
-		before.Load.Broke(time.Now())
+		before.State.Begin(3)
+		before.State.Broke(time.Now())
+		before.State.Broke(time.Now())
 		// Its entry changes and it is the same.
 		s.rows.set(gossip.Servers, "a", "v1@h2#100")
 		pass(time.Second)
-		if only(t, k).Load != before.Load || len(again) > 0 {
+		if only(t, k).State != before.State || len(again) > 0 {
 			t.Error("an entry that changes makes another server")
 		}
 		s.rows.set(gossip.Servers, "a", "v1#200")
 		pass(time.Second)
 		after := only(t, k)
-		if after.Load == before.Load || after.Load.Work() != 0 || after.Load.Slowness() != 1 || after.Load.Resting(time.Now()) {
+		if after.State == before.State || after.State.Work() != 0 || after.State.Slowness() != 1 || after.State.Resting(time.Now()) {
 			t.Error("it has something of what was before")
 		}
 		if len(again) != 1 || again[0] != (fleet.Incarnation{ID: "a", Born: 100}) {
@@ -112,7 +112,7 @@
 		s.rows.set(gossip.Servers, "b", "v1")
 		reader, other := s.daemon("d1"), s.daemon("d2")
 		pass(3 * time.Second)
-		load := reader.View().Servers.Service("s")[1].Load
+		load := reader.View().Servers.Service("s")[1].State
 		s.rows.set(gossip.Servers, "a", "!")
 		pass(2 * time.Second)
 		for _, k := range []*storesync.Keeper{reader, other} {
@@ -120,7 +120,7 @@
 				t.Errorf("%s uses %v, counted are %d", k.Self.ID, got, k.Spoiled.Load())
 			}
 		}
-		if reader.View().Servers.Service("s")[0].Load != load {
+		if reader.View().Servers.Service("s")[0].State != load {
 			t.Error("another server is not what it was")
 		}
 		s.rows.set(gossip.Servers, "a", "v1")
--- a/daemon/storesync/work_test.go
+++ b/daemon/storesync/work_test.go
@@ -22,7 +22,7 @@
 
 // crowded is what a daemon has been told of others' work at a server.
 func crowded(k *storesync.Keeper, id string) float64 {
-	return server(k, id).Load.Crowded(time.Now())
+	return server(k, id).State.Crowded(time.Now())
 }
 
 // Work that some daemons have at a server is known to all within four seconds, in their
@@ -45,7 +45,7 @@
 		pass(10 * time.Second)
 		busy := []string{"a", "c"}
 		for _, id := range busy {
-			server(keepers[id], "s1").Load.Begin(20)
+			server(keepers[id], "s1").State.Begin(20)
 		}
 		pass(4 * time.Second)
 		for id, k := range keepers {
@@ -63,7 +63,7 @@
 				t.Errorf("%s takes %.1f at s2 for crowding", id, got)
 			}
 		}
-		server(keepers["a"], "s1").Load.End(20)
+		server(keepers["a"], "s1").State.End(20)
 		s.mesh.mu.Lock()
 		s.mesh.gone["c"] = true
 		s.mesh.mu.Unlock()
