--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -15,7 +15,7 @@
 // The servers are scanned once, without building lists of candidates: with 116 servers,
 // a third of which have the prompt cached, this takes a fifth of the time that lists
 // and a hash of each name took (BenchmarkChoose).
-func (l *List) Choose(w Want, now time.Time) (*Server, bool) {
+func (l *List) Choose(w Criteria, now time.Time) (*Server, bool) {
 	for {
 		s := l.choose(w, now)
 		if s == nil {
@@ -30,7 +30,7 @@
 }
 
 // choose returns the best server, or nil if there is none.
-func (l *List) choose(w Want, now time.Time) *Server {
+func (l *List) choose(w Criteria, now time.Time) *Server {
 	if w.Part > 0 {
 		return l.chooseFromSubset(w, now)
 	}
@@ -52,7 +52,7 @@
 }
 
 // chooseFromSubset chooses from the fraction of the servers that the request may use.
-func (l *List) chooseFromSubset(w Want, now time.Time) *Server {
+func (l *List) chooseFromSubset(w Criteria, now time.Time) *Server {
 	var preferred, fallback []*Server
 	for _, s := range l.open[w.Service] {
 		seen := s.State.snapshot(now)
@@ -99,7 +99,7 @@
 }
 
 // eligible reports whether a server may receive the request at all.
-func eligible(s *Server, w Want, now time.Time) bool {
+func eligible(s *Server, w Criteria, now time.Time) bool {
 	switch {
 	case !s.Open(now), slices.Contains(w.Avoid, s.Incarnation()):
 		return false
@@ -110,7 +110,7 @@
 }
 
 // isFallback reports whether a server is used only if there is no other.
-func isFallback(s *Server, w Want) bool {
+func isFallback(s *Server, w Criteria) bool {
 	return slices.Contains(w.Silent, s.Hall) || slices.Contains(w.Aside, s.name)
 }
 
@@ -127,7 +127,7 @@
 // the attainable value with long prompts on few servers, and by 0.004 and -0.003 with
 // shorter prompts on more servers (six and three seeds of five days each).
 type selector struct {
-	criteria Want
+	criteria Criteria
 	now      time.Time
 
 	// ownCost is the cost of processing the part of the prompt that no other request
@@ -150,7 +150,7 @@
 	load   float64
 }
 
-func newSelector(w Want, now time.Time) selector {
+func newSelector(w Criteria, now time.Time) selector {
 	return selector{criteria: w, now: now, ownCost: w.Piece * float64(w.Prompt.Own()) / PieceTokens, cost: math.Inf(1)}
 }
 
--- a/core/fleet/cold_test.go
+++ b/core/fleet/cold_test.go
@@ -18,14 +18,14 @@
 	all := fleet.NewList(servers)
 	some := all.WithEmptied(map[string]bool{"drained": true})
 	for i := range uint64(200) {
-		if s, ok := some.Choose(fleet.Want{Service: "s", Affinity: i + 1}, now); !ok || s.Hall == "drained" {
+		if s, ok := some.Choose(fleet.Criteria{Service: "s", Affinity: i + 1}, now); !ok || s.Hall == "drained" {
 			t.Fatal("a drained hall was chosen, or no server")
 		}
 	}
-	if s, ok := some.WithEmptied(map[string]bool{"drained": true, "h": true}).Choose(fleet.Want{Service: "s"}, now); ok {
+	if s, ok := some.WithEmptied(map[string]bool{"drained": true, "h": true}).Choose(fleet.Criteria{Service: "s"}, now); ok {
 		t.Errorf("%s was chosen though all halls are drained", s.ID)
 	}
-	if s, _ := all.Choose(fleet.Want{Service: "s", Hall: "drained"}, now); s.Hall != "drained" {
+	if s, _ := all.Choose(fleet.Criteria{Service: "s", Hall: "drained"}, now); s.Hall != "drained" {
 		t.Error("a hall that is no longer drained receives no requests")
 	}
 }
@@ -33,7 +33,7 @@
 func TestOnlyAllowedHallsAreChosen(t *testing.T) {
 	servers := pool(4)
 	servers[3].Hall = "home"
-	w := fleet.Want{Home: func(hall string) bool { return hall == "home" }}
+	w := fleet.Criteria{Home: func(hall string) bool { return hall == "home" }}
 	for i := range uint64(100) {
 		w.Affinity = i + 1
 		if s := choose(t, servers, w); s != servers[3] {
@@ -54,7 +54,7 @@
 	list := fleet.NewList(servers)
 	var sent []time.Time
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(7 * time.Millisecond) {
-		s, ok := list.Choose(fleet.Want{Service: "s", Hall: "h"}, at)
+		s, ok := list.Choose(fleet.Criteria{Service: "s", Hall: "h"}, at)
 		if !ok {
 			t.Fatal("no server")
 		}
@@ -74,13 +74,13 @@
 		t.Errorf("%d requests in three seconds", len(sent))
 	}
 	servers[0].State.SetCold(fleet.Cold{Until: now.Add(10 * time.Second)})
-	if s, _ := list.Choose(fleet.Want{Service: "s"}, now.Add(5*time.Second)); s != servers[1] {
+	if s, _ := list.Choose(fleet.Criteria{Service: "s"}, now.Add(5*time.Second)); s != servers[1] {
 		t.Error("a cold server was chosen though this daemon's share is zero")
 	}
-	if _, ok := fleet.NewList(servers[:1]).Choose(fleet.Want{Service: "s"}, now.Add(5*time.Second)); ok {
+	if _, ok := fleet.NewList(servers[:1]).Choose(fleet.Criteria{Service: "s"}, now.Add(5*time.Second)); ok {
 		t.Error("it was chosen because there is no other server")
 	}
-	if s, _ := fleet.NewList(servers[:1]).Choose(fleet.Want{Service: "s"}, now.Add(10*time.Second)); s != servers[0] {
+	if s, _ := fleet.NewList(servers[:1]).Choose(fleet.Criteria{Service: "s"}, now.Add(10*time.Second)); s != servers[0] {
 		t.Error("a server that has warmed up is not chosen")
 	}
 }
@@ -95,7 +95,7 @@
 		servers[0].State.SetCold(fleet.Cold{From: start.Add(fleet.ColdSpan), Until: now.Add(time.Minute), Most: most})
 		list, end := fleet.NewList(servers), start.Add(fleet.ColdSpan+300*time.Millisecond)
 		for at := start; at.Before(end); at = at.Add(7 * time.Millisecond) {
-			if _, ok := list.Choose(fleet.Want{Service: "s", Hall: "h"}, at); ok {
+			if _, ok := list.Choose(fleet.Criteria{Service: "s", Hall: "h"}, at); ok {
 				sent = append(sent, at)
 			}
 		}
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -158,7 +158,7 @@
 func (l *List) Service(name string) []*Server { return l.byService[name] }
 
 // Criteria are the requirements and preferences of a request for its server.
-type Want struct {
+type Criteria struct {
 	Service string
 	// Allowed reports whether a version may be used; nil allows all.
 	Allowed func(version string) bool
@@ -206,7 +206,7 @@
 // load that it would have with all requests: rounded down, one server carried nearly
 // twice its load and made good versions look slow. More servers are used only while all
 // of these are busier than the bound.
-func (l *List) subset(servers []*Server, w Want) []*Server {
+func (l *List) subset(servers []*Server, w Criteria) []*Server {
 	n := max(1, int(math.Round(w.Part*float64(len(servers)))))
 	if w.Part <= 0 || n >= len(servers) {
 		return servers
@@ -243,7 +243,7 @@
 // subsetLimit returns how many requests a server in the subset may have. Without a
 // bound, sessions that are busier than others concentrate on one server and make a good
 // version look slow.
-func (l *List) subsetLimit(w Want) float64 {
+func (l *List) subsetLimit(w Criteria) float64 {
 	sum, n := 0.0, 0.0
 	for _, s := range l.byService[w.Service] {
 		if s.Usable() && w.Allowed != nil && !w.Allowed(s.Version) {
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -23,7 +23,7 @@
 
 var now = time.Unix(1000, 0)
 
-func choose(t *testing.T, servers []*fleet.Server, w fleet.Want) *fleet.Server {
+func choose(t *testing.T, servers []*fleet.Server, w fleet.Criteria) *fleet.Server {
 	t.Helper()
 	w.Service = "s"
 	s, ok := fleet.NewList(servers).Choose(w, now)
@@ -37,7 +37,7 @@
 	servers := pool(4)
 	servers[0].Leaving = true
 	servers[1].Version = "v2"
-	only := fleet.Want{Service: "s", Avoid: []fleet.Incarnation{{ID: "e02"}}, Allowed: func(v string) bool { return v == "v1" }}
+	only := fleet.Criteria{Service: "s", Avoid: []fleet.Incarnation{{ID: "e02"}}, Allowed: func(v string) bool { return v == "v1" }}
 	for i := range uint64(100) {
 		only.Affinity = i
 		if s := choose(t, servers, only); s.ID != "e03" {
@@ -52,16 +52,16 @@
 
 func TestSharedPromptStaysOnOneServerUntilItIsMuchBusier(t *testing.T) {
 	servers := pool(8)
-	first := choose(t, servers, fleet.Want{Affinity: 42})
+	first := choose(t, servers, fleet.Criteria{Affinity: 42})
 	for range 4 {
-		if s := choose(t, servers, fleet.Want{Affinity: 42}); s != first {
+		if s := choose(t, servers, fleet.Criteria{Affinity: 42}); s != first {
 			t.Fatalf("%s after %s", s.ID, first.ID)
 		}
 	}
 	for range 10 {
 		first.State.Begin(1)
 	}
-	if s := choose(t, servers, fleet.Want{Affinity: 42}); s == first {
+	if s := choose(t, servers, fleet.Criteria{Affinity: 42}); s == first {
 		t.Error("a server that is much busier than the others was chosen")
 	}
 }
@@ -70,8 +70,8 @@
 	servers := pool(8)
 	moved := 0
 	for i := range uint64(1000) {
-		was := choose(t, servers, fleet.Want{Affinity: i + 1})
-		is := choose(t, servers[1:], fleet.Want{Affinity: i + 1})
+		was := choose(t, servers, fleet.Criteria{Affinity: i + 1})
+		is := choose(t, servers[1:], fleet.Criteria{Affinity: i + 1})
 		if was != servers[0] && was != is {
 			moved++
 		}
@@ -87,15 +87,15 @@
 	for range 5 {
 		servers[1].State.Begin(1)
 	}
-	if s := choose(t, servers, fleet.Want{}); s != servers[1] {
+	if s := choose(t, servers, fleet.Criteria{}); s != servers[1] {
 		t.Error("a server that could not be reached was chosen")
 	}
 	later := now.Add(5 * time.Second)
-	if s, _ := fleet.NewList(servers).Choose(fleet.Want{Service: "s"}, later); s != servers[0] {
+	if s, _ := fleet.NewList(servers).Choose(fleet.Criteria{Service: "s"}, later); s != servers[0] {
 		t.Error("the server was not chosen again after its back-off")
 	}
 	servers[1].State.Unreachable(now)
-	if _, ok := fleet.NewList(servers).Choose(fleet.Want{Service: "s"}, now); !ok {
+	if _, ok := fleet.NewList(servers).Choose(fleet.Criteria{Service: "s"}, now); !ok {
 		t.Error("no server was chosen while all are in back-off")
 	}
 }
@@ -111,13 +111,13 @@
 			servers[1].State.Answered(1)
 		}
 		servers[1].State.Begin(1)
-		if s := choose(t, servers, fleet.Want{}); s != servers[1] {
+		if s := choose(t, servers, fleet.Criteria{}); s != servers[1] {
 			t.Errorf("%s: the impaired server was chosen over one with one more request", name)
 		}
 		for range 60 {
 			servers[0].State.Answered(1)
 		}
-		if s := choose(t, servers, fleet.Want{}); s != servers[0] {
+		if s := choose(t, servers, fleet.Criteria{}); s != servers[0] {
 			t.Errorf("%s: the server did not recover", name)
 		}
 	}
@@ -126,13 +126,13 @@
 func TestOwnHallIsPreferredUntilItIsBusier(t *testing.T) {
 	servers := pool(2)
 	servers[1].Hall = "other"
-	if s := choose(t, servers, fleet.Want{Hall: "h"}); s != servers[0] {
+	if s := choose(t, servers, fleet.Criteria{Hall: "h"}); s != servers[0] {
 		t.Error("a server of another hall was chosen")
 	}
 	for range 5 {
 		servers[0].State.Begin(1)
 	}
-	if s := choose(t, servers, fleet.Want{Hall: "h"}); s != servers[1] {
+	if s := choose(t, servers, fleet.Criteria{Hall: "h"}); s != servers[1] {
 		t.Error("the request's own hall was chosen though it is busier")
 	}
 }
@@ -144,7 +144,7 @@
 	}
 	met := map[string]bool{}
 	for i := range uint64(200) {
-		s := choose(t, servers, fleet.Want{Affinity: i + 1, Hall: "h", Near: true})
+		s := choose(t, servers, fleet.Criteria{Affinity: i + 1, Hall: "h", Near: true})
 		if s.Hall != "h" {
 			t.Fatalf("%s of another hall was chosen", s.ID)
 		}
@@ -153,7 +153,7 @@
 	if len(met) != 4 {
 		t.Errorf("%d of the hall's 4 servers were chosen", len(met))
 	}
-	if s := choose(t, servers[:4], fleet.Want{Affinity: 1, Hall: "h", Near: true}); s.Hall != "other" {
+	if s := choose(t, servers[:4], fleet.Criteria{Affinity: 1, Hall: "h", Near: true}); s.Hall != "other" {
 		t.Error("without a server in the hall, no server of another hall was chosen")
 	}
 }
@@ -173,11 +173,11 @@
 	}
 	far[2].State.Silent(now)
 	for i := range uint64(200) {
-		if s := choose(t, all, fleet.Want{Affinity: i + 1}); s.Hall == "far" {
+		if s := choose(t, all, fleet.Criteria{Affinity: i + 1}); s.Hall == "far" {
 			t.Fatalf("%s was chosen", s.ID)
 		}
 	}
-	if s, ok := fleet.NewList(far).Choose(fleet.Want{Service: "s"}, now); !ok || s.Hall != "far" {
+	if s, ok := fleet.NewList(far).Choose(fleet.Criteria{Service: "s"}, now); !ok || s.Hall != "far" {
 		t.Error("the hall is not used though there is no other")
 	}
 	far[3].State.Answered(1)
@@ -220,7 +220,7 @@
 	later := now.Add(1500 * time.Millisecond)
 	probes := 0
 	for i := range uint64(200) {
-		s, ok := fleet.NewList(all).Choose(fleet.Want{Service: "s", Affinity: i + 1}, later)
+		s, ok := fleet.NewList(all).Choose(fleet.Criteria{Service: "s", Affinity: i + 1}, later)
 		if ok && s.Hall == "far" {
 			probes++
 		}
@@ -237,11 +237,11 @@
 	}
 	all := append(near, far...)
 	for i := range uint64(50) {
-		if s := choose(t, all, fleet.Want{Affinity: i + 1, Silent: []string{"far"}}); s.Hall == "far" {
+		if s := choose(t, all, fleet.Criteria{Affinity: i + 1, Silent: []string{"far"}}); s.Hall == "far" {
 			t.Fatal("a server of the hall that timed out was chosen")
 		}
 	}
-	if s := choose(t, far, fleet.Want{Silent: []string{"far"}}); s.Hall != "far" {
+	if s := choose(t, far, fleet.Criteria{Silent: []string{"far"}}); s.Hall != "far" {
 		t.Error("the hall is not used though there is no other")
 	}
 }
@@ -253,11 +253,11 @@
 	for range 3 {
 		servers[1].State.Begin(1)
 	}
-	if s := choose(t, servers, fleet.Want{}); s != servers[1] {
+	if s := choose(t, servers, fleet.Criteria{}); s != servers[1] {
 		t.Error("the server with the long prompt was chosen")
 	}
 	servers[0].State.End(6)
-	if s := choose(t, servers, fleet.Want{}); s != servers[0] {
+	if s := choose(t, servers, fleet.Criteria{}); s != servers[0] {
 		t.Error("the end of the request does not reduce the load")
 	}
 }
@@ -268,7 +268,7 @@
 	used := func(servers []*fleet.Server, part float64) map[string]bool {
 		out := map[string]bool{}
 		for i := range uint64(200) {
-			out[choose(t, servers, fleet.Want{Affinity: i + 1, Part: part}).ID] = true
+			out[choose(t, servers, fleet.Criteria{Affinity: i + 1, Part: part}).ID] = true
 		}
 		return out
 	}
@@ -298,8 +298,8 @@
 func TestPromptMovesWhenWaitingCostsMoreThanProcessing(t *testing.T) {
 	servers := pool(6)
 	parts := []prefixcache.Part{{ID: "policy", Tokens: 12000}, {ID: "own", Tokens: 1000}}
-	want := func(model string, blockCost float64) fleet.Want {
-		return fleet.Want{Affinity: 42, Prompt: prefixcache.For(model, parts), Piece: blockCost}
+	want := func(model string, blockCost float64) fleet.Criteria {
+		return fleet.Criteria{Affinity: 42, Prompt: prefixcache.For(model, parts), Piece: blockCost}
 	}
 	home := choose(t, servers, want("small", 1))
 	home.State.Begin(5)
@@ -335,7 +335,7 @@
 		servers := pool(12)
 		used := map[string]bool{}
 		for i := range uint64(200) {
-			used[choose(t, servers, fleet.Want{Affinity: i + 1, Part: part}).ID] = true
+			used[choose(t, servers, fleet.Criteria{Affinity: i + 1, Part: part}).ID] = true
 		}
 		if len(used) != want {
 			t.Errorf("a fraction of %v uses %d of 12 servers, want %d", part, len(used), want)
@@ -356,7 +356,7 @@
 	used := func() map[string]bool {
 		out := map[string]bool{}
 		for i := range uint64(100) {
-			w := fleet.Want{Affinity: i + 1, Part: 0.1, Allowed: func(v string) bool { return v != "old" }}
+			w := fleet.Criteria{Affinity: i + 1, Part: 0.1, Allowed: func(v string) bool { return v != "old" }}
 			out[choose(t, servers, w).ID] = true
 		}
 		return out
@@ -387,7 +387,7 @@
 	used := func(part, phase float64) map[string]bool {
 		out := map[string]bool{}
 		for i := range uint64(100) {
-			out[choose(t, servers, fleet.Want{Affinity: i + 1, Part: part, Phase: phase}).ID] = true
+			out[choose(t, servers, fleet.Criteria{Affinity: i + 1, Part: part, Phase: phase}).ID] = true
 		}
 		return out
 	}
@@ -436,7 +436,7 @@
 			}
 			return c
 		}
-		got, ok := fleet.NewList(servers).Choose(fleet.Want{Service: "s", Hall: "h"}, now)
+		got, ok := fleet.NewList(servers).Choose(fleet.Criteria{Service: "s", Hall: "h"}, now)
 		for _, s := range servers {
 			if s.Leaving {
 				continue
--- a/core/fleet/notice_test.go
+++ b/core/fleet/notice_test.go
@@ -62,16 +62,16 @@
 	for range 10 {
 		servers[0].State.Declined(at)
 	}
-	if s, _ := l.Choose(fleet.Want{Service: "s"}, at.Add(time.Second)); s != servers[1] {
+	if s, _ := l.Choose(fleet.Criteria{Service: "s"}, at.Add(time.Second)); s != servers[1] {
 		t.Error("a server that has declined ten times is preferred after a second")
 	}
-	if s, _ := l.Choose(fleet.Want{Service: "s", Avoid: []fleet.Incarnation{servers[1].Incarnation()}}, at); s != servers[0] {
+	if s, _ := l.Choose(fleet.Criteria{Service: "s", Avoid: []fleet.Incarnation{servers[1].Incarnation()}}, at); s != servers[0] {
 		t.Error("the last remaining server is not chosen")
 	}
 	at = at.Add(2 * time.Second)
 	servers[0].State.Answered(1)
 	servers[0].State.Declined(at)
-	if s, _ := l.Choose(fleet.Want{Service: "s"}, at.Add(150*time.Millisecond)); s != servers[0] {
+	if s, _ := l.Choose(fleet.Criteria{Service: "s"}, at.Add(150*time.Millisecond)); s != servers[0] {
 		t.Error("an answer does not reset the count of declined requests")
 	}
 }
@@ -104,7 +104,7 @@
 		var avoid []fleet.Incarnation
 		served := false
 		for range attempts {
-			s, ok := l.Choose(fleet.Want{Service: "s", Affinity: uint64(n%50 + 1), Avoid: avoid}, at)
+			s, ok := l.Choose(fleet.Criteria{Service: "s", Affinity: uint64(n%50 + 1), Avoid: avoid}, at)
 			if !ok {
 				break
 			}
@@ -137,10 +137,10 @@
 	if !ok || limited || !at.Equal(now.Add(2*time.Second)) {
 		t.Errorf("%v %v", at, ok)
 	}
-	if _, ok := l.Choose(fleet.Want{Service: "s"}, now); ok {
+	if _, ok := l.Choose(fleet.Criteria{Service: "s"}, now); ok {
 		t.Error("a server was chosen during its back-off")
 	}
-	if s, ok := l.Choose(fleet.Want{Service: "s"}, at); !ok || s != servers[1] {
+	if s, ok := l.Choose(fleet.Criteria{Service: "s"}, at); !ok || s != servers[1] {
 		t.Errorf("%v", s)
 	}
 	if _, _, ok := l.OpensAt("other", now); ok {
@@ -153,7 +153,7 @@
 func TestSubsetExcludesLeavingServer(t *testing.T) {
 	servers := pool(6)
 	l := fleet.NewList(servers)
-	w := fleet.Want{Service: "s", Part: 0.2}
+	w := fleet.Criteria{Service: "s", Part: 0.2}
 	first, _ := l.Choose(w, now)
 	first.State.Notices.Observe(notice.Notice{Leaving: true}, now)
 	if s, ok := l.Choose(w, now); !ok || s == first {
--- a/daemon/storesync/halls_test.go
+++ b/daemon/storesync/halls_test.go
@@ -15,7 +15,7 @@
 func usedHalls(k *storesync.Keeper) map[string]bool {
 	out := map[string]bool{}
 	for i := range uint64(50) {
-		if s, ok := k.View().Servers.Choose(fleet.Want{Service: "s", Affinity: i + 1}, time.Now()); ok {
+		if s, ok := k.View().Servers.Choose(fleet.Criteria{Service: "s", Affinity: i + 1}, time.Now()); ok {
 			out[s.Hall] = true
 		}
 	}
