--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -106,7 +106,7 @@
 	case w.Allowed != nil && !w.Allowed(s.Version):
 		return false
 	}
-	return w.Home == nil || w.Home(s.Hall)
+	return w.HallAllowed == nil || w.HallAllowed(s.Hall)
 }
 
 // isFallback reports whether a server is used only if there is no other.
--- a/core/fleet/cold_test.go
+++ b/core/fleet/cold_test.go
@@ -33,7 +33,7 @@
 func TestOnlyAllowedHallsAreChosen(t *testing.T) {
 	servers := pool(4)
 	servers[3].Hall = "home"
-	w := fleet.Criteria{Home: func(hall string) bool { return hall == "home" }}
+	w := fleet.Criteria{HallAllowed: func(hall string) bool { return hall == "home" }}
 	for i := range uint64(100) {
 		w.Affinity = i + 1
 		if s := choose(t, servers, w); s != servers[3] {
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -163,7 +163,7 @@
 	// Allowed reports whether a version may be used; nil allows all.
 	Allowed func(version string) bool
 	// HallAllowed reports whether servers of a data hall may be used; nil allows all.
-	Home func(hall string) bool
+	HallAllowed func(hall string) bool
 	// Fraction is the fraction of the allowed servers in use, the same servers for all
 	// daemons; 0 is all.
 	Part float64
