--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -31,7 +31,7 @@
 
 // choose returns the best server, or nil if there is none.
 func (l *List) choose(w Criteria, now time.Time) *Server {
-	if w.Part > 0 {
+	if w.Fraction > 0 {
 		return l.chooseFromSubset(w, now)
 	}
 	preferred, fallback := newSelector(w, now), newSelector(w, now)
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -166,7 +166,7 @@
 	HallAllowed func(hall string) bool
 	// Fraction is the fraction of the allowed servers in use, the same servers for all
 	// daemons; 0 is all.
-	Part float64
+	Fraction float64
 	// Progress is how far a trial of the version has come, from 0 to 1: if the fraction
 	// amounts to fewer servers than the trial needs, different ones are used in turn.
 	Phase float64
@@ -207,8 +207,8 @@
 // twice its load and made good versions look slow. More servers are used only while all
 // of these are busier than the bound.
 func (l *List) subset(servers []*Server, w Criteria) []*Server {
-	n := max(1, int(math.Round(w.Part*float64(len(servers)))))
-	if w.Part <= 0 || n >= len(servers) {
+	n := max(1, int(math.Round(w.Fraction*float64(len(servers)))))
+	if w.Fraction <= 0 || n >= len(servers) {
 		return servers
 	}
 	offset := subsetOffset(n, w.Phase) % len(servers)
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -268,7 +268,7 @@
 	used := func(servers []*fleet.Server, part float64) map[string]bool {
 		out := map[string]bool{}
 		for i := range uint64(200) {
-			out[choose(t, servers, fleet.Criteria{Affinity: i + 1, Part: part}).ID] = true
+			out[choose(t, servers, fleet.Criteria{Affinity: i + 1, Fraction: part}).ID] = true
 		}
 		return out
 	}
@@ -335,7 +335,7 @@
 		servers := pool(12)
 		used := map[string]bool{}
 		for i := range uint64(200) {
-			used[choose(t, servers, fleet.Criteria{Affinity: i + 1, Part: part}).ID] = true
+			used[choose(t, servers, fleet.Criteria{Affinity: i + 1, Fraction: part}).ID] = true
 		}
 		if len(used) != want {
 			t.Errorf("a fraction of %v uses %d of 12 servers, want %d", part, len(used), want)
@@ -356,7 +356,7 @@
 	used := func() map[string]bool {
 		out := map[string]bool{}
 		for i := range uint64(100) {
-			w := fleet.Criteria{Affinity: i + 1, Part: 0.1, Allowed: func(v string) bool { return v != "old" }}
+			w := fleet.Criteria{Affinity: i + 1, Fraction: 0.1, Allowed: func(v string) bool { return v != "old" }}
 			out[choose(t, servers, w).ID] = true
 		}
 		return out
@@ -387,7 +387,7 @@
 	used := func(part, phase float64) map[string]bool {
 		out := map[string]bool{}
 		for i := range uint64(100) {
-			out[choose(t, servers, fleet.Criteria{Affinity: i + 1, Part: part, Phase: phase}).ID] = true
+			out[choose(t, servers, fleet.Criteria{Affinity: i + 1, Fraction: part, Phase: phase}).ID] = true
 		}
 		return out
 	}
--- a/core/fleet/notice_test.go
+++ b/core/fleet/notice_test.go
@@ -153,7 +153,7 @@
 func TestSubsetExcludesLeavingServer(t *testing.T) {
 	servers := pool(6)
 	l := fleet.NewList(servers)
-	w := fleet.Criteria{Service: "s", Part: 0.2}
+	w := fleet.Criteria{Service: "s", Fraction: 0.2}
 	first, _ := l.Choose(w, now)
 	first.State.Notices.Observe(notice.Notice{Leaving: true}, now)
 	if s, ok := l.Choose(w, now); !ok || s == first {
