--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -169,7 +169,7 @@
 	Fraction float64
 	// Progress is how far a trial of the version has come, from 0 to 1: if the fraction
 	// amounts to fewer servers than the trial needs, different ones are used in turn.
-	Phase float64
+	Progress float64
 	// Affinity is a hash of what the request shares with earlier ones, such as a
 	// session's prompt; 0 is none.
 	Affinity uint64
@@ -211,7 +211,7 @@
 	if w.Fraction <= 0 || n >= len(servers) {
 		return servers
 	}
-	offset := subsetOffset(n, w.Phase) % len(servers)
+	offset := subsetOffset(n, w.Progress) % len(servers)
 	slices.SortFunc(servers, func(a, b *Server) int { return cmp.Compare(rendezvousHash(a, 0), rendezvousHash(b, 0)) })
 	servers = slices.Concat(servers[offset:], servers[:offset])
 	limit := l.subsetLimit(w)
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -387,7 +387,7 @@
 	used := func(part, phase float64) map[string]bool {
 		out := map[string]bool{}
 		for i := range uint64(100) {
-			out[choose(t, servers, fleet.Criteria{Affinity: i + 1, Fraction: part, Phase: phase}).ID] = true
+			out[choose(t, servers, fleet.Criteria{Affinity: i + 1, Fraction: part, Progress: phase}).ID] = true
 		}
 		return out
 	}
