--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -26,7 +26,7 @@
 			}
 			list := fleet.NewList(servers)
 			for b.Loop() {
-				list.Choose(fleet.Criteria{Service: "s", Affinity: 42, Prompt: prompt, Piece: 1}, now)
+				list.Choose(fleet.Criteria{Service: "s", Affinity: 42, Prompt: prompt, BlockCost: 1}, now)
 			}
 		})
 	}
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -175,8 +175,8 @@
 	Affinity uint64
 	// Prompt is what the server has to process. BlockCost is the cost of BlockTokens
 	// tokens of it, with a small request as 1.
-	Prompt prefixcache.Prompt
-	Piece  float64
+	Prompt    prefixcache.Prompt
+	BlockCost float64
 	// Hall is preferred while its servers are not much busier than others.
 	Hall string
 	// KeepInHall keeps a request with an affinity in its hall as well. The part that it
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -299,7 +299,7 @@
 	servers := pool(6)
 	parts := []prefixcache.Part{{ID: "policy", Tokens: 12000}, {ID: "own", Tokens: 1000}}
 	want := func(model string, blockCost float64) fleet.Criteria {
-		return fleet.Criteria{Affinity: 42, Prompt: prefixcache.For(model, parts), Piece: blockCost}
+		return fleet.Criteria{Affinity: 42, Prompt: prefixcache.For(model, parts), BlockCost: blockCost}
 	}
 	home := choose(t, servers, want("small", 1))
 	home.State.Begin(5)
--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -114,7 +114,7 @@
 	m := s.daemons[s.rng.IntN(len(s.daemons))]
 	parts := []prefixcache.Part{{ID: strconv.Itoa(key), Tokens: sharedPart}, {ID: fmt.Sprint(key, "-", len(s.waits)), Tokens: ownPart}}
 	prompt := prefixcache.For("m", parts)
-	chosen, _ := m.list.Choose(fleet.Criteria{Service: "llm", Hall: "h", Affinity: uint64(key) + 1, Prompt: prompt, Piece: 1}, s.now)
+	chosen, _ := m.list.Choose(fleet.Criteria{Service: "llm", Hall: "h", Affinity: uint64(key) + 1, Prompt: prompt, BlockCost: 1}, s.now)
 	e := s.servers[slices.IndexFunc(s.servers, func(e *engine) bool { return e.id == chosen.ID })]
 	reading := pieceTime
 	if !e.has[key] {
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -76,7 +76,7 @@
 // chooseBut finds a server that is not among those to avoid.
 func (j *job) chooseBut(avoid []fleet.Incarnation, now time.Time) (*fleet.Server, bool) {
 	want := fleet.Criteria{
-		Service: j.service, Affinity: j.request.affinity(), Prompt: j.prompt, Piece: j.piece,
+		Service: j.service, Affinity: j.request.affinity(), Prompt: j.prompt, BlockCost: j.piece,
 		Hall: j.engine.Hall, Near: j.request.sharesLittle(), Avoid: avoid, Silent: j.silent,
 	}
 	if j.route.RestrictsRegions(j.holder) {
