--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -188,7 +188,7 @@
 // winner returns the best server, or nil if there is none.
 func (r *selector) winner() *Server {
 	preferred := r.overall
-	if r.criteria.Near && r.inHall.server != nil {
+	if r.criteria.KeepInHall && r.inHall.server != nil {
 		preferred = r.inHall
 	}
 	if preferred.server == nil {
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -181,7 +181,7 @@
 	Hall string
 	// KeepInHall keeps a request with an affinity in its hall as well. The part that it
 	// shares is small: processing it again costs less than traffic between halls.
-	Near bool
+	KeepInHall bool
 	// Exclude lists the servers that the request has already been sent to.
 	Avoid []Incarnation
 	// Ejected lists the names of incarnations that are used only if there is no other
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -144,7 +144,7 @@
 	}
 	met := map[string]bool{}
 	for i := range uint64(200) {
-		s := choose(t, servers, fleet.Criteria{Affinity: i + 1, Hall: "h", Near: true})
+		s := choose(t, servers, fleet.Criteria{Affinity: i + 1, Hall: "h", KeepInHall: true})
 		if s.Hall != "h" {
 			t.Fatalf("%s of another hall was chosen", s.ID)
 		}
@@ -153,7 +153,7 @@
 	if len(met) != 4 {
 		t.Errorf("%d of the hall's 4 servers were chosen", len(met))
 	}
-	if s := choose(t, servers[:4], fleet.Criteria{Affinity: 1, Hall: "h", Near: true}); s.Hall != "other" {
+	if s := choose(t, servers[:4], fleet.Criteria{Affinity: 1, Hall: "h", KeepInHall: true}); s.Hall != "other" {
 		t.Error("without a server in the hall, no server of another hall was chosen")
 	}
 }
