--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -101,7 +101,7 @@
 // eligible reports whether a server may receive the request at all.
 func eligible(s *Server, w Criteria, now time.Time) bool {
 	switch {
-	case !s.Open(now), slices.Contains(w.Avoid, s.Incarnation()):
+	case !s.Open(now), slices.Contains(w.Exclude, s.Incarnation()):
 		return false
 	case w.Allowed != nil && !w.Allowed(s.Version):
 		return false
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -183,7 +183,7 @@
 	// shares is small: processing it again costs less than traffic between halls.
 	KeepInHall bool
 	// Exclude lists the servers that the request has already been sent to.
-	Avoid []Incarnation
+	Exclude []Incarnation
 	// Ejected lists the names of incarnations that are used only if there is no other
 	// server, like those that have failed recently.
 	Aside []string
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -37,14 +37,14 @@
 	servers := pool(4)
 	servers[0].Leaving = true
 	servers[1].Version = "v2"
-	only := fleet.Criteria{Service: "s", Avoid: []fleet.Incarnation{{ID: "e02"}}, Allowed: func(v string) bool { return v == "v1" }}
+	only := fleet.Criteria{Service: "s", Exclude: []fleet.Incarnation{{ID: "e02"}}, Allowed: func(v string) bool { return v == "v1" }}
 	for i := range uint64(100) {
 		only.Affinity = i
 		if s := choose(t, servers, only); s.ID != "e03" {
 			t.Fatalf("%s was chosen", s.ID)
 		}
 	}
-	only.Avoid = append(only.Avoid, fleet.Incarnation{ID: "e03"})
+	only.Exclude = append(only.Exclude, fleet.Incarnation{ID: "e03"})
 	if s, ok := fleet.NewList(servers).Choose(only, now); ok {
 		t.Errorf("%s was chosen though no server is allowed", s.ID)
 	}
--- a/core/fleet/notice_test.go
+++ b/core/fleet/notice_test.go
@@ -65,7 +65,7 @@
 	if s, _ := l.Choose(fleet.Criteria{Service: "s"}, at.Add(time.Second)); s != servers[1] {
 		t.Error("a server that has declined ten times is preferred after a second")
 	}
-	if s, _ := l.Choose(fleet.Criteria{Service: "s", Avoid: []fleet.Incarnation{servers[1].Incarnation()}}, at); s != servers[0] {
+	if s, _ := l.Choose(fleet.Criteria{Service: "s", Exclude: []fleet.Incarnation{servers[1].Incarnation()}}, at); s != servers[0] {
 		t.Error("the last remaining server is not chosen")
 	}
 	at = at.Add(2 * time.Second)
@@ -104,7 +104,7 @@
 		var avoid []fleet.Incarnation
 		served := false
 		for range attempts {
-			s, ok := l.Choose(fleet.Criteria{Service: "s", Affinity: uint64(n%50 + 1), Avoid: avoid}, at)
+			s, ok := l.Choose(fleet.Criteria{Service: "s", Affinity: uint64(n%50 + 1), Exclude: avoid}, at)
 			if !ok {
 				break
 			}
