--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -186,7 +186,7 @@
 	Exclude []Incarnation
 	// Ejected lists the names of incarnations that are used only if there is no other
 	// server, like those that have failed recently.
-	Aside []string
+	Ejected []string
 	// TimedOutHalls lists halls in which a server timed out for this request. They are
 	// used only if there is no other.
 	Silent []string
