--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -111,7 +111,7 @@
 
 // isFallback reports whether a server is used only if there is no other.
 func isFallback(s *Server, w Criteria) bool {
-	return slices.Contains(w.Silent, s.Hall) || slices.Contains(w.Ejected, s.name)
+	return slices.Contains(w.TimedOutHalls, s.Hall) || slices.Contains(w.Ejected, s.name)
 }
 
 // selector finds the server with the lowest cost for a request: the load ahead of the
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -189,7 +189,7 @@
 	Ejected []string
 	// TimedOutHalls lists halls in which a server timed out for this request. They are
 	// used only if there is no other.
-	Silent []string
+	TimedOutHalls []string
 }
 
 const (
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -237,11 +237,11 @@
 	}
 	all := append(near, far...)
 	for i := range uint64(50) {
-		if s := choose(t, all, fleet.Criteria{Affinity: i + 1, Silent: []string{"far"}}); s.Hall == "far" {
+		if s := choose(t, all, fleet.Criteria{Affinity: i + 1, TimedOutHalls: []string{"far"}}); s.Hall == "far" {
 			t.Fatal("a server of the hall that timed out was chosen")
 		}
 	}
-	if s := choose(t, far, fleet.Criteria{Silent: []string{"far"}}); s.Hall != "far" {
+	if s := choose(t, far, fleet.Criteria{TimedOutHalls: []string{"far"}}); s.Hall != "far" {
 		t.Error("the hall is not used though there is no other")
 	}
 }
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -77,7 +77,7 @@
 func (j *job) chooseBut(avoid []fleet.Incarnation, now time.Time) (*fleet.Server, bool) {
 	want := fleet.Criteria{
 		Service: j.service, Affinity: j.request.affinity(), Prompt: j.prompt, BlockCost: j.piece,
-		Hall: j.engine.Hall, KeepInHall: j.request.sharesLittle(), Exclude: avoid, Silent: j.silent,
+		Hall: j.engine.Hall, KeepInHall: j.request.sharesLittle(), Exclude: avoid, TimedOutHalls: j.silent,
 	}
 	if j.route.RestrictsRegions(j.holder) {
 		want.HallAllowed = func(hall string) bool { return j.view.InHome(j.route, j.holder, hall) }
