--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -151,7 +151,7 @@
 }
 
 func newSelector(w Criteria, now time.Time) selector {
-	return selector{criteria: w, now: now, ownCost: w.BlockCost * float64(w.Prompt.Own()) / PieceTokens, cost: math.Inf(1)}
+	return selector{criteria: w, now: now, ownCost: w.BlockCost * float64(w.Prompt.Own()) / BlockTokens, cost: math.Inf(1)}
 }
 
 // consider compares one more server with the best so far.
@@ -167,7 +167,7 @@
 			// Every server has to process at least the request's own part.
 			return
 		}
-		c += r.criteria.BlockCost * float64(s.State.Prompts.Missing(r.criteria.Prompt, r.now)) / PieceTokens
+		c += r.criteria.BlockCost * float64(s.State.Prompts.Missing(r.criteria.Prompt, r.now)) / BlockTokens
 	}
 	if c < r.cost || (c == r.cost && hash > r.hash) {
 		r.best, r.cost, r.hash = s, c, hash
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -198,7 +198,7 @@
 	otherHallCost = 2
 	// BlockTokens is about how many tokens of a prompt a model server processes in one
 	// step. The output tokens of all other requests wait for the step.
-	PieceTokens = 2000
+	BlockTokens = 2000
 )
 
 // subset returns the fraction of the servers that the request may use. All daemons
--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -62,8 +62,8 @@
 // The load: as many requests a second for each server as fill half of it, with prompts
 // whose shared part takes three times as long to read as their own.
 const (
-	sharedPart = 3 * fleet.PieceTokens
-	ownPart    = fleet.PieceTokens
+	sharedPart = 3 * fleet.BlockTokens
+	ownPart    = fleet.BlockTokens
 	pieceTime  = 60 * time.Millisecond
 	answerTime = 400 * time.Millisecond
 	perServer  = 6
@@ -118,7 +118,7 @@
 	e := s.servers[slices.IndexFunc(s.servers, func(e *engine) bool { return e.id == chosen.ID })]
 	reading := pieceTime
 	if !e.has[key] {
-		reading += pieceTime * sharedPart / fleet.PieceTokens
+		reading += pieceTime * sharedPart / fleet.BlockTokens
 		e.has[key] = true
 		s.read++
 	}
--- a/daemon/proxy/observe.go
+++ b/daemon/proxy/observe.go
@@ -61,7 +61,7 @@
 }
 
 // pieces is how many pieces a server reads some tokens in.
-func pieces(tokens int) float64 { return float64(max(0, tokens)) / fleet.PieceTokens }
+func pieces(tokens int) float64 { return float64(max(0, tokens)) / fleet.BlockTokens }
 
 // pieceWork is how much of a server's work a piece of the prompt is for the present
 // model: 1 for the smallest one of a ladder, and as many times more for another as it
--- a/daemon/proxy/request.go
+++ b/daemon/proxy/request.go
@@ -85,7 +85,7 @@
 // sharesLittle reports whether what other requests share of the prompt is read in
 // less than one step of a model server.
 func (r *Request) sharesLittle() bool {
-	return prefixcache.Tokens(r.shared()) < fleet.PieceTokens
+	return prefixcache.Tokens(r.shared()) < fleet.BlockTokens
 }
 
 // Attempt is one request to one server, for a dialect to put into headers.
