--- a/core/fleet/cold.go
+++ b/core/fleet/cold.go
@@ -9,7 +9,7 @@
 // ColdLimit bounds the requests that a daemon sends to a server that has just started,
 // or whose hall has just come back into use. Such a server is slow at first and becomes
 // overloaded if all daemons see that it is idle and send to it at once.
-type Cold struct {
+type ColdLimit struct {
 	// From is when this daemon may start to send. A daemon that has just started does
 	// not know which requests it sent before.
 	From time.Time
@@ -61,7 +61,7 @@
 // coldState is the limit of one cold server and the requests that were sent to it. The
 // owner locks it.
 type coldState struct {
-	Cold
+	ColdLimit
 	// sent holds the times of the latest requests, oldest first, at most as many as the
 	// limit allows within a window.
 	sent []time.Time
@@ -88,15 +88,15 @@
 
 // SetColdLimit sets until when the server is cold and what this daemon may send to it.
 // Requests that were sent before still count.
-func (s *ServerState) SetCold(c Cold) {
+func (s *ServerState) SetCold(c ColdLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cold.Cold = c
+	s.cold.ColdLimit = c
 }
 
 // ColdLimit returns the limit that was set last.
-func (s *ServerState) Cold() Cold {
+func (s *ServerState) Cold() ColdLimit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cold.Cold
+	return s.cold.ColdLimit
 }
