--- a/core/fleet/cold.go
+++ b/core/fleet/cold.go
@@ -16,7 +16,7 @@
 	// Until is when the server is warm.
 	Until time.Time
 	// MaxRequests is how many requests this daemon may send within ColdWindow.
-	Most int
+	MaxRequests int
 }
 
 const (
@@ -72,17 +72,17 @@
 	if !now.Before(c.Until) {
 		return false
 	}
-	return now.Before(c.From) || c.Most <= 0 || len(c.sent) >= c.Most && now.Sub(c.sent[len(c.sent)-c.Most]) < ColdSpan
+	return now.Before(c.From) || c.MaxRequests <= 0 || len(c.sent) >= c.MaxRequests && now.Sub(c.sent[len(c.sent)-c.MaxRequests]) < ColdSpan
 }
 
 // taken counts a request.
 func (c *coldState) taken(now time.Time) {
-	if !now.Before(c.Until) || c.Most <= 0 {
+	if !now.Before(c.Until) || c.MaxRequests <= 0 {
 		return
 	}
 	c.sent = append(c.sent, now)
-	if len(c.sent) > c.Most {
-		c.sent = append(c.sent[:0], c.sent[len(c.sent)-c.Most:]...)
+	if len(c.sent) > c.MaxRequests {
+		c.sent = append(c.sent[:0], c.sent[len(c.sent)-c.MaxRequests:]...)
 	}
 }
 
--- a/daemon/gateway/dump.go
+++ b/daemon/gateway/dump.go
@@ -144,7 +144,7 @@
 			out.WantsRestMS = kept.BackoffUntil.Sub(now).Milliseconds()
 		}
 		if cold := s.State.Cold(); now.Before(cold.Until) {
-			out.ColdMS, out.ColdMost = cold.Until.Sub(now).Milliseconds(), cold.Most
+			out.ColdMS, out.ColdMost = cold.Until.Sub(now).Milliseconds(), cold.MaxRequests
 		}
 		d.Servers = append(d.Servers, out)
 	}
--- a/daemon/storesync/halls_test.go
+++ b/daemon/storesync/halls_test.go
@@ -127,7 +127,7 @@
 			continue
 		}
 		if c := s.State.Cold(); time.Now().Before(c.Until) {
-			sum, cold = sum+c.Most, cold+1
+			sum, cold = sum+c.MaxRequests, cold+1
 		}
 	}
 	return sum, cold
