--- a/core/fleet/cold.go
+++ b/core/fleet/cold.go
@@ -88,7 +88,7 @@
 
 // SetColdLimit sets until when the server is cold and what this daemon may send to it.
 // Requests that were sent before still count.
-func (s *ServerState) SetCold(c ColdLimit) {
+func (s *ServerState) SetColdLimit(c ColdLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cold.ColdLimit = c
--- a/core/fleet/cold_test.go
+++ b/core/fleet/cold_test.go
@@ -50,7 +50,7 @@
 // requests go to other servers.
 func TestColdServerReceivesAtMostItsLimitInAnySecond(t *testing.T) {
 	servers := pool(2)
-	servers[0].State.SetCold(fleet.ColdLimit{Until: now.Add(3 * time.Second), MaxRequests: 2})
+	servers[0].State.SetColdLimit(fleet.ColdLimit{Until: now.Add(3 * time.Second), MaxRequests: 2})
 	list := fleet.NewList(servers)
 	var sent []time.Time
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(7 * time.Millisecond) {
@@ -73,7 +73,7 @@
 	if len(sent) < 5 {
 		t.Errorf("%d requests in three seconds", len(sent))
 	}
-	servers[0].State.SetCold(fleet.ColdLimit{Until: now.Add(10 * time.Second)})
+	servers[0].State.SetColdLimit(fleet.ColdLimit{Until: now.Add(10 * time.Second)})
 	if s, _ := list.Choose(fleet.Criteria{Service: "s"}, now.Add(5*time.Second)); s != servers[1] {
 		t.Error("a cold server was chosen though this daemon's share is zero")
 	}
@@ -92,7 +92,7 @@
 	start := now
 	for range 5 {
 		servers := pool(1)
-		servers[0].State.SetCold(fleet.ColdLimit{From: start.Add(fleet.ColdSpan), Until: now.Add(time.Minute), MaxRequests: most})
+		servers[0].State.SetColdLimit(fleet.ColdLimit{From: start.Add(fleet.ColdSpan), Until: now.Add(time.Minute), MaxRequests: most})
 		list, end := fleet.NewList(servers), start.Add(fleet.ColdSpan+300*time.Millisecond)
 		for at := start; at.Before(end); at = at.Add(7 * time.Millisecond) {
 			if _, ok := list.Choose(fleet.Criteria{Service: "s", Hall: "h"}, at); ok {
