--- a/core/fleet/cold.go
+++ b/core/fleet/cold.go
@@ -95,7 +95,7 @@
 }
 
 // ColdLimit returns the limit that was set last.
-func (s *ServerState) Cold() ColdLimit {
+func (s *ServerState) ColdLimit() ColdLimit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cold.ColdLimit
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -265,7 +265,7 @@
 		switch {
 		case !v.Stays(s.Name, server.Version):
 			at.Coming++
-		case now.Before(server.State.Cold().Until):
+		case now.Before(server.State.ColdLimit().Until):
 			at.Serving++
 		default:
 			at.Serving++
--- a/daemon/gateway/dump.go
+++ b/daemon/gateway/dump.go
@@ -143,7 +143,7 @@
 		if kept.InBackoff(now) {
 			out.WantsRestMS = kept.BackoffUntil.Sub(now).Milliseconds()
 		}
-		if cold := s.State.Cold(); now.Before(cold.Until) {
+		if cold := s.State.ColdLimit(); now.Before(cold.Until) {
 			out.ColdMS, out.ColdMost = cold.Until.Sub(now).Milliseconds(), cold.MaxRequests
 		}
 		d.Servers = append(d.Servers, out)
--- a/daemon/gateway/halls.go
+++ b/daemon/gateway/halls.go
@@ -27,7 +27,7 @@
 		}
 		h.Servers++
 		h.InFlight += s.State.InFlight()
-		if now.Before(s.State.Cold().Until) {
+		if now.Before(s.State.ColdLimit().Until) {
 			h.Cold++
 		}
 	}
--- a/daemon/storesync/halls_test.go
+++ b/daemon/storesync/halls_test.go
@@ -126,7 +126,7 @@
 		if s == nil {
 			continue
 		}
-		if c := s.State.Cold(); time.Now().Before(c.Until) {
+		if c := s.State.ColdLimit(); time.Now().Before(c.Until) {
 			sum, cold = sum+c.MaxRequests, cold+1
 		}
 	}
