--- a/core/fleet/cold.go
+++ b/core/fleet/cold.go
@@ -24,7 +24,7 @@
 	// counted. The capacity of a server is given for a second. Any second, wherever it
 	// starts, holds at most the requests of one window; the extra 50 ms allow for the
 	// network, which may deliver two requests closer together than they were sent.
-	ColdSpan = 1050 * time.Millisecond
+	ColdWindow = 1050 * time.Millisecond
 	// coldFraction is the fraction of a cold server's capacity that daemons plan for.
 	// It leaves room for daemons whose membership lists differ for a moment.
 	coldFraction = 0.8
@@ -72,7 +72,7 @@
 	if !now.Before(c.Until) {
 		return false
 	}
-	return now.Before(c.From) || c.MaxRequests <= 0 || len(c.sent) >= c.MaxRequests && now.Sub(c.sent[len(c.sent)-c.MaxRequests]) < ColdSpan
+	return now.Before(c.From) || c.MaxRequests <= 0 || len(c.sent) >= c.MaxRequests && now.Sub(c.sent[len(c.sent)-c.MaxRequests]) < ColdWindow
 }
 
 // taken counts a request.
--- a/core/fleet/cold_test.go
+++ b/core/fleet/cold_test.go
@@ -92,8 +92,8 @@
 	start := now
 	for range 5 {
 		servers := pool(1)
-		servers[0].State.SetColdLimit(fleet.ColdLimit{From: start.Add(fleet.ColdSpan), Until: now.Add(time.Minute), MaxRequests: most})
-		list, end := fleet.NewList(servers), start.Add(fleet.ColdSpan+300*time.Millisecond)
+		servers[0].State.SetColdLimit(fleet.ColdLimit{From: start.Add(fleet.ColdWindow), Until: now.Add(time.Minute), MaxRequests: most})
+		list, end := fleet.NewList(servers), start.Add(fleet.ColdWindow+300*time.Millisecond)
 		for at := start; at.Before(end); at = at.Add(7 * time.Millisecond) {
 			if _, ok := list.Choose(fleet.Criteria{Service: "s", Hall: "h"}, at); ok {
 				sent = append(sent, at)
--- a/daemon/storesync/halls.go
+++ b/daemon/storesync/halls.go
@@ -92,7 +92,7 @@
 			daemons = slices.Collect(maps.Keys(*k.members.Load()))
 		}
 		most := fleet.ColdMost(service.ColdRate, k.ColdOverage, k.ColdSlack)
-		s.State.SetColdLimit(fleet.ColdLimit{From: k.startedAt.Add(fleet.ColdSpan), Until: until, MaxRequests: fleet.ColdShare(s.ID, k.Self.ID, daemons, most)})
+		s.State.SetColdLimit(fleet.ColdLimit{From: k.startedAt.Add(fleet.ColdWindow), Until: until, MaxRequests: fleet.ColdShare(s.ID, k.Self.ID, daemons, most)})
 	}
 }
 
