--- a/core/fleet/cold.go
+++ b/core/fleet/cold.go
@@ -33,7 +33,7 @@
 // ColdCapacity returns how many requests all daemons together may send to a cold server
 // within ColdWindow. The server handles rate requests a second, times the factor
 // overage, and slack requests on top.
-func ColdMost(rate, overage, slack float64) int {
+func ColdCapacity(rate, overage, slack float64) int {
 	return int(coldFraction * (max(0, rate)*overage + slack))
 }
 
--- a/core/fleet/cold_test.go
+++ b/core/fleet/cold_test.go
@@ -115,7 +115,7 @@
 // the number of daemons.
 func TestColdSharesStayWithinCapacity(t *testing.T) {
 	rate, overage, slack := 13.0, 1.5, 5.0
-	most := fleet.ColdMost(rate, overage, slack)
+	most := fleet.ColdCapacity(rate, overage, slack)
 	if bears := int(rate*overage + slack); most > bears || most < bears*3/4 {
 		t.Fatalf("planned capacity is %d requests of %d", most, bears)
 	}
@@ -138,7 +138,7 @@
 
 // The shares stay within the capacity when daemons have different membership lists.
 func TestColdSharesWithDifferentMembershipListsStayWithinCapacity(t *testing.T) {
-	most := fleet.ColdMost(13, 1.5, 5)
+	most := fleet.ColdCapacity(13, 1.5, 5)
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
 		daemons := make([]string, 65)
--- a/daemon/storesync/halls.go
+++ b/daemon/storesync/halls.go
@@ -91,7 +91,7 @@
 		if daemons == nil {
 			daemons = slices.Collect(maps.Keys(*k.members.Load()))
 		}
-		most := fleet.ColdMost(service.ColdRate, k.ColdOverage, k.ColdSlack)
+		most := fleet.ColdCapacity(service.ColdRate, k.ColdOverage, k.ColdSlack)
 		s.State.SetColdLimit(fleet.ColdLimit{From: k.startedAt.Add(fleet.ColdWindow), Until: until, MaxRequests: fleet.ColdShare(s.ID, k.Self.ID, daemons, most)})
 	}
 }
