--- a/core/fleet/remote.go
+++ b/core/fleet/remote.go
@@ -54,7 +54,7 @@
 // to 0.690 of the attainable value on a calm day and from 0.597 to 0.610 under high
 // load. With 65 daemons, 116 servers and shorter prompts it stayed at 0.734 to 0.736
 // under high load (one simulation each).
-func (l *List) Crowd(load map[string]float64, now time.Time) {
+func (l *List) SetRemoteLoad(load map[string]float64, now time.Time) {
 	for _, servers := range l.open {
 		recent := make(map[string]float64, len(servers))
 		for _, s := range servers {
--- a/core/fleet/remote_test.go
+++ b/core/fleet/remote_test.go
@@ -14,7 +14,7 @@
 	const length, every = 5 * time.Second, 450 * time.Millisecond
 	at := now
 	for ; at.Sub(now) < length; at = at.Add(every) {
-		l.Crowd(load, at)
+		l.SetRemoteLoad(load, at)
 	}
 	return at
 }
@@ -62,7 +62,7 @@
 	at := reportLoad(list, equalLoad(servers))
 	work := equalLoad(servers)
 	work[home.ID] = 20
-	list.Crowd(work, at)
+	list.SetRemoteLoad(work, at)
 	if s, _ := list.Choose(sharedPrompt(), at); s != home {
 		t.Errorf("the prompt goes to %s", s.ID)
 	}
--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -154,7 +154,7 @@
 			for id, w := range s.told[0].work {
 				others[id] = max(0, w-m.loads[id].Work())
 			}
-			m.list.Crowd(others, s.now)
+			m.list.SetRemoteLoad(others, s.now)
 		}
 		s.told = s.told[1:]
 	}
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -66,7 +66,7 @@
 		return
 	}
 	if others, ok := k.workBoard().OthersOf(m.Work); ok {
-		k.View().Servers.Crowd(others, now)
+		k.View().Servers.SetRemoteLoad(others, now)
 	}
 }
 
@@ -79,5 +79,5 @@
 	k.workAbroadAt = now
 	b := k.workBoard()
 	k.broadcast(gossip.Tell{Work: b.Hall(k.ownWork(), now)})
-	k.View().Servers.Crowd(b.Others(now), now)
+	k.View().Servers.SetRemoteLoad(b.Others(now), now)
 }
