--- a/core/fleet/remote.go
+++ b/core/fleet/remote.go
@@ -95,7 +95,7 @@
 
 // ExcessLoad returns the load of other daemons above the mean of the server's version,
 // decayed by its age.
-func (s *ServerState) Crowded(now time.Time) float64 {
+func (s *ServerState) ExcessLoad(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.remote.current(now)
--- a/core/fleet/remote_test.go
+++ b/core/fleet/remote_test.go
@@ -78,7 +78,7 @@
 	list := fleet.NewList(servers)
 	at := reportLoad(list, equalLoad(servers[:8]))
 	for _, s := range servers {
-		if c := s.State.Crowded(at); c > 0 {
+		if c := s.State.ExcessLoad(at); c > 0 {
 			t.Errorf("%s of version %s has an excess load of %v", s.ID, s.Version, c)
 		}
 	}
--- a/daemon/storesync/work_test.go
+++ b/daemon/storesync/work_test.go
@@ -22,7 +22,7 @@
 
 // crowded is what a daemon has been told of others' work at a server.
 func crowded(k *storesync.Keeper, id string) float64 {
-	return server(k, id).State.Crowded(time.Now())
+	return server(k, id).State.ExcessLoad(time.Now())
 }
 
 // Work that some daemons have at a server is known to all within four seconds, in their
