--- a/core/fleet/state.go
+++ b/core/fleet/state.go
@@ -84,7 +84,7 @@
 }
 
 // TotalLoad returns the load of all daemons at the server, as far as it is known.
-func (s *ServerState) All() float64 {
+func (s *ServerState) TotalLoad() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load + s.remote.recent
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -253,7 +253,7 @@
 	}
 	work := 0.0
 	for _, server := range v.Servers.Service(s.Name) {
-		work += server.State.All()
+		work += server.State.TotalLoad()
 		if !slices.Contains(in.Halls, server.Hall) {
 			in.Halls = append(in.Halls, server.Hall)
 		}
