--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -427,7 +427,7 @@
 			}
 		}
 		cost := func(s *fleet.Server) float64 {
-			c := (s.State.Work() + 1) * s.State.Slowness()
+			c := (s.State.OwnLoad() + 1) * s.State.Slowness()
 			if s.Hall != "h" {
 				c += 2
 			}
--- a/core/fleet/state.go
+++ b/core/fleet/state.go
@@ -77,7 +77,7 @@
 
 // OwnLoad returns the sum of the weights of this daemon's requests in flight at the
 // server.
-func (s *ServerState) Work() float64 {
+func (s *ServerState) OwnLoad() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load
--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -152,7 +152,7 @@
 		for _, m := range s.daemons {
 			others := map[string]float64{}
 			for id, w := range s.told[0].work {
-				others[id] = max(0, w-m.loads[id].Work())
+				others[id] = max(0, w-m.loads[id].OwnLoad())
 			}
 			m.list.SetRemoteLoad(others, s.now)
 		}
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -34,7 +34,7 @@
 func (k *Keeper) ownWork() map[string]float64 {
 	work := make(map[string]float64, len(k.loads))
 	for i, l := range k.loads {
-		work[i.ID] = l.Work()
+		work[i.ID] = l.OwnLoad()
 	}
 	return work
 }
