--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -21,7 +21,7 @@
 			prompt := prefixcache.For("small", parts)
 			for i, s := range servers {
 				if i%3 == 0 {
-					s.State.Prompts.Read(prompt, now)
+					s.State.PrefixCache.Read(prompt, now)
 				}
 			}
 			list := fleet.NewList(servers)
--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -124,7 +124,7 @@
 	}
 	e.free = slices.MaxFunc([]time.Time{e.free, s.now}, time.Time.Compare).Add(reading)
 	s.waits = append(s.waits, e.free.Sub(s.now))
-	chosen.State.Prompts.Read(prompt, s.now)
+	chosen.State.PrefixCache.Read(prompt, s.now)
 	chosen.State.Begin(2)
 	s.pending = append(s.pending, &run{load: chosen.State, id: e.id, ends: e.free.Add(answerTime)})
 }
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -143,9 +143,9 @@
 		j.engine.Knowledge.Ran(j.service, j.request.session(), s.Version)
 	}
 	a.prompt = j.prompt
-	a.shared = pieces(s.State.Prompts.Missing(a.prompt, a.sent) - a.prompt.Own())
+	a.shared = pieces(s.State.PrefixCache.Missing(a.prompt, a.sent) - a.prompt.Own())
 	a.weight = 1 + j.piece*pieces(a.prompt.Own())
-	s.State.Prompts.Read(a.prompt, a.sent)
+	s.State.PrefixCache.Read(a.prompt, a.sent)
 	s.State.Begin(a.weight)
 	a.reply, a.err = j.engine.Channels.Send(ctx, j.compose(a))
 	if timer.stop() {
