--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -165,13 +165,13 @@
 		s.ID, s.Hall = "far-"+s.ID, "far"
 	}
 	all := append(near, far...)
-	far[0].State.Silent(now)
-	far[1].State.Silent(now)
-	far[0].State.Silent(now)
+	far[0].State.ConnectTimedOut(now)
+	far[1].State.ConnectTimedOut(now)
+	far[0].State.ConnectTimedOut(now)
 	if far[3].State.Resting(now) {
 		t.Fatal("time-outs of two servers back off a hall")
 	}
-	far[2].State.Silent(now)
+	far[2].State.ConnectTimedOut(now)
 	for i := range uint64(200) {
 		if s := choose(t, all, fleet.Criteria{Affinity: i + 1}); s.Hall == "far" {
 			t.Fatalf("%s was chosen", s.ID)
@@ -213,7 +213,7 @@
 	for i, s := range far {
 		s.ID, s.Hall = "far-"+s.ID, "far"
 		if i < 3 {
-			s.State.Silent(now)
+			s.State.ConnectTimedOut(now)
 		}
 	}
 	all := append(near, far...)
--- a/core/fleet/state.go
+++ b/core/fleet/state.go
@@ -166,7 +166,7 @@
 
 // ConnectTimedOut records that a connection attempt to the server timed out. The server
 // is backed off at once.
-func (s *ServerState) Silent(now time.Time) {
+func (s *ServerState) ConnectTimedOut(now time.Time) {
 	s.Unreachable(now)
 }
 
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -293,7 +293,7 @@
 	}
 	switch {
 	case channel.TimedOut(err):
-		a.server.State.Silent(now)
+		a.server.State.ConnectTimedOut(now)
 		j.silent = append(j.silent, a.server.Hall)
 	case fault.Is(err, channel.Unreachable):
 		a.server.State.Unreachable(now)
