--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -193,15 +193,15 @@
 // servers resets the count.
 func TestBrokenConnectionsBackOffWholeHall(t *testing.T) {
 	far := pool(6)
-	far[0].State.Broke(now)
-	far[1].State.Broke(now)
+	far[0].State.NoResponse(now)
+	far[1].State.NoResponse(now)
 	far[5].State.Answered(1)
-	far[2].State.Broke(now)
+	far[2].State.NoResponse(now)
 	if far[3].State.Resting(now) {
 		t.Fatal("the hall is in back-off though a server has answered")
 	}
-	far[0].State.Broke(now)
-	far[1].State.Broke(now)
+	far[0].State.NoResponse(now)
+	far[1].State.NoResponse(now)
 	if !far[3].State.Resting(now) {
 		t.Error("the hall is not in back-off")
 	}
--- a/core/fleet/state.go
+++ b/core/fleet/state.go
@@ -206,7 +206,7 @@
 // NoResponse records that the server did not answer or was unreachable. It is backed
 // off if that happens repeatedly, and so is its hall if it happens to several of its
 // servers.
-func (s *ServerState) Broke(now time.Time) {
+func (s *ServerState) NoResponse(now time.Time) {
 	s.hall.failure(s, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,5 +225,5 @@
 	s.mu.Lock()
 	s.failures = max(s.failures, backoffThreshold-1)
 	s.mu.Unlock()
-	s.Broke(now)
+	s.NoResponse(now)
 }
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -301,7 +301,7 @@
 			j.engine.serverEnded(placeOf(a.server))
 		}
 	default:
-		a.server.State.Broke(now)
+		a.server.State.NoResponse(now)
 		j.engine.look(placeOf(a.server))
 	}
 }
--- a/daemon/storesync/starts_test.go
+++ b/daemon/storesync/starts_test.go
@@ -35,8 +35,8 @@
 		pass(2 * time.Second)
 		before := only(t, k)
 		before.State.Begin(3)
-		before.State.Broke(time.Now())
-		before.State.Broke(time.Now())
+		before.State.NoResponse(time.Now())
+		before.State.NoResponse(time.Now())
 		// Its entry changes and it is the same.
 		s.rows.set(gossip.Servers, "a", "v1@h2#100")
 		pass(time.Second)
