--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -168,7 +168,7 @@
 	far[0].State.ConnectTimedOut(now)
 	far[1].State.ConnectTimedOut(now)
 	far[0].State.ConnectTimedOut(now)
-	if far[3].State.Resting(now) {
+	if far[3].State.InBackoff(now) {
 		t.Fatal("time-outs of two servers back off a hall")
 	}
 	far[2].State.ConnectTimedOut(now)
@@ -181,10 +181,10 @@
 		t.Error("the hall is not used though there is no other")
 	}
 	far[3].State.Answered(1)
-	if far[3].State.Resting(now) {
+	if far[3].State.InBackoff(now) {
 		t.Error("an answer does not end the hall's back-off")
 	}
-	if !far[0].State.Resting(now) {
+	if !far[0].State.InBackoff(now) {
 		t.Error("a server that timed out is not in back-off itself")
 	}
 }
@@ -197,12 +197,12 @@
 	far[1].State.NoResponse(now)
 	far[5].State.Answered(1)
 	far[2].State.NoResponse(now)
-	if far[3].State.Resting(now) {
+	if far[3].State.InBackoff(now) {
 		t.Fatal("the hall is in back-off though a server has answered")
 	}
 	far[0].State.NoResponse(now)
 	far[1].State.NoResponse(now)
-	if !far[3].State.Resting(now) {
+	if !far[3].State.InBackoff(now) {
 		t.Error("the hall is not in back-off")
 	}
 }
@@ -431,7 +431,7 @@
 			if s.Hall != "h" {
 				c += 2
 			}
-			if s.State.Resting(now) {
+			if s.State.InBackoff(now) {
 				c += 1e6
 			}
 			return c
--- a/core/fleet/state.go
+++ b/core/fleet/state.go
@@ -155,7 +155,7 @@
 
 // InBackoff reports whether the server, or its hall, has failed so recently that other
 // servers are preferred.
-func (s *ServerState) Resting(now time.Time) bool {
+func (s *ServerState) InBackoff(now time.Time) bool {
 	if s.hall.inBackoff(now) {
 		return true
 	}
--- a/daemon/gateway/dump.go
+++ b/daemon/gateway/dump.go
@@ -135,7 +135,7 @@
 		_, emptied := v.Emptied[s.Hall]
 		out := ServerDump{
 			ID: s.ID, Born: s.Born, Service: s.Service, Hall: s.Hall, Version: s.Version, Leaving: s.Leaving,
-			InFlight: s.State.InFlight(), Slowness: s.State.Slowness(), Crowded: s.State.ExcessLoad(now), Resting: s.State.Resting(now), Emptied: emptied,
+			InFlight: s.State.InFlight(), Slowness: s.State.Slowness(), Crowded: s.State.ExcessLoad(now), Resting: s.State.InBackoff(now), Emptied: emptied,
 		}
 		kept := s.State.Notices.State()
 		out.SaysLeaving = kept.Leaving()
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -691,8 +691,8 @@
 					t.Errorf("%s: %v", name, got.outcome)
 				}
 			}
-			if server.State.Resting(time.Now()) || server.State.Slowness() != 1 {
-				t.Errorf("%s: the server rests %v, its slowness is %v", name, server.State.Resting(time.Now()), server.State.Slowness())
+			if server.State.InBackoff(time.Now()) || server.State.Slowness() != 1 {
+				t.Errorf("%s: the server rests %v, its slowness is %v", name, server.State.InBackoff(time.Now()), server.State.Slowness())
 			}
 		}
 	})
--- a/daemon/storesync/starts_test.go
+++ b/daemon/storesync/starts_test.go
@@ -46,7 +46,7 @@
 		s.rows.set(gossip.Servers, "a", "v1#200")
 		pass(time.Second)
 		after := only(t, k)
-		if after.State == before.State || after.State.OwnLoad() != 0 || after.State.Slowness() != 1 || after.State.Resting(time.Now()) {
+		if after.State == before.State || after.State.OwnLoad() != 0 || after.State.Slowness() != 1 || after.State.InBackoff(time.Now()) {
 			t.Error("it has something of what was before")
 		}
 		if len(again) != 1 || again[0] != (fleet.Incarnation{ID: "a", Born: 100}) {
