--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -350,7 +350,7 @@
 	for i, s := range servers {
 		if i >= 12 {
 			s.Version = "old"
-			s.State.Report(4)
+			s.State.SetReportedRequests(4)
 		}
 	}
 	used := func() map[string]bool {
@@ -364,7 +364,7 @@
 	first := used()
 	for _, s := range servers {
 		if first[s.ID] {
-			s.State.Report(8)
+			s.State.SetReportedRequests(8)
 		}
 	}
 	if n := len(used()); len(first) != 1 || n != 1 {
@@ -372,7 +372,7 @@
 	}
 	for _, s := range servers {
 		if first[s.ID] {
-			s.State.Report(9)
+			s.State.SetReportedRequests(9)
 		}
 	}
 	if n := len(used()); n != 2 {
--- a/core/fleet/state.go
+++ b/core/fleet/state.go
@@ -128,7 +128,7 @@
 }
 
 // SetReportedRequests records how many requests the server reports that it has.
-func (s *ServerState) Report(requests int) {
+func (s *ServerState) SetReportedRequests(requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reported = requests
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -214,7 +214,7 @@
 	j.made = j.made.With(attempts.Unknown)
 	j.count()
 	if a.head.Loaded {
-		a.server.State.Report(a.head.Load)
+		a.server.State.SetReportedRequests(a.head.Load)
 	}
 }
 
