--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -83,7 +83,7 @@
 // AvailableAt returns when the first server of a service accepts a request of this
 // daemon again, if all servers that stay in service are in back-off or have reached
 // their limit; limited reports whether one has reached its limit.
-func (l *List) OpensAt(service string, now time.Time) (at time.Time, limited, ok bool) {
+func (l *List) AvailableAt(service string, now time.Time) (at time.Time, limited, ok bool) {
 	listed := func(yield func(notice.State) bool) {
 		for _, s := range l.open[service] {
 			if !s.Usable() {
--- a/core/fleet/notice_test.go
+++ b/core/fleet/notice_test.go
@@ -129,11 +129,11 @@
 	l := fleet.NewList(servers)
 	servers[0].State.Notices.Observe(notice.Notice{Backoff: 5 * time.Second}, now)
 	servers[1].State.Notices.Observe(notice.Notice{Backoff: 2 * time.Second}, now)
-	if _, _, ok := l.OpensAt("s", now); ok {
+	if _, _, ok := l.AvailableAt("s", now); ok {
 		t.Error("a time was returned though one server is available")
 	}
 	servers[2].State.Notices.Observe(notice.Notice{Leaving: true, Backoff: time.Second}, now)
-	at, limited, ok := l.OpensAt("s", now)
+	at, limited, ok := l.AvailableAt("s", now)
 	if !ok || limited || !at.Equal(now.Add(2*time.Second)) {
 		t.Errorf("%v %v", at, ok)
 	}
@@ -143,7 +143,7 @@
 	if s, ok := l.Choose(fleet.Criteria{Service: "s"}, at); !ok || s != servers[1] {
 		t.Errorf("%v", s)
 	}
-	if _, _, ok := l.OpensAt("other", now); ok {
+	if _, _, ok := l.AvailableAt("other", now); ok {
 		t.Error("a time was returned for a service without servers")
 	}
 }
--- a/daemon/proxy/run.go
+++ b/daemon/proxy/run.go
@@ -89,7 +89,7 @@
 // atRest refuses a request whose servers all want rest or have their limit, until the first one
 // takes requests again: sooner it would find none.
 func (j *job) atRest(now time.Time) (Refused, bool) {
-	at, limited, ok := j.view.Servers.OpensAt(j.service, now)
+	at, limited, ok := j.view.Servers.AvailableAt(j.service, now)
 	out := Refused{Reason: Resting, RetryAfter: at.Sub(now)}
 	if limited {
 		out.Reason = Limited
