--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -46,7 +46,7 @@
 
 // ApplyLimit reads the limit that the server has announced, and takes this daemon's
 // share of it.
-func (s *Server) KeepLimit(among quota.Daemons, now time.Time) {
+func (s *Server) ApplyLimit(among quota.Daemons, now time.Time) {
 	l := s.State
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -242,7 +242,7 @@
 	if !is.Differs(was) {
 		return
 	}
-	a.server.KeepLimit(j.engine.Knowledge.View().Sharers, now)
+	a.server.ApplyLimit(j.engine.Knowledge.View().Sharers, now)
 	if j.engine.Limited != nil {
 		j.engine.Limited(a.server, was, is)
 	}
--- a/daemon/proxy/limit_test.go
+++ b/daemon/proxy/limit_test.go
@@ -202,7 +202,7 @@
 			if addr == "a" {
 				time.Sleep(300 * time.Millisecond)
 				one.State.Notices.ObserveLimit(notice.Limit{Rate: 1}, time.Now(), time.Now(), "")
-				one.KeepLimit(b.known.View().Sharers, time.Now())
+				one.ApplyLimit(b.known.View().Sharers, time.Now())
 			}
 			return dial(ctx, addr)
 		}
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -74,7 +74,7 @@
 	v.Sharers = k.sharers()
 	k.view.Store(&v)
 	for _, s := range k.limits.known {
-		s.KeepLimit(v.Sharers, now)
+		s.ApplyLimit(v.Sharers, now)
 	}
 }
 
@@ -106,7 +106,7 @@
 	was := k.limits.known[s.Incarnation()]
 	k.limits.known[s.Incarnation()] = s
 	if was == nil || was.State != s.State || was.Hall != s.Hall {
-		s.KeepLimit(k.view.Load().Sharers, now)
+		s.ApplyLimit(k.view.Load().Sharers, now)
 	}
 }
 
@@ -180,7 +180,7 @@
 			continue
 		}
 		k.limits.known[s.Incarnation()], k.limits.news = s, true
-		s.KeepLimit(k.view.Load().Sharers, now)
+		s.ApplyLimit(k.view.Load().Sharers, now)
 		if k.Limited != nil {
 			k.Limited(s, was, is)
 		}
--- a/daemon/storesync/limits_test.go
+++ b/daemon/storesync/limits_test.go
@@ -15,7 +15,7 @@
 	s, now := only(t, k), time.Now()
 	was, is := s.State.Notices.ObserveLimit(notice.Limit{Rate: rate, Lifted: rate == 0}, now.Add(-10*time.Millisecond), now, "")
 	if is.Rate != was.Rate {
-		s.KeepLimit(k.View().Sharers, now)
+		s.ApplyLimit(k.View().Sharers, now)
 		k.LimitHeard(s)
 	}
 }
