--- a/core/fleet/cold_test.go
+++ b/core/fleet/cold_test.go
@@ -16,13 +16,13 @@
 		s.Hall = "drained"
 	}
 	all := fleet.NewList(servers)
-	some := all.WithEmptied(map[string]bool{"drained": true})
+	some := all.WithDrained(map[string]bool{"drained": true})
 	for i := range uint64(200) {
 		if s, ok := some.Choose(fleet.Criteria{Service: "s", Affinity: i + 1}, now); !ok || s.Hall == "drained" {
 			t.Fatal("a drained hall was chosen, or no server")
 		}
 	}
-	if s, ok := some.WithEmptied(map[string]bool{"drained": true, "h": true}).Choose(fleet.Criteria{Service: "s"}, now); ok {
+	if s, ok := some.WithDrained(map[string]bool{"drained": true, "h": true}).Choose(fleet.Criteria{Service: "s"}, now); ok {
 		t.Errorf("%s was chosen though all halls are drained", s.ID)
 	}
 	if s, _ := all.Choose(fleet.Criteria{Service: "s", Hall: "drained"}, now); s.Hall != "drained" {
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -143,7 +143,7 @@
 
 // WithDrained returns the list with these data halls drained: requests in flight there
 // continue, and no new ones are sent there.
-func (l *List) WithEmptied(halls map[string]bool) *List {
+func (l *List) WithDrained(halls map[string]bool) *List {
 	if len(halls) == 0 {
 		return &List{byService: l.byService, open: l.byService}
 	}
--- a/daemon/proxy/halls_test.go
+++ b/daemon/proxy/halls_test.go
@@ -34,7 +34,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), inHalls("emptied", b.server("a", whole(200, "ok")), b.server("b", whole(200, "ok")))...)
-		b.look(func(v *storesync.View) { v.Servers = v.Servers.WithEmptied(map[string]bool{"emptied": true}) })
+		b.look(func(v *storesync.View) { v.Servers = v.Servers.WithDrained(map[string]bool{"emptied": true}) })
 		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
 		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.NoServer || out.RetryAfter <= 0 {
 			t.Errorf("the outcome is %v", got.outcome)
@@ -50,7 +50,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		empty := func(net.Conn, arrival) bool {
-			b.look(func(v *storesync.View) { v.Servers = v.Servers.WithEmptied(map[string]bool{"emptied": true}) })
+			b.look(func(v *storesync.View) { v.Servers = v.Servers.WithDrained(map[string]bool{"emptied": true}) })
 			return false
 		}
 		near := inHalls("emptied", b.server("a", empty), b.server("b", empty))
--- a/daemon/storesync/changes.go
+++ b/daemon/storesync/changes.go
@@ -36,7 +36,7 @@
 	k.noteVersions(c.added, false, now)
 	next := *v
 	next.Spoiled = c.spoiled
-	next.Servers = v.Servers.With(c.removed, c.added).WithEmptied(k.emptiedHalls())
+	next.Servers = v.Servers.With(c.removed, c.added).WithDrained(k.emptiedHalls())
 	k.listLimitsOf(c, now)
 	k.view.Store(&next)
 	k.chill(now)
--- a/daemon/storesync/halls.go
+++ b/daemon/storesync/halls.go
@@ -40,7 +40,7 @@
 	v := *k.view.Load()
 	v.Emptied = next
 	if v.Servers != nil {
-		v.Servers = v.Servers.WithEmptied(halls)
+		v.Servers = v.Servers.WithDrained(halls)
 	}
 	k.view.Store(&v)
 	k.chill(now)
--- a/daemon/storesync/read.go
+++ b/daemon/storesync/read.go
@@ -100,7 +100,7 @@
 	k.forgetLoads(servers, now)
 	k.noteVersions(servers, first, now)
 	was := v.Servers
-	v.Servers = fleet.NewList(servers).WithEmptied(k.emptiedHalls())
+	v.Servers = fleet.NewList(servers).WithDrained(k.emptiedHalls())
 	k.listLimits(servers, now)
 	k.view.Store(&v)
 	k.chill(now)
