--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -1,6 +1,5 @@
-// Package attempt is the life of one try at a backend server. What may be said
-// to the caller about it, that it did not run, that it is done or that nobody
-// knows, is a property of the state alone.
+// Package attempt implements the state machine of one attempt at a backend server. The outcome
+// that may be reported to the caller (did not run, done or unknown) depends only on the state.
 package attempt
 
 import (
@@ -12,36 +11,36 @@
 	"ladderridge.example/core/fault"
 )
 
-// Outcome is what is known of whether a request ran.
+// Outcome tells whether a request ran.
 type Outcome string
 
 // The outcomes.
 const (
-	// NotRun says that the backend server did not and will not run it.
+	// NotRun means that the backend server did not and will not run the request.
 	NotRun Outcome = "not_run"
-	// Done says that it ran and its whole answer arrived.
+	// Done means that the request ran and its complete answer arrived.
 	Done Outcome = "done"
-	// Unknown says that it may have run, in part or whole.
+	// Unknown means that the request may have run, partly or completely.
 	Unknown Outcome = "unknown"
 )
 
-// Event moves an attempt on.
+// Event is an event in the life of an attempt.
 type Event string
 
-// The events, in the order in which they usually come.
+// The events, in their usual order.
 const (
-	// Pass is a passed gate.
+	// Pass is that the request passed the checks before sending.
 	Pass Event = "pass"
-	// Send comes before the first byte may leave.
+	// Send comes before the first byte of the request may be sent.
 	Send Event = "send"
 	// Answer is the first byte of the backend server's answer.
 	Answer Event = "answer"
-	// Finish is the answer's proper end.
+	// Finish is the regular end of the answer.
 	Finish Event = "finish"
-	// Decline is an answer that is defined to mean that nothing ran, or a
-	// connection that was never made.
+	// Decline is an answer that by its definition means that the request did not run, or a
+	// failure to connect.
 	Decline Event = "decline"
-	// Lose is a broken connection, a time-out or a wrong answer.
+	// Lose is a broken connection, a time-out or an invalid answer.
 	Lose Event = "lose"
 )
 
@@ -61,31 +60,31 @@
 	{Name: string(Send), Src: []string{passed}, Dst: sending},
 	{Name: string(Answer), Src: []string{sending}, Dst: answering},
 	{Name: string(Finish), Src: []string{answering}, Dst: finished},
-	// A refusal can arrive only before the answer has begun.
+	// The server can decline only before its answer has begun.
 	{Name: string(Decline), Src: []string{created, passed, sending}, Dst: declined},
 	{Name: string(Lose), Src: []string{sending, answering}, Dst: lost},
 }
 
-// Kind says what sort of error the package met.
+// Kind is the kind of an error.
 type Kind string
 
-// Impossible is an event that the attempt's state does not allow.
+// Impossible is an event that is not allowed in the attempt's state.
 const Impossible Kind = "impossible event"
 
-// String names the kind.
+// String returns the kind as text.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
 
-// Attempt is one try. It is not safe for concurrent use.
+// Attempt is one attempt at a backend server. It is not safe for concurrent use.
 type Attempt struct {
 	// ID is echoed by the backend server in its answer.
 	ID      string
 	machine *fsm.FSM
 }
 
-// New starts an attempt.
+// New returns a new attempt.
 func New(id string) *Attempt {
 	return &Attempt{ID: id, machine: fsm.NewFSM(created, transitions, nil)}
 }
@@ -98,10 +97,10 @@
 	return nil
 }
 
-// State names the current state, for dumps and explanations.
+// State returns the name of the current state, for dumps and decision traces.
 func (a *Attempt) State() string { return a.machine.Current() }
 
-// Outcome is what may truthfully be said of the attempt now.
+// Outcome returns the outcome according to the current state.
 func (a *Attempt) Outcome() Outcome {
 	switch a.machine.Current() {
 	case finished:
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -11,14 +11,14 @@
 	"ladderridge.example/core/fault"
 )
 
-// TestNotRunIsTrue applies any events in any order against an oracle that
-// remembers whether a byte may have left and whether the server answered or
+// TestNotRunIsReportedOnlyIfTrue applies random events and compares the outcome with a reference
+// model, which records whether a byte may have been sent and whether the server answered or
 // declined.
-func TestNotRunIsTrue(t *testing.T) {
+func TestNotRunIsReportedOnlyIfTrue(t *testing.T) {
 	events := []attempt.Event{attempt.Pass, attempt.Send, attempt.Answer, attempt.Finish, attempt.Decline, attempt.Lose}
 	rapid.Check(t, func(t *rapid.T) {
 		a := attempt.New("a")
-		var left, answered, declined, finished bool
+		var sent, answered, declined, finished bool
 		for range rapid.IntRange(0, 12).Draw(t, "events") {
 			e := rapid.SampledFrom(events).Draw(t, "event")
 			if err := a.On(e); err != nil {
@@ -27,7 +27,7 @@
 				}
 				continue
 			}
-			left = left || e == attempt.Send
+			sent = sent || e == attempt.Send
 			answered = answered || e == attempt.Answer
 			declined = declined || e == attempt.Decline
 			finished = finished || e == attempt.Finish
@@ -36,7 +36,7 @@
 		switch {
 		case finished:
 			want = attempt.Done
-		case !left || (declined && !answered):
+		case !sent || (declined && !answered):
 			want = attempt.NotRun
 		}
 		if got := a.Outcome(); got != want {
--- a/core/attempt/ledger_test.go
+++ b/core/attempt/history_test.go
@@ -8,8 +8,8 @@
 	"ladderridge.example/core/attempt"
 )
 
-// TestLedgerNeverCallsNotRunWhatMayHaveRun adds attempts with any outcomes.
-func TestLedgerNeverCallsNotRunWhatMayHaveRun(t *testing.T) {
+// TestRequestThatMayHaveRunIsNeverReportedNotRun adds attempts with random outcomes.
+func TestRequestThatMayHaveRunIsNeverReportedNotRun(t *testing.T) {
 	outcomes := []attempt.Outcome{attempt.NotRun, attempt.Done, attempt.Unknown}
 	rapid.Check(t, func(t *rapid.T) {
 		var l attempt.Ledger
