--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -1,50 +1,52 @@
-// Package claim decides what a request that may not be repeated may do.
+// Package claim implements idempotency keys: it decides whether a request that must run at most
+// once may run.
 //
-// Before its first byte goes out, its daemon creates a record under the
-// caller's key. Nobody takes a record over, so a paused holder can do no harm,
-// also to backend servers that check nothing. Whoever finds the record of
-// another request answers from it.
+// Before the first byte of the request is sent, its daemon creates a record under the caller's
+// key. No other daemon ever takes over a record, so a daemon that was suspended cannot run a
+// request twice, even at backend servers without checks of their own. A daemon that finds the
+// record of another request answers from that record.
 package claim
 
 import (
 	"time"
 )
 
-// State is how far a claimed request is known to have come.
+// State is the state of a record.
 type State string
 
 // The states of a record.
 const (
-	// Open is claimed; the outcome is not recorded yet.
+	// Open means that the outcome of the request is not recorded yet.
 	Open State = "open"
-	// Done has run, and its answer is recorded.
+	// Done means that the request ran and its answer is recorded.
 	Done State = "done"
-	// Unknown may have run; nobody knows.
+	// Unknown means that the request may have run and its outcome is lost.
 	Unknown State = "unknown"
 )
 
-// MaxBody is the largest answer that is recorded, in bytes. Of a larger one
-// only the status is.
+// MaxBody is the largest body that is recorded, in bytes. Of a larger answer only the status and
+// content type are recorded.
 const MaxBody = 16 << 10
 
-// Record is what is kept under the caller's key.
+// Record is the stored record of a request under the caller's key.
 type Record struct {
-	// Claimer is the id of the request that made the record.
+	// Claimer is the id of the request that created the record.
 	Claimer string `json:"claimer"`
-	// Print is a hash of the request, to tell a repeat from a key used twice.
+	// Print is a hash of the request. It distinguishes a repeat of the request from another
+	// request with the same key.
 	Print string `json:"print"`
 	State State  `json:"state"`
-	// UntilUnixMS is when the claimer's deadline has surely passed.
+	// UntilUnixMS is a time after the claimer's deadline.
 	UntilUnixMS int64 `json:"until_unix_ms"`
-	// Status, ContentType and Body are the recorded answer.
+	// Status, ContentType and Body hold the recorded answer.
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// Cut tells that the body was too large to record.
+	// Cut reports that the body was too large and was not recorded.
 	Cut bool `json:"cut,omitempty"`
 }
 
-// WithAnswer returns the record of a request that has run.
+// WithAnswer returns the record with the answer of a request that ran.
 func (r Record) WithAnswer(status int, contentType string, body []byte) Record {
 	r.State, r.Status, r.ContentType = Done, status, contentType
 	if len(body) > MaxBody {
@@ -55,28 +57,28 @@
 	return r
 }
 
-// WithUnknown returns the record of a request whose outcome nobody knows.
+// WithUnknown returns the record with an unknown outcome.
 func (r Record) WithUnknown() Record {
 	r.State = Unknown
 	return r
 }
 
-// Verdict is what a request may do that found a record under its key.
+// Verdict is the decision on a request that found a record under its key.
 type Verdict interface{ verdict() }
 
-// Mine says that the record is the request's own: it may run.
+// Mine means that the request created the record itself: it may run.
 type Mine struct{}
 
-// Replay says that the request has run and gives its recorded answer.
+// Replay means that the request ran before. It contains the recorded answer.
 type Replay struct{ Record Record }
 
-// InProgress says that the request runs now.
+// InProgress means that the request is running.
 type InProgress struct{ RetryAfter time.Duration }
 
-// OutcomeUnknown says that the request may have run, and nobody will know.
+// OutcomeUnknown means that the request may have run and its outcome is lost.
 type OutcomeUnknown struct{}
 
-// KeyReused says that the key belongs to a different request.
+// KeyReused means that the key was used for a different request.
 type KeyReused struct{}
 
 func (Mine) verdict()           {}
@@ -85,15 +87,15 @@
 func (OutcomeUnknown) verdict() {}
 func (KeyReused) verdict()      {}
 
-// retryFloor and retryCeiling bound when a caller comes back for a request
-// that is under way.
+// minRetryAfter and maxRetryAfter are the limits of the retry-after time of a request that is in
+// progress.
 const (
-	retryFloor   = 500 * time.Millisecond
-	retryCeiling = 5 * time.Second
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
-// Judge says what the request with the given id and fingerprint may do when it finds
-// a record under its key.
+// Judge decides what a request with the given id and fingerprint may do after it found a record
+// under its key.
 func Judge(found Record, id, fingerprint string, now time.Time) Verdict {
 	switch {
 	case found.Claimer == id:
@@ -109,5 +111,5 @@
 	if left <= 0 {
 		return OutcomeUnknown{}
 	}
-	return InProgress{RetryAfter: min(max(left/4, retryFloor), retryCeiling)}
+	return InProgress{RetryAfter: min(max(left/4, minRetryAfter), maxRetryAfter)}
 }
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -11,7 +11,7 @@
 
 var now = time.UnixMilli(1_800_000_000_000)
 
-func TestVerdicts(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	open := claim.Record{Claimer: "a", Print: "p", State: claim.Open, UntilUnixMS: now.Add(8 * time.Second).UnixMilli()}
 	done := open.WithAnswer(200, "text/plain", []byte("x"))
 	late := open
@@ -22,13 +22,13 @@
 		print string
 		want  claim.Verdict
 	}{
-		"own":            {open, "a", "p", claim.Mine{}},
-		"under way":      {open, "b", "p", claim.InProgress{RetryAfter: 2 * time.Second}},
-		"claimer gone":   {late, "b", "p", claim.OutcomeUnknown{}},
-		"has run":        {done, "b", "p", claim.Replay{Record: done}},
-		"nobody knows":   {open.WithUnknown(), "b", "p", claim.OutcomeUnknown{}},
-		"another's key":  {done, "b", "q", claim.KeyReused{}},
-		"key reused now": {open, "b", "q", claim.KeyReused{}},
+		"own":                    {open, "a", "p", claim.Mine{}},
+		"in progress":            {open, "b", "p", claim.InProgress{RetryAfter: 2 * time.Second}},
+		"deadline passed":        {late, "b", "p", claim.OutcomeUnknown{}},
+		"has run":                {done, "b", "p", claim.Replay{Record: done}},
+		"outcome unknown":        {open.WithUnknown(), "b", "p", claim.OutcomeUnknown{}},
+		"key of another request": {done, "b", "q", claim.KeyReused{}},
+		"key reused now":         {open, "b", "q", claim.KeyReused{}},
 	} {
 		if diff := cmp.Diff(c.want, claim.Judge(c.found, c.id, c.print, now)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
