--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip is what daemons tell each other about what the platform's
-// store holds: rows by topic, how old the knowledge of them is, and what each
-// daemon has seen of a version that is being rolled out.
+// Package gossip defines the messages with which daemons share what they know of the platform's
+// store: the rows of each topic and the age of that knowledge, and what each daemon has observed of
+// a version in roll-out.
 package gossip
 
 import (
@@ -11,21 +11,21 @@
 	"ladderridge.example/core/usage"
 )
 
-// Topic names a set of rows of the store.
+// Topic identifies a set of rows of the store.
 type Topic string
 
 // The topics.
 const (
-	// Operator has the configuration and the orders for roll-outs.
+	// Operator contains the configuration and the orders for roll-outs.
 	Operator Topic = "operator"
-	// Servers has an entry for each backend server.
+	// Servers contains a row for each backend server.
 	Servers Topic = "servers"
-	// Progress has the state of roll-outs.
+	// Progress contains the state of roll-outs.
 	Progress Topic = "progress"
-	// Members has what daemons tell all others: an entry for each, with its address and
-	// public key, and the requests in quarantine.
+	// Members contains what daemons announce to all others: a row for each daemon, with its
+	// address and public key, and the requests in quarantine.
 	Members Topic = "members"
-	// Duties has a row for each duty that one daemon does for all. It is not told on.
+	// Duties contains a row for each duty that one daemon does for all. It is not gossiped.
 	Duties Topic = "duties"
 )
 
@@ -34,81 +34,81 @@
 	_    struct{} `cbor:",toarray"`
 	Key  string
 	Data []byte
-	// Version is that of the store when the row was written; its number is 0 if the store has
-	// lost the row and is to have it again.
+	// Version is the store's version when the row was written. Its number is 0 if the store lost
+	// the row and the row is to be written to it again.
 	Version revision.Revision
 }
 
-// Have is what an asker knows of a topic.
+// Have is a digest of the sender's knowledge of a topic.
 type Have struct {
 	_     struct{} `cbor:",toarray"`
 	Topic Topic
-	// Version is that of the store when the rows were read.
+	// Version is the store's version when the rows were read.
 	Version revision.Revision
-	// Sum is a hash of the rows' keys and contents. The store's version rises
-	// with every write to any topic; the sum changes only with one to this.
+	// Sum is a hash of the rows' keys and contents. The store's version increases with every
+	// write to any topic, the sum changes only with a write to this one.
 	Sum uint64
-	// Held is how many rows the asker holds that the store has lost.
+	// Held is the number of rows that the sender holds and the store lost.
 	Held uint64
 }
 
-// Ask asks a daemon what it knows.
+// Ask asks a daemon for its knowledge.
 type Ask struct {
 	_ struct{} `cbor:",toarray"`
-	// Nonce is repeated in the answer, so that one from before a pause of the
-	// asker is told apart.
+	// Nonce is repeated in the response, so that the sender can recognise a response to a
+	// request from before it was suspended.
 	Nonce uint64
 	Have  []Have
-	// Sessions are hashes of sessions that an old version serves at the asker.
+	// Sessions are hashes of the sessions that an old version serves at the sender.
 	Sessions []uint64
-	// Work is the asker's own at the servers.
+	// Work is the sender's own load at the servers.
 	Work Work
-	// Usage is what the asker has counted of organisations' requests and the answerer has not
-	// acknowledged.
+	// Usage contains the records of organisations' requests that the sender has counted and the
+	// recipient has not acknowledged.
 	Usage []usage.Record
-	// LimitSum is a hash of the limits of servers that stand at the asker, Limits what it has
-	// heard of them if the answerer may not know it.
+	// LimitSum is a hash of the server limits in force at the sender. Limits are those limits if
+	// the recipient may not know them.
 	LimitSum uint64
 	Limits   []Limit
 }
 
-// Limit is the rate that a server takes from all daemons together, as one of them has heard.
+// Limit is the rate limit of a server for all daemons together, as received by one of them.
 type Limit struct {
 	_ struct{} `cbor:",toarray"`
-	// ID and Born tell the server's start.
+	// ID and Born identify the server and its start.
 	ID   string
 	Born int64
-	// Rate is in requests a second; 0 is the end of a limit.
+	// Rate is in requests per second, 0 for the end of a limit.
 	Rate float64
-	// AskedMS and HeardMS are how long ago the request was sent whose answer says so, and the
-	// answer was read, in milliseconds.
+	// AskedMS is the time since the request was sent whose answer announced the limit, HeardMS
+	// the time since that answer was read, in milliseconds.
 	AskedMS uint64
 	HeardMS uint64
 }
 
-// Known is what the answerer knows of a topic.
+// Known is the sender's knowledge of a topic.
 type Known struct {
 	_       struct{} `cbor:",toarray"`
 	Topic   Topic
 	Version revision.Revision
-	// AgeMS is how long ago the store confirmed it, in milliseconds.
+	// AgeMS is the time since the store confirmed the rows, in milliseconds.
 	AgeMS uint64
-	// Sum is a hash of the rows' keys and contents, as they are now.
+	// Sum is a hash of the keys and contents of the sender's current rows.
 	Sum uint64
-	// ReturnedMS is how long ago the store answered again after it was away, or
-	// 0 if it was not: entries that lapsed meanwhile may come back.
+	// ReturnedMS is the time since the store became reachable again after an outage, in
+	// milliseconds, or 0 if there was none. Rows that expired during the outage may return.
 	ReturnedMS uint64
-	// Held is how many rows the answerer holds that the store has lost.
+	// Held is the number of rows that the sender holds and the store lost.
 	Held uint64
-	// Whole tells that Rows are all rows of the topic. Otherwise Rows and
-	// Removed are what has changed since the rows whose sum is Base.
+	// Whole reports that Rows are all rows of the topic. Otherwise Rows and Removed are the
+	// changes since the rows with the sum Base.
 	Whole   bool
 	Base    uint64
 	Rows    []Row
 	Removed []string
 }
 
-// Sum returns the hash of a topic's rows, whatever their order.
+// Sum returns the hash of a topic's rows. It does not depend on their order.
 func Sum(rows []Row) uint64 {
 	var sum uint64
 	for _, row := range rows {
@@ -117,9 +117,9 @@
 	return sum
 }
 
-// Sum is the row's part of a topic's hash, which is the sum of them: a change of one row
-// changes it by the difference. Versions are left out: daemons that have read the same rows
-// before and after a return of the store from a copy know the same.
+// Sum returns the hash of the row. The hash of a topic is the sum over its rows, so that it can
+// be updated by the difference when a row changes. Versions are not part of it: daemons that have
+// read the same rows before and after the store was restored from a copy have equal sums.
 func (r Row) Sum() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -129,64 +129,65 @@
 	return d.Sum64()
 }
 
-// Tell answers Ask, or tells news.
+// Tell is the response to Ask, or an unsolicited update.
 type Tell struct {
 	_ struct{} `cbor:",toarray"`
-	// Nonce is that of the question; 0 is news that nobody has asked for, which
-	// may be held up on its way and so confirms nothing.
+	// Nonce is that of the request, 0 for an unsolicited update. Such an update may have been
+	// delayed, so it does not confirm that the rows are current.
 	Nonce uint64
 	Known []Known
-	// Withdrawn are versions in roll-out that were found bad: SERVICE@VERSION.
+	// Withdrawn are faulty versions in roll-out, as SERVICE@VERSION.
 	Withdrawn []string
-	// Sessions are hashes of sessions that an old version serves.
+	// Sessions are hashes of the sessions that an old version serves.
 	Sessions []uint64
-	// Cut tells that the teller tries the store itself and is not answered: what it
-	// knows it has from others.
+	// Cut reports that the store does not answer the sender: its knowledge comes from other
+	// daemons.
 	Cut bool
-	// Found tells that the store has just answered the teller while its hall had
-	// heard nothing for a while: asking it is worth while.
+	// Found reports that the store has just answered the sender after the sender's data hall had
+	// no contact with it for some time: the recipient should try the store as well.
 	Found bool
-	// Work is that of all daemons at the servers in an answer, and otherwise that of the
-	// teller's hall.
+	// Work is the load of all daemons at the servers in a response, and that of the sender's
+	// data hall in an unsolicited update.
 	Work Work
-	// Crashes are servers that ended while requests were under way there.
+	// Crashes are the servers that ended with requests in flight.
 	Crashes []Crash
-	// Usage is what daemons of the teller's hall have counted of organisations' requests.
+	// Usage contains the records of organisations' requests that daemons of the sender's data
+	// hall have counted.
 	Usage []usage.Record
-	// LimitSum is a hash of the limits of servers that stand at the teller, Limits what it has
-	// heard of them.
+	// LimitSum is a hash of the server limits in force at the sender, Limits are those limits.
 	LimitSum uint64
 	Limits   []Limit
 }
 
-// Crash is a server that ended while a request was under way there.
+// Crash reports that a server ended with a request in flight.
 type Crash struct {
 	_ struct{} `cbor:",toarray"`
 	// Content is the request's fingerprint, Server a hash of the server's id.
 	Content uint64
 	Server  uint64
-	// AgeMS is how long ago that was noticed, in milliseconds.
+	// AgeMS is the time since the crash was detected, in milliseconds.
 	AgeMS uint64
 }
 
-// Count is what one daemon has seen of a version's answers on one route since
-// the order of the roll-out.
+// Count holds the counts of one daemon for a version's answers on one route since the roll-out
+// was ordered.
 type Count struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
 	Version string
 	Route   string
-	// Server is set for a version in roll-out while few of its servers are used.
+	// Server is set for a version in roll-out while only a few of its servers are in use.
 	Server  string
 	Answers uint64
 	Failed  uint64
-	// First and Between count by relative times, as canary.Paces does.
+	// First and Between are histograms of relative times: of the first part of an answer, and
+	// between the events of a stream.
 	First   canary.LatencyHistogram
 	Between canary.LatencyHistogram
 }
 
-// Evidence is all that a daemon, or a whole data hall, has seen of roll-outs. It
-// replaces what the same daemon or hall said before.
+// Evidence contains all that a daemon or a data hall has observed of roll-outs. It replaces the
+// earlier evidence of the same daemon or hall.
 type Evidence struct {
 	_ struct{} `cbor:",toarray"`
 	// Hall is set if this is the sum of a data hall.
@@ -194,9 +195,9 @@
 	Start    uint64
 	Sequence uint64
 	Counts   []Count
-	// OldInFlight are requests under way on a version that gets no more, by
-	// service; a service that still uses its old version is not there.
+	// OldInFlight counts the requests in flight on a version that gets no new ones, by service.
+	// A service that still uses its old version is not included.
 	OldInFlight map[string]int
-	// Withdrawn are versions that this daemon no longer uses: SERVICE@VERSION.
+	// Withdrawn are versions that this daemon no longer uses, as SERVICE@VERSION.
 	Withdrawn []string
 }
