--- a/core/fault/fault.go
+++ b/core/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault gives the packages of ladderridge one shape of error:
-// what was being done (the operation), what sort of thing went wrong (the
-// kind, an enumeration of the package's own) and the cause.
+// Package fault provides the common structure of the errors of ladderridge's packages: the
+// operation that failed, the kind of the error, which is an enumeration of the package, and the
+// cause.
 package fault
 
 import (
@@ -13,7 +13,7 @@
 type Of[K fmt.Stringer] struct {
 	// Op is the operation that failed, such as "parse table".
 	Op string
-	// Kind is what callers switch on.
+	// Kind is the kind of the error, which callers switch on.
 	Kind K
 	// Err is the cause, or nil.
 	Err error
@@ -30,7 +30,7 @@
 // Unwrap returns the cause.
 func (e *Of[K]) Unwrap() error { return e.Err }
 
-// Is reports whether err carries an Of[K] of the given kind.
+// Is reports whether err wraps an Of[K] of the given kind.
 func Is[K interface {
 	fmt.Stringer
 	comparable
