--- a/core/fixedseed/fixedseed.go
+++ b/core/fixedseed/fixedseed.go
@@ -1,16 +1,15 @@
-// Package fixedseed makes the property tests of a package that imports it draw
-// the same in every run, unless the command line sets -rapid.seed. Only tests
-// import it.
+// Package fixedseed makes the property tests of a package that imports it use the same random
+// values in every run, unless -rapid.seed is set on the command line. Only tests import it.
 package fixedseed
 
 import (
 	"flag"
 
-	// Registers the flag that is set below.
+	// Registers the flag -rapid.seed, which init sets.
 	_ "pgregory.net/rapid"
 )
 
-// seed is what the tests draw from.
+// seed is the default random seed of property tests.
 const seed = "20261202"
 
 func init() {
