--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -1,11 +1,10 @@
-// Package clock waits by functions that the runtime's clock calls, instead of by
-// timers with channels.
+// Package clock provides waits and tickers that use time.AfterFunc instead of channel timers.
 //
-// In a test's bubble (testing/synctest) a channel timer that is due when a goroutine
-// looks at it runs on that goroutine, and with the race detector all goroutines of the
-// bubble share one context for this, unlocked. Two that do so at once corrupt it: Go
-// 1.26.8 then ends with SIGSEGV, in three of three runs of 64 goroutines that receive
-// from time.After(0). A function is called from one place, one after the other.
+// In a bubble of testing/synctest, a channel timer that has expired when a goroutine checks it
+// runs on that goroutine. With the race detector all goroutines of the bubble use the same
+// context for this without a lock, and two of them at once corrupt it: Go 1.26.8 crashes with
+// SIGSEGV, in three of three runs of 64 goroutines that receive from time.After(0). The runtime
+// calls the functions of time.AfterFunc one after the other.
 package clock
 
 import (
@@ -14,14 +13,13 @@
 	"time"
 )
 
-// After returns a channel that is closed once d has passed; at once if d is not
-// positive.
+// After returns a channel that is closed once d has elapsed, or immediately if d is not positive.
 func After(d time.Duration) <-chan struct{} {
 	done, _ := after(d)
 	return done
 }
 
-// after also returns what stops the timer, to free it early.
+// after is like After and also returns a function that stops the timer, to free it early.
 func after(d time.Duration) (done <-chan struct{}, stop func()) {
 	ch := make(chan struct{})
 	if d <= 0 {
@@ -32,8 +30,7 @@
 	return ch, func() { timer.Stop() }
 }
 
-// Wait waits until d has passed or ctx ends. A wait that is not positive returns at
-// once.
+// Wait waits until d has elapsed or ctx is done. It returns immediately if d is not positive.
 func Wait(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -46,8 +43,7 @@
 	}
 }
 
-// Ticker tells of times that come round. A tick that nobody has taken yet stands for
-// those after it.
+// Ticker sends ticks at an interval. Ticks are dropped while an earlier one has not been received.
 type Ticker struct {
 	C <-chan struct{}
 
@@ -55,15 +51,15 @@
 	timer *time.Timer
 }
 
-// NewTicker returns a ticker that ticks every d, which must be positive, until it is
-// stopped.
+// NewTicker returns a ticker with the interval d, which must be positive. It runs until Stop is
+// called.
 func NewTicker(d time.Duration) *Ticker {
 	c := make(chan struct{}, 1)
 	t := &Ticker{C: c}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.timer = time.AfterFunc(d, func() {
-		t.again(d)
+		t.rearm(d)
 		select {
 		case c <- struct{}{}:
 		default:
@@ -72,8 +68,8 @@
 	return t
 }
 
-// again sets the timer anew, unless it has been stopped.
-func (t *Ticker) again(d time.Duration) {
+// rearm restarts the timer unless the ticker was stopped.
+func (t *Ticker) rearm(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.timer != nil {
@@ -81,7 +77,7 @@
 	}
 }
 
-// Stop ends the ticks.
+// Stop stops the ticker.
 func (t *Ticker) Stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -10,9 +10,9 @@
 	"ladderridge.example/core/clock"
 )
 
-// Many goroutines of a bubble whose waits are due at once: with channel timers and the
-// race detector the runtime ends here with SIGSEGV.
-func TestWaitsThatAreDueAtOnceDoNotMeet(t *testing.T) {
+// Many goroutines of a bubble wait for timers that expire at the same time: with channel timers
+// and the race detector the runtime crashes here with SIGSEGV.
+func TestConcurrentWaitsThatExpireTogether(t *testing.T) {
 	const waiters, rounds = 64, 500
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -20,9 +20,9 @@
 			wg.Go(func() {
 				for range rounds {
 					<-clock.After(0)
-					late := clock.After(time.Millisecond)
+					expired := clock.After(time.Millisecond)
 					time.Sleep(2 * time.Millisecond)
-					<-late
+					<-expired
 					clock.Wait(t.Context(), -1)
 				}
 			})
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestWaitTakesItsTimeOrEndsWithItsContext(t *testing.T) {
+func TestWaitEndsAfterDurationOrWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
 		clock.Wait(t.Context(), time.Second)
@@ -42,12 +42,12 @@
 		defer cancel()
 		clock.Wait(ctx, time.Hour)
 		if took := time.Since(begun); took != 2*time.Second {
-			t.Errorf("it ended after %v", took)
+			t.Errorf("a wait with a context of one second ended after %v in total", took)
 		}
 	})
 }
 
-func TestTickerTicksUntilItIsStopped(t *testing.T) {
+func TestTickerTicksUntilStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tick := clock.NewTicker(time.Second)
 		begun := time.Now()
@@ -57,7 +57,7 @@
 				t.Errorf("tick %d came after %v", i+1, took)
 			}
 		}
-		// Ticks that nobody takes stand for one.
+		// Of the ticks that are not received only one is kept.
 		time.Sleep(5500 * time.Millisecond)
 		<-tick.C
 		select {
@@ -69,7 +69,7 @@
 		time.Sleep(5 * time.Second)
 		select {
 		case <-tick.C:
-			t.Error("it ticks after its stop")
+			t.Error("a tick after Stop")
 		default:
 		}
 	})
