--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -6,8 +6,9 @@
 	"ladderridge.example/core/revision"
 )
 
-// A store that returned from a copy gives out lower numbers: they are later all the same.
-func TestLaterEraIsLaterWhateverTheNumber(t *testing.T) {
+// A store that was restored from a copy assigns lower numbers again. Their revisions must still be
+// later than those from before the restore.
+func TestHigherEraIsLaterWhateverTheNumber(t *testing.T) {
 	inOrder := []revision.Revision{{}, revision.New(0, 5), revision.New(1, 0), revision.New(1, 40), revision.New(2, 37), revision.New(2, 38), revision.New(9, 1)}
 	for i, a := range inOrder {
 		for j, b := range inOrder {
