--- a/core/attempt/history.go
+++ b/core/attempt/history.go
@@ -1,8 +1,8 @@
 package attempt
 
-// Ledger counts the attempts that were made for a request, by outcome. The zero value is that of a
+// History counts the attempts that were made for a request, by outcome. The zero value is that of a
 // request without attempts. It is immutable.
-type Ledger struct {
+type History struct {
 	// Ran counts the attempts that ran or may have run.
 	Ran int
 	// Declined counts the attempts that reached a server and did not run there.
@@ -10,25 +10,25 @@
 }
 
 // With returns the counts with another attempt that reached a server.
-func (l Ledger) With(o Outcome) Ledger {
+func (h History) With(o Outcome) History {
 	if o == NotRun {
-		l.Declined++
+		h.Declined++
 	} else {
-		l.Ran++
+		h.Ran++
 	}
-	return l
+	return h
 }
 
 // Reached returns the number of attempts that reached a server.
-func (l Ledger) Reached() int { return l.Ran + l.Declined }
+func (h History) Reached() int { return h.Ran + h.Declined }
 
 // MayHaveRun reports whether a server ran the request or may have run it. The caller may be told
 // that the request did not run only if this is false.
-func (l Ledger) MayHaveRun() bool { return l.Ran > 0 }
+func (h History) MayHaveRun() bool { return h.Ran > 0 }
 
 // Outcome returns the outcome of a request that has no answer.
-func (l Ledger) Outcome() Outcome {
-	if l.MayHaveRun() {
+func (h History) Outcome() Outcome {
+	if h.MayHaveRun() {
 		return Unknown
 	}
 	return NotRun
@@ -36,4 +36,4 @@
 
 // MayRepeat reports whether another attempt may be made. A request that must run at most once is
 // not repeated once it may have run.
-func (l Ledger) MayRepeat(once bool) bool { return !once || !l.MayHaveRun() }
+func (h History) MayRepeat(once bool) bool { return !once || !h.MayHaveRun() }
--- a/core/attempt/history_test.go
+++ b/core/attempt/history_test.go
@@ -12,7 +12,7 @@
 func TestRequestThatMayHaveRunIsNeverReportedNotRun(t *testing.T) {
 	outcomes := []attempt.Outcome{attempt.NotRun, attempt.Done, attempt.Unknown}
 	rapid.Check(t, func(t *rapid.T) {
-		var l attempt.Ledger
+		var l attempt.History
 		mayHaveRun, reached := false, 0
 		for range rapid.IntRange(0, 6).Draw(t, "attempts") {
 			o := rapid.SampledFrom(outcomes).Draw(t, "outcome")
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -161,7 +161,7 @@
 	// answered tells that the caller has been sent a status.
 	answered bool
 	// made is what is known after the attempts so far.
-	made attempt.Ledger
+	made attempt.History
 	// once tells that the request may run once only; claim is its claim, if it
 	// needs one.
 	once  bool
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -195,7 +195,7 @@
 	// off, and any of which one timed out.
 	silent []string
 	// made is what is known after the attempts so far.
-	made attempts.Ledger
+	made attempts.History
 	// paid tells that the next attempt has been taken from the budget, paidAt when a repeat last
 	// was.
 	paid   bool
