--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -63,8 +63,8 @@
 	return r
 }
 
-// Verdict is the decision on a request that found a record under its key.
-type Verdict interface{ verdict() }
+// Decision is the decision on a request that found a record under its key.
+type Decision interface{ decision() }
 
 // Mine means that the request created the record itself: it may run.
 type Mine struct{}
@@ -81,11 +81,11 @@
 // KeyReused means that the key was used for a different request.
 type KeyReused struct{}
 
-func (Mine) verdict()           {}
-func (Replay) verdict()         {}
-func (InProgress) verdict()     {}
-func (OutcomeUnknown) verdict() {}
-func (KeyReused) verdict()      {}
+func (Mine) decision()           {}
+func (Replay) decision()         {}
+func (InProgress) decision()     {}
+func (OutcomeUnknown) decision() {}
+func (KeyReused) decision()      {}
 
 // minRetryAfter and maxRetryAfter are the limits of the retry-after time of a request that is in
 // progress.
@@ -94,9 +94,9 @@
 	maxRetryAfter = 5 * time.Second
 )
 
-// Judge decides what a request with the given id and fingerprint may do after it found a record
+// Decide decides what a request with the given id and fingerprint may do after it found a record
 // under its key.
-func Judge(found Record, id, fingerprint string, now time.Time) Verdict {
+func Decide(found Record, id, fingerprint string, now time.Time) Decision {
 	switch {
 	case found.Claimer == id:
 		return Mine{}
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -20,7 +20,7 @@
 		found claim.Record
 		id    string
 		print string
-		want  claim.Verdict
+		want  claim.Decision
 	}{
 		"own":                    {open, "a", "p", claim.Mine{}},
 		"in progress":            {open, "b", "p", claim.InProgress{RetryAfter: 2 * time.Second}},
@@ -30,7 +30,7 @@
 		"key of another request": {done, "b", "q", claim.KeyReused{}},
 		"key reused now":         {open, "b", "q", claim.KeyReused{}},
 	} {
-		if diff := cmp.Diff(c.want, claim.Judge(c.found, c.id, c.print, now)); diff != "" {
+		if diff := cmp.Diff(c.want, claim.Decide(c.found, c.id, c.print, now)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
--- a/daemon/front/claim.go
+++ b/daemon/front/claim.go
@@ -43,7 +43,7 @@
 		j.step(route.Step{Kind: route.StepClaim, Text: "claimed"})
 		return &claimed{store: j.front.Claims, held: held}, nil
 	}
-	return nil, j.judged(claim.Judge(found, j.id, own.Print, time.Now()))
+	return nil, j.judged(claim.Decide(found, j.id, own.Print, time.Now()))
 }
 
 // claimRetry is when to come back for a claim that could not be made.
@@ -55,7 +55,7 @@
 }
 
 // judged answers a request that found a record of another one.
-func (j *job) judged(v claim.Verdict) *refusal {
+func (j *job) judged(v claim.Decision) *refusal {
 	switch v := v.(type) {
 	case claim.Replay:
 		return j.replay(v.Record)
