--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -66,8 +66,8 @@
 // Decision is the decision on a request that found a record under its key.
 type Decision interface{ decision() }
 
-// Mine means that the request created the record itself: it may run.
-type Mine struct{}
+// Own means that the request created the record itself: it may run.
+type Own struct{}
 
 // Replay means that the request ran before. It contains the recorded answer.
 type Replay struct{ Record Record }
@@ -81,7 +81,7 @@
 // KeyReused means that the key was used for a different request.
 type KeyReused struct{}
 
-func (Mine) decision()           {}
+func (Own) decision()            {}
 func (Replay) decision()         {}
 func (InProgress) decision()     {}
 func (OutcomeUnknown) decision() {}
@@ -99,7 +99,7 @@
 func Decide(found Record, id, fingerprint string, now time.Time) Decision {
 	switch {
 	case found.Claimer == id:
-		return Mine{}
+		return Own{}
 	case found.Print != fingerprint:
 		return KeyReused{}
 	case found.State == Done:
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -22,7 +22,7 @@
 		print string
 		want  claim.Decision
 	}{
-		"own":                    {open, "a", "p", claim.Mine{}},
+		"own":                    {open, "a", "p", claim.Own{}},
 		"in progress":            {open, "b", "p", claim.InProgress{RetryAfter: 2 * time.Second}},
 		"deadline passed":        {late, "b", "p", claim.OutcomeUnknown{}},
 		"has run":                {done, "b", "p", claim.Replay{Record: done}},
