--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -32,25 +32,25 @@
 type Record struct {
 	// Claimer is the id of the request that created the record.
 	Claimer string `json:"claimer"`
-	// Print is a hash of the request. It distinguishes a repeat of the request from another
+	// Fingerprint is a hash of the request. It distinguishes a repeat of the request from another
 	// request with the same key.
-	Print string `json:"print"`
-	State State  `json:"state"`
+	Fingerprint string `json:"print"`
+	State       State  `json:"state"`
 	// UntilUnixMS is a time after the claimer's deadline.
 	UntilUnixMS int64 `json:"until_unix_ms"`
 	// Status, ContentType and Body hold the recorded answer.
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// Cut reports that the body was too large and was not recorded.
-	Cut bool `json:"cut,omitempty"`
+	// Truncated reports that the body was too large and was not recorded.
+	Truncated bool `json:"cut,omitempty"`
 }
 
 // WithAnswer returns the record with the answer of a request that ran.
 func (r Record) WithAnswer(status int, contentType string, body []byte) Record {
 	r.State, r.Status, r.ContentType = Done, status, contentType
 	if len(body) > MaxBody {
-		r.Cut = true
+		r.Truncated = true
 		return r
 	}
 	r.Body = body
@@ -100,7 +100,7 @@
 	switch {
 	case found.Claimer == id:
 		return Own{}
-	case found.Print != fingerprint:
+	case found.Fingerprint != fingerprint:
 		return KeyReused{}
 	case found.State == Done:
 		return Replay{Record: found}
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -12,7 +12,7 @@
 var now = time.UnixMilli(1_800_000_000_000)
 
 func TestDecisions(t *testing.T) {
-	open := claim.Record{Claimer: "a", Print: "p", State: claim.Open, UntilUnixMS: now.Add(8 * time.Second).UnixMilli()}
+	open := claim.Record{Claimer: "a", Fingerprint: "p", State: claim.Open, UntilUnixMS: now.Add(8 * time.Second).UnixMilli()}
 	done := open.WithAnswer(200, "text/plain", []byte("x"))
 	late := open
 	late.UntilUnixMS = now.UnixMilli()
@@ -38,7 +38,7 @@
 
 func TestLargeAnswerIsNotRecorded(t *testing.T) {
 	r := claim.Record{}.WithAnswer(200, "text/plain", make([]byte, claim.MaxBody+1))
-	if !r.Cut || r.Body != nil || r.State != claim.Done {
+	if !r.Truncated || r.Body != nil || r.State != claim.Done {
 		t.Errorf("got %+v", r)
 	}
 }
--- a/daemon/front/claim.go
+++ b/daemon/front/claim.go
@@ -30,7 +30,7 @@
 	key := claims.Key(j.tenant.Organisation.Name, j.key)
 	deadline, _ := j.ctx.Deadline()
 	own := claim.Record{
-		Claimer: j.id, Print: j.print(), State: claim.Open,
+		Claimer: j.id, Fingerprint: j.print(), State: claim.Open,
 		UntilUnixMS: deadline.Add(claimSlack).UnixMilli(),
 	}
 	held, found, err := j.front.Claims.Make(j.ctx, key, own)
@@ -43,7 +43,7 @@
 		j.step(route.Step{Kind: route.StepClaim, Text: "claimed"})
 		return &claimed{store: j.front.Claims, held: held}, nil
 	}
-	return nil, j.judged(claim.Decide(found, j.id, own.Print, time.Now()))
+	return nil, j.judged(claim.Decide(found, j.id, own.Fingerprint, time.Now()))
 }
 
 // claimRetry is when to come back for a claim that could not be made.
@@ -73,7 +73,7 @@
 // replay answers with the recorded outcome.
 func (j *job) replay(r claim.Record) *refusal {
 	j.step(route.Step{Kind: route.StepClaim, Text: "answered from the record of " + r.Claimer})
-	if r.Cut || len(r.Body) == 0 {
+	if r.Truncated || len(r.Body) == 0 {
 		return refuse(http.StatusConflict, AnswerNotRecorded, "the request with this key has run; its answer was not recorded").withRun(attempt.Done)
 	}
 	h := j.w.Header()
