--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -52,8 +52,8 @@
 	Held uint64
 }
 
-// Ask asks a daemon for its knowledge.
-type Ask struct {
+// Request asks a daemon for its knowledge.
+type Request struct {
 	_ struct{} `cbor:",toarray"`
 	// Nonce is repeated in the response, so that the sender can recognise a response to a
 	// request from before it was suspended.
--- a/daemon/peer/codec.go
+++ b/daemon/peer/codec.go
@@ -76,7 +76,7 @@
 		t = tagCopiesHeld
 	case node.Release:
 		t = tagRelease
-	case gossip.Ask:
+	case gossip.Request:
 		t = tagAsk
 	case gossip.Tell:
 		t = tagTell
@@ -152,7 +152,7 @@
 	tagCopies:      decode[node.Copies],
 	tagCopiesHeld:  decode[node.CopiesHeld],
 	tagRelease:     decode[node.Release],
-	tagAsk:         decode[gossip.Ask],
+	tagAsk:         decode[gossip.Request],
 	tagTell:        decode[gossip.Tell],
 	tagEvidence:    decode[gossip.Evidence],
 }
--- a/daemon/peer/own_keys_test.go
+++ b/daemon/peer/own_keys_test.go
@@ -69,12 +69,12 @@
 	defer again.Stop()
 	for arrived := 0; arrived < 3; {
 		// Messages may be lost while the listeners start.
-		stranger.Send("b", b.Addr, gossip.Ask{Nonce: 1000})
-		impostor.Send("b", b.Addr, gossip.Ask{Nonce: 2000})
-		a.Send("b", b.Addr, gossip.Ask{Nonce: 1})
+		stranger.Send("b", b.Addr, gossip.Request{Nonce: 1000})
+		impostor.Send("b", b.Addr, gossip.Request{Nonce: 2000})
+		a.Send("b", b.Addr, gossip.Request{Nonce: 1})
 		select {
 		case in := <-atB:
-			if ask, ok := in.Message.(gossip.Ask); !ok || in.From != "a" || ask.Nonce != 1 {
+			if ask, ok := in.Message.(gossip.Request); !ok || in.From != "a" || ask.Nonce != 1 {
 				t.Fatalf("%s sent %+v", in.From, in.Message)
 			}
 			arrived++
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -138,7 +138,7 @@
 func ageMS(now, at time.Time) uint64 { return uint64(max(0, now.Sub(at).Milliseconds())) }
 
 // askLimits puts limits into a question.
-func (k *Keeper) askLimits(ask *gossip.Ask, now time.Time) {
+func (k *Keeper) askLimits(ask *gossip.Request, now time.Time) {
 	ask.LimitSum = k.limits.sum()
 	if k.limits.differs || k.limits.news && !k.reading.Load() {
 		ask.Limits = k.limits.list(now)
@@ -146,7 +146,7 @@
 }
 
 // askedLimits takes the limits of a question, and returns those for the answer.
-func (k *Keeper) askedLimits(from string, m gossip.Ask, now time.Time) []gossip.Limit {
+func (k *Keeper) askedLimits(from string, m gossip.Request, now time.Time) []gossip.Limit {
 	k.hearLimits(from, m.Limits, now)
 	if k.limits.sum() == m.LimitSum {
 		return nil
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -106,10 +106,10 @@
 }
 
 // question makes a question about topics.
-func (k *Keeper) question(topics []gossip.Topic, now time.Time) gossip.Ask {
+func (k *Keeper) question(topics []gossip.Topic, now time.Time) gossip.Request {
 	k.nonce++
 	k.asked[k.nonce] = now
-	ask := gossip.Ask{Nonce: k.nonce, Work: k.askWork(now)}
+	ask := gossip.Request{Nonce: k.nonce, Work: k.askWork(now)}
 	k.askLimits(&ask, now)
 	for _, topic := range topics {
 		t := k.topics[topic]
@@ -121,7 +121,7 @@
 // heard takes a message of another daemon.
 func (k *Keeper) heard(e heard, now time.Time) {
 	switch m := e.message.(type) {
-	case gossip.Ask:
+	case gossip.Request:
 		k.answer(e.from, m, now)
 	case gossip.Tell:
 		k.told(e.from, m, now)
@@ -131,7 +131,7 @@
 }
 
 // answer tells another daemon what is known here.
-func (k *Keeper) answer(to string, m gossip.Ask, now time.Time) {
+func (k *Keeper) answer(to string, m gossip.Request, now time.Time) {
 	member, ok := (*k.members.Load())[to]
 	if !ok {
 		return
