--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -129,8 +129,8 @@
 	return d.Sum64()
 }
 
-// Tell is the response to Ask, or an unsolicited update.
-type Tell struct {
+// Response is the response to Ask, or an unsolicited update.
+type Response struct {
 	_ struct{} `cbor:",toarray"`
 	// Nonce is that of the request, 0 for an unsolicited update. Such an update may have been
 	// delayed, so it does not confirm that the rows are current.
--- a/daemon/peer/codec.go
+++ b/daemon/peer/codec.go
@@ -78,7 +78,7 @@
 		t = tagRelease
 	case gossip.Request:
 		t = tagAsk
-	case gossip.Tell:
+	case gossip.Response:
 		t = tagTell
 	case gossip.Evidence:
 		t = tagEvidence
@@ -153,7 +153,7 @@
 	tagCopiesHeld:  decode[node.CopiesHeld],
 	tagRelease:     decode[node.Release],
 	tagAsk:         decode[gossip.Request],
-	tagTell:        decode[gossip.Tell],
+	tagTell:        decode[gossip.Response],
 	tagEvidence:    decode[gossip.Evidence],
 }
 
--- a/daemon/storesync/drive.go
+++ b/daemon/storesync/drive.go
@@ -104,10 +104,10 @@
 }
 
 // broadcast sends a message to the likely readers of other halls.
-func (k *Keeper) broadcast(m gossip.Tell) { k.broadcastWith(Member{}, m) }
+func (k *Keeper) broadcast(m gossip.Response) { k.broadcastWith(Member{}, m) }
 
 // broadcastWith sends it to them and another daemon, unless that is this one or none.
-func (k *Keeper) broadcastWith(more Member, m gossip.Tell) {
+func (k *Keeper) broadcastWith(more Member, m gossip.Response) {
 	to := map[string]string{}
 	for _, other := range append(k.readersOfOtherHalls(), more) {
 		to[other.ID] = other.Addr
--- a/daemon/storesync/harness_test.go
+++ b/daemon/storesync/harness_test.go
@@ -357,7 +357,7 @@
 func (s sender) Send(id, _ string, m any) {
 	s.mesh.mu.Lock()
 	defer s.mesh.mu.Unlock()
-	if tell, ok := m.(gossip.Tell); ok {
+	if tell, ok := m.(gossip.Response); ok {
 		s.mesh.sessions += len(tell.Sessions)
 	}
 	k := s.mesh.keepers[id]
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -155,7 +155,7 @@
 }
 
 // toldLimits takes the limits that another daemon tells.
-func (k *Keeper) toldLimits(from string, m gossip.Tell, now time.Time) {
+func (k *Keeper) toldLimits(from string, m gossip.Response, now time.Time) {
 	k.hearLimits(from, m.Limits, now)
 	if m.Nonce == 0 {
 		return
@@ -201,7 +201,7 @@
 	if !k.limits.news && !again {
 		return
 	}
-	tell := gossip.Tell{Limits: k.limits.list(now)}
+	tell := gossip.Response{Limits: k.limits.list(now)}
 	if to := k.hallAudience(now); k.limits.news && len(to) > 0 {
 		k.Peers.SendAll(to, tell)
 	}
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -123,7 +123,7 @@
 	switch m := e.message.(type) {
 	case gossip.Request:
 		k.answer(e.from, m, now)
-	case gossip.Tell:
+	case gossip.Response:
 		k.told(e.from, m, now)
 	case gossip.Evidence:
 		k.rollouts.hear(e.from, m, now)
@@ -139,7 +139,7 @@
 	k.listeners[to] = now
 	k.askedSessions(m.Sessions, now)
 	k.mergeUsage(m.Usage)
-	tell := gossip.Tell{Nonce: m.Nonce, Withdrawn: k.rollouts.withdrawnNames(), Cut: k.cut(now), Work: k.askedWork(member, m.Work, now)}
+	tell := gossip.Response{Nonce: m.Nonce, Withdrawn: k.rollouts.withdrawnNames(), Cut: k.cut(now), Work: k.askedWork(member, m.Work, now)}
 	tell.Limits = k.askedLimits(to, m, now)
 	tell.LimitSum = k.limits.sum()
 	holdsMore := false
@@ -197,7 +197,7 @@
 // tellNews tells the topics that have changed since the last news to the daemons
 // that ask here.
 func (k *Keeper) tellNews(now time.Time) {
-	var tell gossip.Tell
+	var tell gossip.Response
 	for _, topic := range relayed {
 		t := k.topics[topic]
 		if t.known && t.sum != k.toldSums[topic] {
@@ -226,13 +226,13 @@
 
 // tellWithdrawn tells which versions are bad to the daemons that ask here.
 func (k *Keeper) tellWithdrawn(now time.Time) {
-	k.Peers.SendAll(k.audience(now), gossip.Tell{Withdrawn: k.rollouts.withdrawnNames()})
+	k.Peers.SendAll(k.audience(now), gossip.Response{Withdrawn: k.rollouts.withdrawnNames()})
 }
 
 // told takes what another daemon knows. Its age counts from when the question
 // was asked, so that an answer that was held up does not make it younger; news
 // that nobody has asked for confirms nothing.
-func (k *Keeper) told(from string, m gossip.Tell, now time.Time) {
+func (k *Keeper) told(from string, m gossip.Response, now time.Time) {
 	defer k.refresh()
 	k.toldSessions(from, m.Sessions, now)
 	k.heardCrashes(from, m.Crashes, now)
--- a/daemon/storesync/quarantine.go
+++ b/daemon/storesync/quarantine.go
@@ -157,14 +157,14 @@
 	}
 	k.crashNews = waiting
 	if !k.reading.Load() {
-		k.Peers.Send(reader.ID, reader.Addr, gossip.Tell{Crashes: all})
+		k.Peers.Send(reader.ID, reader.Addr, gossip.Response{Crashes: all})
 		return
 	}
 	if to := k.hallAudience(now); len(to) > 0 {
-		k.Peers.SendAll(to, gossip.Tell{Crashes: all})
+		k.Peers.SendAll(to, gossip.Response{Crashes: all})
 	}
 	if len(otherHalls) > 0 {
-		k.broadcast(gossip.Tell{Crashes: otherHalls})
+		k.broadcast(gossip.Response{Crashes: otherHalls})
 	}
 }
 
--- a/daemon/storesync/sessions.go
+++ b/daemon/storesync/sessions.go
@@ -105,12 +105,12 @@
 	all := append(own[:len(own):len(own)], k.awaySessions...)
 	k.hallSessions, k.awaySessions = nil, nil
 	if to := k.hallAudience(now); len(all) > 0 && len(to) > 0 {
-		k.Peers.SendAll(to, gossip.Tell{Sessions: all})
+		k.Peers.SendAll(to, gossip.Response{Sessions: all})
 	}
 	if len(own) == 0 {
 		return
 	}
-	k.broadcast(gossip.Tell{Sessions: own})
+	k.broadcast(gossip.Response{Sessions: own})
 }
 
 // hallAudience are the daemons of this hall that this one reads for. Those of
--- a/daemon/storesync/usage.go
+++ b/daemon/storesync/usage.go
@@ -51,5 +51,5 @@
 	if len(records) == 0 {
 		return
 	}
-	k.broadcastWith((*k.members.Load())[holder], gossip.Tell{Usage: records})
+	k.broadcastWith((*k.members.Load())[holder], gossip.Response{Usage: records})
 }
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -54,7 +54,7 @@
 
 // toldWork takes what another daemon tells of work: that of all daemons with an answer,
 // and otherwise that of its hall.
-func (k *Keeper) toldWork(from string, m gossip.Tell, now time.Time) {
+func (k *Keeper) toldWork(from string, m gossip.Response, now time.Time) {
 	member, ok := (*k.members.Load())[from]
 	if !ok || k.View().Servers == nil {
 		return
@@ -78,6 +78,6 @@
 	}
 	k.workAbroadAt = now
 	b := k.workBoard()
-	k.broadcast(gossip.Tell{Work: b.Hall(k.ownWork(), now)})
+	k.broadcast(gossip.Response{Work: b.Hall(k.ownWork(), now)})
 	k.View().Servers.SetRemoteLoad(b.Others(now), now)
 }
