--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -39,8 +39,8 @@
 	Version revision.Revision
 }
 
-// Have is a digest of the sender's knowledge of a topic.
-type Have struct {
+// TopicDigest is a digest of the sender's knowledge of a topic.
+type TopicDigest struct {
 	_     struct{} `cbor:",toarray"`
 	Topic Topic
 	// Version is the store's version when the rows were read.
@@ -57,8 +57,8 @@
 	_ struct{} `cbor:",toarray"`
 	// Nonce is repeated in the response, so that the sender can recognise a response to a
 	// request from before it was suspended.
-	Nonce uint64
-	Have  []Have
+	Nonce   uint64
+	Digests []TopicDigest
 	// Sessions are hashes of the sessions that an old version serves at the sender.
 	Sessions []uint64
 	// Work is the sender's own load at the servers.
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -113,7 +113,7 @@
 	k.askLimits(&ask, now)
 	for _, topic := range topics {
 		t := k.topics[topic]
-		ask.Have = append(ask.Have, gossip.Have{Topic: topic, Version: t.version, Sum: t.sum, Held: uint64(len(t.held))})
+		ask.Digests = append(ask.Digests, gossip.TopicDigest{Topic: topic, Version: t.version, Sum: t.sum, Held: uint64(len(t.held))})
 	}
 	return ask
 }
@@ -143,7 +143,7 @@
 	tell.Limits = k.askedLimits(to, m, now)
 	tell.LimitSum = k.limits.sum()
 	holdsMore := false
-	for _, have := range m.Have {
+	for _, have := range m.Digests {
 		t := k.topics[have.Topic]
 		if t == nil || !t.known {
 			continue
