--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -86,8 +86,8 @@
 	HeardMS uint64
 }
 
-// Known is the sender's knowledge of a topic.
-type Known struct {
+// Update is the sender's knowledge of a topic.
+type Update struct {
 	_       struct{} `cbor:",toarray"`
 	Topic   Topic
 	Version revision.Revision
@@ -134,8 +134,8 @@
 	_ struct{} `cbor:",toarray"`
 	// Nonce is that of the request, 0 for an unsolicited update. Such an update may have been
 	// delayed, so it does not confirm that the rows are current.
-	Nonce uint64
-	Known []Known
+	Nonce   uint64
+	Updates []Update
 	// Withdrawn are faulty versions in roll-out, as SERVICE@VERSION.
 	Withdrawn []string
 	// Sessions are hashes of the sessions that an old version serves.
--- a/daemon/storesync/era.go
+++ b/daemon/storesync/era.go
@@ -81,7 +81,7 @@
 }
 
 // noteHeld notes that another daemon holds rows that the store has lost.
-func (t *topicState) noteHeld(known gossip.Known, now time.Time) {
+func (t *topicState) noteHeld(known gossip.Update, now time.Time) {
 	if known.Held > 0 {
 		t.returnedAt = now
 	}
@@ -89,7 +89,7 @@
 
 // takeHeld takes what another daemon of the same era holds that the store has lost, if this one has
 // read it from the copy. What the store has taken since the other one read it stands.
-func (t *topicState) takeHeld(known gossip.Known, now time.Time) (gone []string, newer bool) {
+func (t *topicState) takeHeld(known gossip.Update, now time.Time) (gone []string, newer bool) {
 	if known.Version.Era != t.version.Era || known.Held <= uint64(len(t.held)) || !known.Whole && known.Base != t.sum {
 		return nil, false
 	}
@@ -110,7 +110,7 @@
 }
 
 // lacks are the keys of rows that another daemon does not have.
-func (t *topicState) lacks(known gossip.Known) []string {
+func (t *topicState) lacks(known gossip.Update) []string {
 	if !known.Whole {
 		return slices.DeleteFunc(slices.Clone(known.Removed), func(key string) bool { _, has := t.rows[key]; return !has })
 	}
--- a/daemon/storesync/export_test.go
+++ b/daemon/storesync/export_test.go
@@ -32,6 +32,6 @@
 	topic := t.keeper.topics[gossip.Servers]
 	old := topic.rows[row.Key]
 	sum := topic.sum - gossip.Sum([]gossip.Row{old}) + gossip.Sum([]gossip.Row{row})
-	topic.apply(gossip.Known{Topic: gossip.Servers, Version: row.Version, Sum: sum, Base: topic.sum, Rows: []gossip.Row{row}}, now, now)
+	topic.apply(gossip.Update{Topic: gossip.Servers, Version: row.Version, Sum: sum, Base: topic.sum, Rows: []gossip.Row{row}}, now, now)
 	t.keeper.serversChanged(now)
 }
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -148,7 +148,7 @@
 		if t == nil || !t.known {
 			continue
 		}
-		tell.Known = append(tell.Known, t.tell(have.Topic, have.Sum, now))
+		tell.Updates = append(tell.Updates, t.tell(have.Topic, have.Sum, now))
 		holdsMore = holdsMore || have.Held > uint64(len(t.held))
 	}
 	k.Peers.Send(to, member.Addr, tell)
@@ -159,8 +159,8 @@
 }
 
 // tell is what is known of a topic, for a daemon whose rows have a sum.
-func (t *topicState) tell(topic gossip.Topic, sum uint64, now time.Time) gossip.Known {
-	out := gossip.Known{Topic: topic, Version: t.version, AgeMS: uint64(max(0, now.Sub(t.confirmed).Milliseconds())), Sum: t.sum, Base: sum, Held: uint64(len(t.held))}
+func (t *topicState) tell(topic gossip.Topic, sum uint64, now time.Time) gossip.Update {
+	out := gossip.Update{Topic: topic, Version: t.version, AgeMS: uint64(max(0, now.Sub(t.confirmed).Milliseconds())), Sum: t.sum, Base: sum, Held: uint64(len(t.held))}
 	if !t.returned.IsZero() {
 		out.ReturnedMS = uint64(max(1, now.Sub(t.returned).Milliseconds()))
 	}
@@ -181,7 +181,7 @@
 }
 
 // news is what has changed since the last news, which all listeners have.
-func (t *topicState) news(topic gossip.Topic, sum uint64, now time.Time) gossip.Known {
+func (t *topicState) news(topic gossip.Topic, sum uint64, now time.Time) gossip.Update {
 	out := t.tell(topic, t.sum, now)
 	rows, removed, known, _ := t.since(sum, now)
 	out.Base, out.Rows, out.Removed = sum, rows, removed
@@ -201,11 +201,11 @@
 	for _, topic := range relayed {
 		t := k.topics[topic]
 		if t.known && t.sum != k.toldSums[topic] {
-			tell.Known = append(tell.Known, t.news(topic, k.toldSums[topic], now))
+			tell.Updates = append(tell.Updates, t.news(topic, k.toldSums[topic], now))
 			k.toldSums[topic] = t.sum
 		}
 	}
-	if to := k.audience(now); len(tell.Known) > 0 && len(to) > 0 {
+	if to := k.audience(now); len(tell.Updates) > 0 && len(to) > 0 {
 		k.Peers.SendAll(to, tell)
 	}
 }
@@ -252,7 +252,7 @@
 	if ok && k.Usage != nil {
 		k.Usage.Acknowledged(m.Nonce)
 	}
-	for _, known := range m.Known {
+	for _, known := range m.Updates {
 		t := k.topics[known.Topic]
 		if t == nil {
 			continue
@@ -266,7 +266,7 @@
 	if m.Nonce == 0 {
 		return
 	}
-	for _, known := range m.Known {
+	for _, known := range m.Updates {
 		if known.Topic == gossip.Operator {
 			age := now.Sub(asked.Add(-time.Duration(known.AgeMS) * time.Millisecond))
 			k.readers.told(from, age, m.Cut, now)
@@ -276,7 +276,7 @@
 }
 
 // take takes what another daemon knows of a topic.
-func (k *Keeper) take(from string, known gossip.Known, confirmed, now time.Time) {
+func (k *Keeper) take(from string, known gossip.Update, confirmed, now time.Time) {
 	t := k.topics[known.Topic]
 	if returned := now.Add(-time.Duration(known.ReturnedMS) * time.Millisecond); known.ReturnedMS > 0 && returned.After(t.returned) {
 		t.returned = returned
--- a/daemon/storesync/topic.go
+++ b/daemon/storesync/topic.go
@@ -194,7 +194,7 @@
 }
 
 // apply takes what has changed, if that leads to the rows that the teller has.
-func (t *topicState) apply(k gossip.Known, confirmed, now time.Time) (gone []string, ok bool) {
+func (t *topicState) apply(k gossip.Update, confirmed, now time.Time) (gone []string, ok bool) {
 	if t.sum != k.Base || t.sumWith(k.Rows, k.Removed) != k.Sum {
 		return nil, false
 	}
