--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -48,8 +48,8 @@
 	// Sum is a hash of the rows' keys and contents. The store's version increases with every
 	// write to any topic, the sum changes only with a write to this one.
 	Sum uint64
-	// Held is the number of rows that the sender holds and the store lost.
-	Held uint64
+	// LostRows is the number of rows that the sender holds and the store lost.
+	LostRows uint64
 }
 
 // Request asks a daemon for its knowledge.
@@ -98,8 +98,8 @@
 	// ReturnedMS is the time since the store became reachable again after an outage, in
 	// milliseconds, or 0 if there was none. Rows that expired during the outage may return.
 	ReturnedMS uint64
-	// Held is the number of rows that the sender holds and the store lost.
-	Held uint64
+	// LostRows is the number of rows that the sender holds and the store lost.
+	LostRows uint64
 	// Whole reports that Rows are all rows of the topic. Otherwise Rows and Removed are the
 	// changes since the rows with the sum Base.
 	Whole   bool
--- a/daemon/storesync/era.go
+++ b/daemon/storesync/era.go
@@ -82,7 +82,7 @@
 
 // noteHeld notes that another daemon holds rows that the store has lost.
 func (t *topicState) noteHeld(known gossip.Update, now time.Time) {
-	if known.Held > 0 {
+	if known.LostRows > 0 {
 		t.returnedAt = now
 	}
 }
@@ -90,7 +90,7 @@
 // takeHeld takes what another daemon of the same era holds that the store has lost, if this one has
 // read it from the copy. What the store has taken since the other one read it stands.
 func (t *topicState) takeHeld(known gossip.Update, now time.Time) (gone []string, newer bool) {
-	if known.Version.Era != t.version.Era || known.Held <= uint64(len(t.held)) || !known.Whole && known.Base != t.sum {
+	if known.Version.Era != t.version.Era || known.LostRows <= uint64(len(t.held)) || !known.Whole && known.Base != t.sum {
 		return nil, false
 	}
 	t.returnedAt = now
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -113,7 +113,7 @@
 	k.askLimits(&ask, now)
 	for _, topic := range topics {
 		t := k.topics[topic]
-		ask.Digests = append(ask.Digests, gossip.TopicDigest{Topic: topic, Version: t.version, Sum: t.sum, Held: uint64(len(t.held))})
+		ask.Digests = append(ask.Digests, gossip.TopicDigest{Topic: topic, Version: t.version, Sum: t.sum, LostRows: uint64(len(t.held))})
 	}
 	return ask
 }
@@ -149,7 +149,7 @@
 			continue
 		}
 		tell.Updates = append(tell.Updates, t.tell(have.Topic, have.Sum, now))
-		holdsMore = holdsMore || have.Held > uint64(len(t.held))
+		holdsMore = holdsMore || have.LostRows > uint64(len(t.held))
 	}
 	k.Peers.Send(to, member.Addr, tell)
 	if holdsMore && now.Sub(k.askedBack) >= askEvery {
@@ -160,7 +160,7 @@
 
 // tell is what is known of a topic, for a daemon whose rows have a sum.
 func (t *topicState) tell(topic gossip.Topic, sum uint64, now time.Time) gossip.Update {
-	out := gossip.Update{Topic: topic, Version: t.version, AgeMS: uint64(max(0, now.Sub(t.confirmed).Milliseconds())), Sum: t.sum, Base: sum, Held: uint64(len(t.held))}
+	out := gossip.Update{Topic: topic, Version: t.version, AgeMS: uint64(max(0, now.Sub(t.confirmed).Milliseconds())), Sum: t.sum, Base: sum, LostRows: uint64(len(t.held))}
 	if !t.returned.IsZero() {
 		out.ReturnedMS = uint64(max(1, now.Sub(t.returned).Milliseconds()))
 	}
