--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -100,12 +100,12 @@
 	ReturnedMS uint64
 	// LostRows is the number of rows that the sender holds and the store lost.
 	LostRows uint64
-	// Whole reports that Rows are all rows of the topic. Otherwise Rows and Removed are the
+	// Complete reports that Rows are all rows of the topic. Otherwise Rows and Removed are the
 	// changes since the rows with the sum Base.
-	Whole   bool
-	Base    uint64
-	Rows    []Row
-	Removed []string
+	Complete bool
+	Base     uint64
+	Rows     []Row
+	Removed  []string
 }
 
 // Sum returns the hash of a topic's rows. It does not depend on their order.
--- a/daemon/peer/codec_test.go
+++ b/daemon/peer/codec_test.go
@@ -39,7 +39,7 @@
 	gossip.Request{Nonce: 7, Digests: []gossip.TopicDigest{{Topic: gossip.Servers, Version: revision.New(1, 3), Sum: 9}}, LimitSum: 3, Limits: []gossip.Limit{{ID: "a", Born: 4, Rate: 1.6, AskedMS: 5, HeardMS: 6}}},
 	gossip.Response{Nonce: 7, Updates: []gossip.Update{{Topic: gossip.Servers, Version: revision.New(2, 4), AgeMS: 5, Sum: 1, Base: 2, Rows: []gossip.Row{{Key: "k", Data: []byte("row"), Version: revision.New(2, 4)}}, Removed: []string{"gone"}}}},
 	// Long enough to be compressed.
-	gossip.Response{Updates: []gossip.Update{{Topic: gossip.Operator, Whole: true, Rows: []gossip.Row{{Key: "k", Data: bytes.Repeat([]byte("row "), 1000)}}}}},
+	gossip.Response{Updates: []gossip.Update{{Topic: gossip.Operator, Complete: true, Rows: []gossip.Row{{Key: "k", Data: bytes.Repeat([]byte("row "), 1000)}}}}},
 	gossip.Evidence{Hall: "h", Start: 1, Sequence: 2, Counts: []gossip.Count{{Service: "s", Version: "v", Route: "r", Answers: 3, Failed: 2, First: canary.LatencyHistogram{1, 2}, Between: canary.LatencyHistogram{10: 1}}}, OldInFlight: map[string]int{"s": 4}, Withdrawn: []string{"s@v"}},
 }
 
--- a/daemon/storesync/era.go
+++ b/daemon/storesync/era.go
@@ -90,7 +90,7 @@
 // takeHeld takes what another daemon of the same era holds that the store has lost, if this one has
 // read it from the copy. What the store has taken since the other one read it stands.
 func (t *topicState) takeHeld(known gossip.Update, now time.Time) (gone []string, newer bool) {
-	if known.Version.Era != t.version.Era || known.LostRows <= uint64(len(t.held)) || !known.Whole && known.Base != t.sum {
+	if known.Version.Era != t.version.Era || known.LostRows <= uint64(len(t.held)) || !known.Complete && known.Base != t.sum {
 		return nil, false
 	}
 	t.returnedAt = now
@@ -111,7 +111,7 @@
 
 // lacks are the keys of rows that another daemon does not have.
 func (t *topicState) lacks(known gossip.Update) []string {
-	if !known.Whole {
+	if !known.Complete {
 		return slices.DeleteFunc(slices.Clone(known.Removed), func(key string) bool { _, has := t.rows[key]; return !has })
 	}
 	there := make(map[string]bool, len(known.Rows))
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -175,7 +175,7 @@
 		// whether it has arrived.
 		out.Rows, out.Removed = nil, nil
 	case !known:
-		out.Rows, out.Removed, out.Whole = t.list(), nil, true
+		out.Rows, out.Removed, out.Complete = t.list(), nil, true
 	}
 	return out
 }
@@ -186,7 +186,7 @@
 	rows, removed, known, _ := t.since(sum, now)
 	out.Base, out.Rows, out.Removed = sum, rows, removed
 	if !known {
-		out.Rows, out.Removed, out.Whole = t.list(), nil, true
+		out.Rows, out.Removed, out.Complete = t.list(), nil, true
 	}
 	return out
 }
@@ -295,7 +295,7 @@
 			t.confirm(confirmed)
 		}
 		gone, newer = t.takeHeld(known, now)
-	case known.Whole:
+	case known.Complete:
 		k.noteEra(known.Topic, known.Version, now)
 		t.noteHeld(known, now)
 		gone, newer = t.replace(known.Rows, known.Version, confirmed, now)
