--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -140,12 +140,12 @@
 	Withdrawn []string
 	// Sessions are hashes of the sessions that an old version serves.
 	Sessions []uint64
-	// Cut reports that the store does not answer the sender: its knowledge comes from other
+	// StoreUnreachable reports that the store does not answer the sender: its knowledge comes from other
 	// daemons.
-	Cut bool
-	// Found reports that the store has just answered the sender after the sender's data hall had
+	StoreUnreachable bool
+	// StoreRecovered reports that the store has just answered the sender after the sender's data hall had
 	// no contact with it for some time: the recipient should try the store as well.
-	Found bool
+	StoreRecovered bool
 	// Work is the load of all daemons at the servers in a response, and that of the sender's
 	// data hall in an unsolicited update.
 	Work Work
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -139,7 +139,7 @@
 	k.listeners[to] = now
 	k.askedSessions(m.Sessions, now)
 	k.mergeUsage(m.Usage)
-	tell := gossip.Response{Nonce: m.Nonce, Withdrawn: k.rollouts.withdrawnNames(), Cut: k.cut(now), Work: k.askedWork(member, m.Work, now)}
+	tell := gossip.Response{Nonce: m.Nonce, Withdrawn: k.rollouts.withdrawnNames(), StoreUnreachable: k.cut(now), Work: k.askedWork(member, m.Work, now)}
 	tell.Limits = k.askedLimits(to, m, now)
 	tell.LimitSum = k.limits.sum()
 	holdsMore := false
@@ -242,7 +242,7 @@
 	k.toldWork(from, m, now)
 	k.toldLimits(from, m, now)
 	k.mergeUsage(m.Usage)
-	if m.Found {
+	if m.StoreRecovered {
 		k.found(from, now)
 	}
 	asked, ok := k.asked[m.Nonce]
@@ -269,8 +269,8 @@
 	for _, known := range m.Updates {
 		if known.Topic == gossip.Operator {
 			age := now.Sub(asked.Add(-time.Duration(known.AgeMS) * time.Millisecond))
-			k.readers.told(from, age, m.Cut, now)
-			k.noteSource(from, !m.Cut && age <= k.readers.usefulAge)
+			k.readers.told(from, age, m.StoreUnreachable, now)
+			k.noteSource(from, !m.StoreUnreachable && age <= k.readers.usefulAge)
 		}
 	}
 }
--- a/daemon/storesync/sources.go
+++ b/daemon/storesync/sources.go
@@ -54,7 +54,7 @@
 	}
 	if len(to) > 0 {
 		k.Log.Info().Int("daemons", len(to)).Msg("knowledge: the store answers this daemon: its hall is told")
-		k.Peers.SendAll(to, gossip.Response{Found: true})
+		k.Peers.SendAll(to, gossip.Response{StoreRecovered: true})
 	}
 }
 
