--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -61,8 +61,8 @@
 	Digests []TopicDigest
 	// Sessions are hashes of the sessions that an old version serves at the sender.
 	Sessions []uint64
-	// Work is the sender's own load at the servers.
-	Work Work
+	// Load is the sender's own load at the servers.
+	Load Load
 	// Usage contains the records of organisations' requests that the sender has counted and the
 	// recipient has not acknowledged.
 	Usage []usage.Record
@@ -146,9 +146,9 @@
 	// StoreRecovered reports that the store has just answered the sender after the sender's data hall had
 	// no contact with it for some time: the recipient should try the store as well.
 	StoreRecovered bool
-	// Work is the load of all daemons at the servers in a response, and that of the sender's
+	// Load is the load of all daemons at the servers in a response, and that of the sender's
 	// data hall in an unsolicited update.
-	Work Work
+	Load Load
 	// Crashes are the servers that ended with requests in flight.
 	Crashes []Crash
 	// Usage contains the records of organisations' requests that daemons of the sender's data
--- a/core/gossip/load.go
+++ b/core/gossip/load.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Work is the in-flight load of daemons at each backend server, as one byte per server in the
+// Load is the in-flight load of daemons at each backend server, as one byte per server in the
 // order of their ids. It is small enough to be part of every request and response.
-type Work struct {
+type Load struct {
 	_ struct{} `cbor:",toarray"`
 	// Sum identifies the list of servers: the hash of the rows of topic Servers. The bytes
 	// cannot be assigned to the servers of another list.
@@ -17,10 +17,10 @@
 // value is the load of about 65,000 small requests at one server.
 const stepsPerDoubling = 16
 
-// PackWork encodes a load as a byte, in units of one small request.
-func PackWork(load float64) byte {
+// PackLoad encodes a load as a byte, in units of one small request.
+func PackLoad(load float64) byte {
 	return byte(min(math.MaxUint8, math.Round(stepsPerDoubling*math.Log2(1+max(0, load)))))
 }
 
-// UnpackWork returns the load that a byte encodes.
-func UnpackWork(b byte) float64 { return math.Exp2(float64(b)/stepsPerDoubling) - 1 }
+// UnpackLoad returns the load that a byte encodes.
+func UnpackLoad(b byte) float64 { return math.Exp2(float64(b)/stepsPerDoubling) - 1 }
--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -44,7 +44,7 @@
 	// asked is this daemon's own work when it last asked.
 	asked []float64
 	// latest is the work of all daemons as it was last added up, at latestAt.
-	latest   gossip.Work
+	latest   gossip.Load
 	latestAt time.Time
 }
 
@@ -77,26 +77,26 @@
 func (b *Board) Counts() time.Duration { return countsFor * b.Every() }
 
 // Ask returns this daemon's own work, by server, for a question to its reader.
-func (b *Board) Ask(own map[string]float64) gossip.Work {
+func (b *Board) Ask(own map[string]float64) gossip.Load {
 	b.asked = b.inOrder(own)
 	return b.pack(b.asked)
 }
 
 // HearDaemon notes what a daemon of this hall has told of itself with a question.
-func (b *Board) HearDaemon(id string, m gossip.Work, now time.Time) { b.hear(b.daemons, id, m, now) }
+func (b *Board) HearDaemon(id string, m gossip.Load, now time.Time) { b.hear(b.daemons, id, m, now) }
 
 // HearHall notes what the reader of another hall has told of it.
-func (b *Board) HearHall(hall string, m gossip.Work, now time.Time) { b.hear(b.halls, hall, m, now) }
+func (b *Board) HearHall(hall string, m gossip.Load, now time.Time) { b.hear(b.halls, hall, m, now) }
 
 // Hall is the work of this daemon's hall, for other halls, with its own work.
-func (b *Board) Hall(own map[string]float64, now time.Time) gossip.Work {
+func (b *Board) Hall(own map[string]float64, now time.Time) gossip.Load {
 	return b.pack(b.hall(own, now))
 }
 
 // All is the work of all daemons, for an answer to one of this hall. It is added up at
 // most twice between two messages: a hundred daemons ask, and each would cost a sum over a
 // hundred.
-func (b *Board) All(own func() map[string]float64, now time.Time) gossip.Work {
+func (b *Board) All(own func() map[string]float64, now time.Time) gossip.Load {
 	if b.latestAt.IsZero() || now.Sub(b.latestAt) >= b.Every()/2 {
 		b.latest, b.latestAt = b.pack(b.all(own(), now)), now
 	}
@@ -110,7 +110,7 @@
 
 // OthersOf is the work of all other daemons by what an answer to the last question says;
 // ok is false if it is about another list of servers.
-func (b *Board) OthersOf(m gossip.Work) (others map[string]float64, ok bool) {
+func (b *Board) OthersOf(m gossip.Load) (others map[string]float64, ok bool) {
 	work, ok := b.unpack(m)
 	if !ok || len(b.asked) != len(work) {
 		return nil, false
@@ -121,7 +121,7 @@
 	return b.byServer(work), true
 }
 
-func (b *Board) hear(from map[string]told, id string, m gossip.Work, now time.Time) {
+func (b *Board) hear(from map[string]told, id string, m gossip.Load, now time.Time) {
 	if work, ok := b.unpack(m); ok {
 		from[id] = told{work: work, at: now}
 	}
@@ -172,22 +172,22 @@
 	return out
 }
 
-func (b *Board) pack(work []float64) gossip.Work {
-	out := gossip.Work{Sum: b.sum, Packed: make([]byte, len(work))}
+func (b *Board) pack(work []float64) gossip.Load {
+	out := gossip.Load{Sum: b.sum, Packed: make([]byte, len(work))}
 	for i, w := range work {
-		out.Packed[i] = gossip.PackWork(w)
+		out.Packed[i] = gossip.PackLoad(w)
 	}
 	return out
 }
 
 // unpack returns the work of a message, unless it is of another list of servers.
-func (b *Board) unpack(m gossip.Work) ([]float64, bool) {
+func (b *Board) unpack(m gossip.Load) ([]float64, bool) {
 	if m.Sum != b.sum || len(m.Packed) != len(b.ids) {
 		return nil, false
 	}
 	work := make([]float64, len(m.Packed))
 	for i, packed := range m.Packed {
-		work[i] = min(mostWork, gossip.UnpackWork(packed))
+		work[i] = min(mostWork, gossip.UnpackLoad(packed))
 	}
 	return work, true
 }
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -67,7 +67,7 @@
 	b, other := board(), serverload.NewBoard()
 	other.List(8, ids)
 	b.HearDaemon("d", other.Ask(map[string]float64{"s1": 10}), start)
-	b.HearHall("h", gossip.Work{Sum: 7, Packed: []byte{255}}, start)
+	b.HearHall("h", gossip.Load{Sum: 7, Packed: []byte{255}}, start)
 	if others := b.Others(start); len(others) > 0 {
 		t.Errorf("taken: %v", others)
 	}
@@ -93,11 +93,11 @@
 
 func TestPackedWorkIsNearlyWhatItWas(t *testing.T) {
 	for _, work := range []float64{0, 0.5, 1, 7, 100, 5000} {
-		if got := gossip.UnpackWork(gossip.PackWork(work)); math.Abs(got-work) > 0.05*(1+work) {
+		if got := gossip.UnpackLoad(gossip.PackLoad(work)); math.Abs(got-work) > 0.05*(1+work) {
 			t.Errorf("%v becomes %v", work, got)
 		}
 	}
-	if gossip.PackWork(-1) != 0 || gossip.PackWork(math.Inf(1)) != 255 {
+	if gossip.PackLoad(-1) != 0 || gossip.PackLoad(math.Inf(1)) != 255 {
 		t.Error("what does not fit is not bounded")
 	}
 }
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -109,7 +109,7 @@
 func (k *Keeper) question(topics []gossip.Topic, now time.Time) gossip.Request {
 	k.nonce++
 	k.asked[k.nonce] = now
-	ask := gossip.Request{Nonce: k.nonce, Work: k.askWork(now)}
+	ask := gossip.Request{Nonce: k.nonce, Load: k.askWork(now)}
 	k.askLimits(&ask, now)
 	for _, topic := range topics {
 		t := k.topics[topic]
@@ -139,7 +139,7 @@
 	k.listeners[to] = now
 	k.askedSessions(m.Sessions, now)
 	k.mergeUsage(m.Usage)
-	tell := gossip.Response{Nonce: m.Nonce, Withdrawn: k.rollouts.withdrawnNames(), StoreUnreachable: k.cut(now), Work: k.askedWork(member, m.Work, now)}
+	tell := gossip.Response{Nonce: m.Nonce, Withdrawn: k.rollouts.withdrawnNames(), StoreUnreachable: k.cut(now), Load: k.askedWork(member, m.Load, now)}
 	tell.Limits = k.askedLimits(to, m, now)
 	tell.LimitSum = k.limits.sum()
 	holdsMore := false
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -21,10 +21,10 @@
 }
 
 // askWork is this daemon's work, for a question, or nothing if it was told a moment ago.
-func (k *Keeper) askWork(now time.Time) gossip.Work {
+func (k *Keeper) askWork(now time.Time) gossip.Load {
 	b := k.workBoard()
 	if now.Sub(k.workAskedAt) < b.Every() {
-		return gossip.Work{}
+		return gossip.Load{}
 	}
 	k.workAskedAt = now
 	return b.Ask(k.ownWork())
@@ -41,9 +41,9 @@
 
 // askedWork takes the work that a daemon tells with its question, and returns that of all
 // for the answer.
-func (k *Keeper) askedWork(from Member, m gossip.Work, now time.Time) gossip.Work {
+func (k *Keeper) askedWork(from Member, m gossip.Load, now time.Time) gossip.Load {
 	if len(m.Packed) == 0 {
-		return gossip.Work{}
+		return gossip.Load{}
 	}
 	b := k.workBoard()
 	if from.Hall == k.Self.Hall {
@@ -61,11 +61,11 @@
 	}
 	if m.Nonce == 0 {
 		if member.Hall != k.Self.Hall {
-			k.workBoard().HearHall(member.Hall, m.Work, now)
+			k.workBoard().HearHall(member.Hall, m.Load, now)
 		}
 		return
 	}
-	if others, ok := k.workBoard().OthersOf(m.Work); ok {
+	if others, ok := k.workBoard().OthersOf(m.Load); ok {
 		k.View().Servers.SetRemoteLoad(others, now)
 	}
 }
@@ -78,6 +78,6 @@
 	}
 	k.workAbroadAt = now
 	b := k.workBoard()
-	k.broadcast(gossip.Response{Work: b.Hall(k.ownWork(), now)})
+	k.broadcast(gossip.Response{Load: b.Hall(k.ownWork(), now)})
 	k.View().Servers.SetRemoteLoad(b.Others(now), now)
 }
