--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -80,10 +80,10 @@
 	Born int64
 	// Rate is in requests per second, 0 for the end of a limit.
 	Rate float64
-	// AskedMS is the time since the request was sent whose answer announced the limit, HeardMS
+	// RequestedMS is the time since the request was sent whose answer announced the limit, HeardMS
 	// the time since that answer was read, in milliseconds.
-	AskedMS uint64
-	HeardMS uint64
+	RequestedMS uint64
+	ReceivedMS  uint64
 }
 
 // Update is the sender's knowledge of a topic.
--- a/daemon/peer/codec_test.go
+++ b/daemon/peer/codec_test.go
@@ -36,7 +36,7 @@
 	node.Copies{Bills: []bill.Bill{{Key: "k", Organisation: "o", Tokens: 3, Cost: 4}}, Adopt: true},
 	node.CopiesHeld{Keys: []string{"k"}},
 	node.Release{Keys: []string{"k", "l"}},
-	gossip.Request{Nonce: 7, Digests: []gossip.TopicDigest{{Topic: gossip.Servers, Version: revision.New(1, 3), Sum: 9}}, LimitSum: 3, Limits: []gossip.Limit{{ID: "a", Born: 4, Rate: 1.6, AskedMS: 5, HeardMS: 6}}},
+	gossip.Request{Nonce: 7, Digests: []gossip.TopicDigest{{Topic: gossip.Servers, Version: revision.New(1, 3), Sum: 9}}, LimitSum: 3, Limits: []gossip.Limit{{ID: "a", Born: 4, Rate: 1.6, RequestedMS: 5, ReceivedMS: 6}}},
 	gossip.Response{Nonce: 7, Updates: []gossip.Update{{Topic: gossip.Servers, Version: revision.New(2, 4), AgeMS: 5, Sum: 1, Base: 2, Rows: []gossip.Row{{Key: "k", Data: []byte("row"), Version: revision.New(2, 4)}}, Removed: []string{"gone"}}}},
 	// Long enough to be compressed.
 	gossip.Response{Updates: []gossip.Update{{Topic: gossip.Operator, Complete: true, Rows: []gossip.Row{{Key: "k", Data: bytes.Repeat([]byte("row "), 1000)}}}}},
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -129,9 +129,9 @@
 		if is.ReceivedAt.IsZero() || is.Rate == 0 && now.Sub(is.ReceivedAt) > endedFor {
 			continue
 		}
-		out = append(out, gossip.Limit{ID: s.ID, Born: s.Born, Rate: is.Rate, AskedMS: ageMS(now, is.RequestedAt), HeardMS: ageMS(now, is.ReceivedAt)})
+		out = append(out, gossip.Limit{ID: s.ID, Born: s.Born, Rate: is.Rate, RequestedMS: ageMS(now, is.RequestedAt), ReceivedMS: ageMS(now, is.ReceivedAt)})
 	}
-	slices.SortFunc(out, func(a, b gossip.Limit) int { return int(a.HeardMS) - int(b.HeardMS) })
+	slices.SortFunc(out, func(a, b gossip.Limit) int { return int(a.ReceivedMS) - int(b.ReceivedMS) })
 	return out[:min(len(out), limitsAtOnce)]
 }
 
@@ -175,7 +175,7 @@
 		}
 		s := e.server
 		word := notice.Limit{Rate: l.Rate, Lifted: l.Rate == 0}
-		was, is := s.State.Notices.ObserveLimit(word, before(now, l.AskedMS), before(now, l.HeardMS), from)
+		was, is := s.State.Notices.ObserveLimit(word, before(now, l.RequestedMS), before(now, l.ReceivedMS), from)
 		if is.Rate == was.Rate {
 			continue
 		}
