--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -80,8 +80,8 @@
 	Born int64
 	// Rate is in requests per second, 0 for the end of a limit.
 	Rate float64
-	// RequestedMS is the time since the request was sent whose answer announced the limit, HeardMS
-	// the time since that answer was read, in milliseconds.
+	// RequestedMS is the time since the request was sent whose answer announced the limit,
+	// ReceivedMS the time since that answer was read, in milliseconds.
 	RequestedMS uint64
 	ReceivedMS  uint64
 }
@@ -129,7 +129,7 @@
 	return d.Sum64()
 }
 
-// Response is the response to Ask, or an unsolicited update.
+// Response is the response to Request, or an unsolicited update.
 type Response struct {
 	_ struct{} `cbor:",toarray"`
 	// Nonce is that of the request, 0 for an unsolicited update. Such an update may have been
@@ -140,11 +140,11 @@
 	Withdrawn []string
 	// Sessions are hashes of the sessions that an old version serves.
 	Sessions []uint64
-	// StoreUnreachable reports that the store does not answer the sender: its knowledge comes from other
-	// daemons.
+	// StoreUnreachable reports that the store does not answer the sender: its knowledge comes
+	// from other daemons.
 	StoreUnreachable bool
-	// StoreRecovered reports that the store has just answered the sender after the sender's data hall had
-	// no contact with it for some time: the recipient should try the store as well.
+	// StoreRecovered reports that the store has just answered the sender after the sender's data
+	// hall had no contact with it for some time: the recipient should try the store as well.
 	StoreRecovered bool
 	// Load is the load of all daemons at the servers in a response, and that of the sender's
 	// data hall in an unsolicited update.
--- a/core/gossip/load.go
+++ b/core/gossip/load.go
@@ -9,7 +9,7 @@
 	// Sum identifies the list of servers: the hash of the rows of topic Servers. The bytes
 	// cannot be assigned to the servers of another list.
 	Sum uint64
-	// Packed is the load at each server, encoded by PackWork.
+	// Packed is the load at each server, encoded by PackLoad.
 	Packed []byte
 }
 
--- a/core/notice/limit.go
+++ b/core/notice/limit.go
@@ -57,8 +57,8 @@
 	Since time.Time
 	// From is the daemon that reported the limit, "" for an answer to a request of this daemon.
 	From string
-	// RequestedAt is when the request was sent whose answer announced the limit, ReceivedAt when that
-	// answer was read.
+	// RequestedAt is when the request was sent whose answer announced the limit, ReceivedAt when
+	// that answer was read.
 	RequestedAt, ReceivedAt time.Time
 	// Malformed is the last announced text if it was not a rate.
 	Malformed string
