--- a/core/usage/error.go
+++ b/core/usage/error.go
@@ -2,13 +2,13 @@
 
 import "ladderridge.example/core/fault"
 
-// Kind says what sort of error the package met.
+// Kind classifies the errors of this package.
 type Kind string
 
-// Malformed is a book that does not decode, or cannot be encoded.
+// Malformed means that a log cannot be decoded or encoded.
 const Malformed Kind = "malformed"
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
--- /dev/null
+++ b/core/usage/report_log.go
@@ -0,0 +1,108 @@
+package usage
+
+import (
+	"encoding/json"
+	"time"
+)
+
+// Report is the usage in one window. It never changes once it is in a log: the platform treats
+// different reports of one window as an error of the whole cluster.
+type Report struct {
+	Window Window  `json:"window"`
+	Counts []Count `json:"counts"`
+	// Taken is set once the platform has accepted the report.
+	Taken bool `json:"taken"`
+}
+
+// Book holds the reports of the latest windows, oldest first. It is stored before any of them is
+// sent, so that the next holder of the duty sends identical reports. It is immutable.
+type Book struct {
+	Reports []Report `json:"reports"`
+}
+
+// maxReports is the maximum number of reports in a log: those that may still be due, and a margin.
+const maxReports = 8
+
+// ReadBook decodes a log.
+func ReadBook(state string) (Book, error) {
+	var b Book
+	if state == "" {
+		return b, nil
+	}
+	if err := json.Unmarshal([]byte(state), &b); err != nil {
+		return Book{}, &Error{Op: "decode usage reports", Kind: Malformed, Err: err}
+	}
+	return b, nil
+}
+
+// Encode returns the encoded log.
+func (b Book) Encode() (string, error) {
+	data, err := json.Marshal(b)
+	if err != nil {
+		return "", &Error{Op: "encode usage reports", Kind: Malformed, Err: err}
+	}
+	return string(data), nil
+}
+
+// Last returns the latest window with a report; ok is false if there is none.
+func (b Book) Last() (w Window, ok bool) {
+	if len(b.Reports) == 0 {
+		return 0, false
+	}
+	return b.Reports[len(b.Reports)-1].Window, true
+}
+
+// With returns a copy of the log with one more report, which is of a later window.
+func (b Book) With(r Report) Book {
+	reports := append(append([]Report{}, b.Reports...), r)
+	return Book{Reports: reports[max(0, len(reports)-maxReports):]}
+}
+
+// WithTaken returns a copy of the log with the report of a window marked as accepted.
+func (b Book) WithTaken(w Window) Book {
+	reports := append([]Report{}, b.Reports...)
+	for i := range reports {
+		reports[i].Taken = reports[i].Taken || reports[i].Window == w
+	}
+	return Book{Reports: reports}
+}
+
+// Due returns the oldest report that the platform has not accepted and would still accept.
+func (b Book) Due(now time.Time, length, late time.Duration) (r Report, ok bool) {
+	for _, r := range b.Reports {
+		if !r.Taken && now.Sub(r.Window.End(length)) <= late {
+			return r, true
+		}
+	}
+	return Report{}, false
+}
+
+const (
+	// settleDelay is how long after its end a window is reported at the earliest. By then all daemons
+	// have sent their counts for it twice.
+	settleDelay = 2500 * time.Millisecond
+	// waitDivisor is the divisor of the time until a report is late. For the resulting time the holder
+	// waits for daemons that have sent incomplete counts, which may have stopped. The rest of the time is
+	// left for a new holder if this one fails.
+	waitDivisor = 2
+)
+
+// Next returns the report of the next window if it is to be sent now. Windows follow one another
+// without a gap, from the first one that the aggregate knows.
+func (b Book) Next(p *Pool, now time.Time, length, late time.Duration) (r Report, ok bool) {
+	w, found := b.Last()
+	if found {
+		w++
+	} else if w, found = p.First(); !found {
+		return Report{}, false
+	}
+	// Windows that are too late for the platform are skipped.
+	if earliest := At(now.Add(-late), length); w < earliest {
+		w = earliest
+	}
+	after := now.Sub(w.End(length))
+	if after < settleDelay || (after < late/waitDivisor && !p.Whole(w)) {
+		return Report{}, false
+	}
+	return Report{Window: w, Counts: p.Sum(w)}, true
+}
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -1,10 +1,10 @@
-// Package usage adds up how many requests of each organisation began to run in each window
-// of time, over all daemons, so that one of them can report it.
+// Package usage counts how many requests of each organisation all daemons together have started in each
+// window of time, so that one of the daemons can report the counts.
 //
-// The load that it answers is one that is spread over many daemons which end, begin anew and
-// change whom they tell: counts only grow, and two of the same daemon and window are merged
-// by taking the larger of each organisation's, so that it does not matter how often, in what
-// order or by whom they are told.
+// The daemons may stop, restart and change the daemon that they send their counts to. The counts
+// therefore only grow, and two records of the same process and window are merged by taking the larger
+// count for each organisation. The result does not depend on how often, in what order or by which daemon
+// they are delivered.
 package usage
 
 import (
@@ -14,67 +14,66 @@
 	"time"
 )
 
-// Window is the number of a window: k begins k times the windows' length after the start of
-// 1970.
+// Window is the number of a time window: window k starts k window lengths after 1 January 1970.
 type Window uint64
 
-// At is the window of a time.
+// At returns the window of a time.
 func At(t time.Time, length time.Duration) Window {
 	return Window(max(0, t.UnixMilli()) / max(1, length.Milliseconds()))
 }
 
-// End is when a window is over.
+// End returns the end of the window.
 func (w Window) End(length time.Duration) time.Time {
 	return time.UnixMilli(int64(w+1) * length.Milliseconds())
 }
 
-// Count is how many requests of an organisation began to run.
+// Count is the number of requests of an organisation that were started.
 type Count struct {
 	_            struct{} `cbor:",toarray"`
 	Organisation string
 	Requests     uint64
 }
 
-// Process is one process of a daemon.
+// Process identifies one process of a daemon.
 type Process struct {
 	_     struct{} `cbor:",toarray"`
 	ID    string
 	Start uint64
 }
 
-// Record is what one process has counted in a window, or a part of it.
+// Record holds some or all of the counts of one process in a window.
 type Record struct {
 	_       struct{} `cbor:",toarray"`
 	Process Process
 	Window  Window
-	// Over tells that the process counts no more in the window, Total is then the sum of all
-	// its counts: a record whose counts do not come to it lacks some.
+	// Over is set once the process has closed the window. Total is then the sum of all its counts, so that
+	// a receiver can detect that it lacks some of them.
 	Over   bool
 	Total  uint64
 	Counts []Count
 }
 
-// entry is what is known of one process in a window.
-type entry struct {
+// processCounts is what is known of one process in a window.
+type processCounts struct {
 	counts map[string]uint64
-	over   bool
+	closed bool
 	total  uint64
-	// changed is the number of the last change, by which what is new is found.
+	// changed is the number of the last change, used to find recent changes.
 	changed uint64
 }
 
-// whole reports whether the entry lacks nothing.
-func (e *entry) whole() bool {
+// complete reports whether the counts are final and none is missing.
+func (e *processCounts) complete() bool {
 	sum := uint64(0)
 	for _, n := range e.counts {
 		sum += n
 	}
-	return e.over && sum == e.total
+	return e.closed && sum == e.total
 }
 
-// record is the entry as it is told.
-func (e *entry) record(p Process, w Window) Record {
-	out := Record{Process: p, Window: w, Over: e.over, Total: e.total}
+// record returns the counts as a record to send.
+func (e *processCounts) record(p Process, w Window) Record {
+	out := Record{Process: p, Window: w, Over: e.closed, Total: e.total}
 	for name, n := range e.counts {
 		out.Counts = append(out.Counts, Count{Organisation: name, Requests: n})
 	}
@@ -82,22 +81,22 @@
 	return out
 }
 
-// Pool is what is known of all processes. It has one owner.
+// Pool holds the counts of all processes. It must be used by one goroutine at a time.
 type Pool struct {
-	windows map[Window]map[Process]*entry
+	windows map[Window]map[Process]*processCounts
 	change  uint64
-	// dropped is the window up to which nothing is kept.
+	// dropped is the window up to which counts are no longer kept.
 	dropped Window
 }
 
-// NewPool returns an empty pool.
-func NewPool() *Pool { return &Pool{windows: map[Window]map[Process]*entry{}} }
+// NewPool returns an empty aggregate.
+func NewPool() *Pool { return &Pool{windows: map[Window]map[Process]*processCounts{}} }
 
-// mostWindows bounds the windows that are kept: more are only there if a daemon's time of
-// day is far off.
-const mostWindows = 64
+// maxWindows is the maximum number of windows kept. It is only reached if the clock of a daemon is far
+// off.
+const maxWindows = 64
 
-// Merge takes records, in any order and as often as they come.
+// Merge adds records. They may come in any order and more than once.
 func (p *Pool) Merge(records []Record) {
 	for _, r := range records {
 		p.merge(r)
@@ -108,42 +107,42 @@
 	if r.Window <= p.dropped {
 		return
 	}
-	of := p.windows[r.Window]
-	if of == nil {
-		if len(p.windows) >= mostWindows {
+	processes := p.windows[r.Window]
+	if processes == nil {
+		if len(p.windows) >= maxWindows {
 			return
 		}
-		of = map[Process]*entry{}
-		p.windows[r.Window] = of
+		processes = map[Process]*processCounts{}
+		p.windows[r.Window] = processes
 	}
-	e := of[r.Process]
-	grew := e == nil
+	e := processes[r.Process]
+	changed := e == nil
 	if e == nil {
-		e = &entry{counts: map[string]uint64{}}
-		of[r.Process] = e
+		e = &processCounts{counts: map[string]uint64{}}
+		processes[r.Process] = e
 	}
 	for _, c := range r.Counts {
 		if c.Requests > e.counts[c.Organisation] {
-			e.counts[c.Organisation], grew = c.Requests, true
+			e.counts[c.Organisation], changed = c.Requests, true
 		}
 	}
-	if r.Over && !e.over {
-		e.over, e.total, grew = true, r.Total, true
+	if r.Over && !e.closed {
+		e.closed, e.total, changed = true, r.Total, true
 	}
-	if grew {
+	if changed {
 		p.change++
 		e.changed = p.change
 	}
 }
 
-// Changed is the number of the last change.
+// Changed returns the number of the last change.
 func (p *Pool) Changed() uint64 { return p.change }
 
-// Since returns what has changed since the change of a number; 0 returns all.
+// Since returns the records that have changed since the change with the given number; 0 returns all.
 func (p *Pool) Since(change uint64) []Record {
 	var out []Record
-	for w, of := range p.windows {
-		for process, e := range of {
+	for w, processes := range p.windows {
+		for process, e := range processes {
 			if e.changed > change {
 				out = append(out, e.record(process, w))
 			}
@@ -160,26 +159,26 @@
 	return strings.Compare(a.Process.ID, b.Process.ID)
 }
 
-// Drop forgets the windows up to one.
+// Drop removes the windows up to and including one.
 func (p *Pool) Drop(upTo Window) {
 	p.dropped = max(p.dropped, upTo)
-	maps.DeleteFunc(p.windows, func(w Window, _ map[Process]*entry) bool { return w <= p.dropped })
+	maps.DeleteFunc(p.windows, func(w Window, _ map[Process]*processCounts) bool { return w <= p.dropped })
 }
 
-// Whole reports whether all processes that have told of a window have told all of it.
+// Whole reports whether the counts of all known processes in a window are complete.
 func (p *Pool) Whole(w Window) bool {
 	for _, e := range p.windows[w] {
-		if !e.whole() {
+		if !e.complete() {
 			return false
 		}
 	}
 	return true
 }
 
-// Sum is how many requests of each organisation began to run in a window, as far as it was
-// told, by name.
+// Sum returns the known number of requests of each organisation that were started in a window, in order
+// of name.
 func (p *Pool) Sum(w Window) []Count {
-	sum := entry{counts: map[string]uint64{}}
+	sum := processCounts{counts: map[string]uint64{}}
 	for _, e := range p.windows[w] {
 		for name, n := range e.counts {
 			sum.counts[name] += n
@@ -188,7 +187,7 @@
 	return sum.record(Process{}, w).Counts
 }
 
-// First is the earliest window that something is known of; ok is false if there is none.
+// First returns the earliest window with any counts; ok is false if there is none.
 func (p *Pool) First() (w Window, ok bool) {
 	for known := range p.windows {
 		if !ok || known < w {
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -46,11 +46,11 @@
 	}
 }
 
-// Counts reach the one that reports by several daemons, late, twice and in any order.
-func TestSumIsTheSameHoweverItIsTold(t *testing.T) {
+// Counts arrive at the reporting daemon through several others, late, twice and in any order.
+func TestSumIsIndependentOfDeliveryOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool, want := usage.NewPool(), map[string]uint64{}
-		var told []usage.Record
+		var sent []usage.Record
 		for _, id := range []string{"entry-1", "entry-2", "entry-3"} {
 			o := own(id)
 			for s := 0.0; s < 5; s += 0.5 {
@@ -60,24 +60,24 @@
 					want[name]++
 				}
 				nonce := uint64(s*2) + 1
-				told = append(told, o.Unacknowledged("reader", nonce, at(s))...)
+				sent = append(sent, o.Unacknowledged("reader", nonce, at(s))...)
 				if rapid.Bool().Draw(t, "answered") {
 					o.Acknowledged(nonce)
 				}
 			}
-			told = append(told, o.Unacknowledged("reader", 99, at(6.5))...)
+			sent = append(sent, o.Unacknowledged("reader", 99, at(6.5))...)
 		}
-		for _, i := range rapid.Permutation(indices(len(told))).Draw(t, "order") {
-			pool.Merge(told[i : i+1])
+		for _, i := range rapid.Permutation(indices(len(sent))).Draw(t, "order") {
+			pool.Merge(sent[i : i+1])
 			if rapid.Bool().Draw(t, "twice") {
-				pool.Merge(told[i : i+1])
+				pool.Merge(sent[i : i+1])
 			}
 		}
 		if diff := cmp.Diff(counts(want), pool.Sum(first)); diff != "" {
 			t.Fatal(diff)
 		}
 		if !pool.Whole(first) {
-			t.Fatal("it is not whole")
+			t.Fatal("the counts are incomplete")
 		}
 	})
 }
@@ -90,7 +90,7 @@
 	return out
 }
 
-func TestPartOfARecordIsNotWhole(t *testing.T) {
+func TestPartialRecordIsIncomplete(t *testing.T) {
 	o, pool := own("entry-1"), usage.NewPool()
 	o.Begin("org-a", at(1))
 	o.Unacknowledged("reader", 1, at(1))
@@ -98,21 +98,21 @@
 	o.Begin("org-b", at(2))
 	pool.Merge(o.Unacknowledged("reader", 2, at(6)))
 	if pool.Whole(first) {
-		t.Error("what was acknowledged before is missing")
+		t.Error("complete without the counts that were acknowledged before")
 	}
 	pool.Merge(o.Records(at(6)))
 	if !pool.Whole(first) {
-		t.Error("all of it is there")
+		t.Error("incomplete although all counts are there")
 	}
 }
 
-func TestNewReaderIsToldAll(t *testing.T) {
+func TestNewTargetReceivesAllCounts(t *testing.T) {
 	o, pool := own("entry-1"), usage.NewPool()
 	o.Begin("org-a", at(1))
 	o.Unacknowledged("reader-1", 1, at(1))
 	o.Acknowledged(1)
 	if news := o.Unacknowledged("reader-1", 2, at(2.5)); len(news) > 0 {
-		t.Errorf("told again: %v", news)
+		t.Errorf("acknowledged counts are sent again: %v", news)
 	}
 	pool.Merge(o.Unacknowledged("reader-2", 3, at(4)))
 	if diff := cmp.Diff(counts(map[string]uint64{"org-a": 1}), pool.Sum(first)); diff != "" {
@@ -120,8 +120,8 @@
 	}
 }
 
-// A daemon that calls nobody tells about 24 bytes of a window.
-func TestDaemonTellsLittleOfUsage(t *testing.T) {
+// A daemon without requests sends about 24 bytes per window.
+func TestIdleDaemonSendsFewMessages(t *testing.T) {
 	o, messages := own("entry-1"), 0
 	for s := 0.0; s < 50; s += 0.45 {
 		nonce := uint64(s*100) + 1
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestWindowIsReportedOnceAllHaveToldOfIt(t *testing.T) {
+func TestWindowIsReportedOnceAllCountsHaveArrived(t *testing.T) {
 	a, b, pool := own("entry-1"), own("entry-2"), usage.NewPool()
 	a.Begin("org-a", at(1))
 	b.Begin("org-a", at(1))
@@ -143,11 +143,11 @@
 	pool.Merge(b.Records(at(3)))
 	var book usage.Book
 	if _, ok := book.Next(pool, at(8), length, late); ok {
-		t.Error("entry-2 has not told all of it")
+		t.Error("reported before entry-2 has sent all its counts")
 	}
 	pool.Merge(b.Records(at(6)))
 	if _, ok := book.Next(pool, at(6), length, late); ok {
-		t.Error("others may not have told anything yet")
+		t.Error("reported before other daemons can have sent their counts")
 	}
 	r, ok := book.Next(pool, at(8), length, late)
 	if diff := cmp.Diff(counts(map[string]uint64{"org-a": 2}), r.Counts); !ok || r.Window != first || diff != "" {
@@ -155,21 +155,21 @@
 	}
 }
 
-func TestDaemonThatEndedIsNotAwaitedForLong(t *testing.T) {
+func TestWaitForAStoppedDaemonIsBounded(t *testing.T) {
 	a, pool := own("entry-1"), usage.NewPool()
 	a.Begin("org-a", at(1))
 	pool.Merge(a.Records(at(3)))
 	var book usage.Book
 	if _, ok := book.Next(pool, at(9.9), length, late); ok {
-		t.Error("it may still tell the rest")
+		t.Error("reported before the stopped daemon is given up")
 	}
 	if r, ok := book.Next(pool, at(10.1), length, late); !ok || len(r.Counts) != 1 {
 		t.Errorf("%v %v", ok, r)
 	}
 }
 
-// Two reports of a window that differ count against all. A holder that ends leaves its book,
-// and the next one goes on from there.
+// Two different reports of one window count as an error of the whole cluster. A holder that stops leaves its log, and the
+// next one continues from it.
 func TestNextHolderSendsTheSameReports(t *testing.T) {
 	report := usage.Report{Window: first, Counts: counts(map[string]uint64{"org-a": 7})}
 	state, err := usage.Book{}.With(report).Encode()
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestReportsThatAreTakenOrTooLateAreNotSent(t *testing.T) {
+func TestAcceptedAndLateReportsAreNotSent(t *testing.T) {
 	book := usage.Book{}.With(usage.Report{Window: first}).With(usage.Report{Window: first + 1})
 	if r, ok := book.Due(at(11), length, late); !ok || r.Window != first {
 		t.Errorf("%v: the oldest goes first: %d", ok, r.Window)
@@ -202,11 +202,11 @@
 		t.Errorf("%v: %d", ok, r.Window)
 	}
 	if _, ok := book.Due(at(30), length, late); ok {
-		t.Error("the platform takes it no more")
+		t.Error("due although the platform no longer accepts it")
 	}
 }
 
-func TestWindowsThatAreTooLateArePassedOver(t *testing.T) {
+func TestLateWindowsAreSkipped(t *testing.T) {
 	book := usage.Book{}.With(usage.Report{Window: first})
 	r, ok := book.Next(usage.NewPool(), at(100), length, late)
 	if earliest := usage.At(at(90), length); !ok || r.Window != earliest {
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestStateThatIsNoBookIsAnError(t *testing.T) {
+func TestMalformedStateIsAnError(t *testing.T) {
 	if _, err := usage.ReadBook("{"); err == nil {
 		t.Error("no error")
 	}
