--- a/core/usage/counter.go
+++ b/core/usage/counter.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Own counts the requests of this process. It must be used by one goroutine at a time.
-type Own struct {
+// Counter counts the requests of this process. It must be used by one goroutine at a time.
+type Counter struct {
 	Process Process
 	// Length is the length of a window.
 	Length time.Duration
@@ -22,11 +22,11 @@
 }
 
 // Begin counts a request that was started at a time.
-func (o *Own) Begin(organisation string, at time.Time) {
+func (o *Counter) Begin(organisation string, at time.Time) {
 	o.window(At(at, o.Length)).counts[organisation]++
 }
 
-func (o *Own) window(w Window) *processCounts {
+func (o *Counter) window(w Window) *processCounts {
 	if o.windows == nil {
 		o.windows = map[Window]*processCounts{}
 	}
@@ -42,7 +42,7 @@
 
 // advance opens the current window, so that other daemons learn of this process, closes the windows that
 // have ended, and removes old ones.
-func (o *Own) advance(now time.Time) {
+func (o *Counter) advance(now time.Time) {
 	o.window(At(now, o.Length))
 	for w, e := range o.windows {
 		end := w.End(o.Length)
@@ -65,7 +65,7 @@
 
 // Unacknowledged returns the records that a target does not have yet, to be sent with the request that
 // has the given number. Records that are not acknowledged are sent again.
-func (o *Own) Unacknowledged(target string, nonce uint64, now time.Time) []Record {
+func (o *Counter) Unacknowledged(target string, nonce uint64, now time.Time) []Record {
 	o.advance(now)
 	if target != o.target {
 		o.target, o.acked, o.sentAt = target, map[Window]*processCounts{}, time.Time{}
@@ -83,7 +83,7 @@
 }
 
 // delta returns the counts of a window that the target does not have.
-func (o *Own) delta(w Window, e *processCounts) (r Record, ok bool) {
+func (o *Counter) delta(w Window, e *processCounts) (r Record, ok bool) {
 	acked := o.acked[w]
 	if acked == nil {
 		return e.record(o.Process, w), true
@@ -99,7 +99,7 @@
 
 // Acknowledged records that the request with the given number was answered, so that the records sent
 // with it have arrived.
-func (o *Own) Acknowledged(nonce uint64) {
+func (o *Counter) Acknowledged(nonce uint64) {
 	if nonce == 0 || nonce != o.sentNonce {
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 // Records returns all counts of this process that it still keeps.
-func (o *Own) Records(now time.Time) []Record {
+func (o *Counter) Records(now time.Time) []Record {
 	o.advance(now)
 	var out []Record
 	for w, e := range o.windows {
--- a/daemon/duties/ledger.go
+++ b/daemon/duties/ledger.go
@@ -13,7 +13,7 @@
 	mu sync.Mutex
 	// counts is false if nobody reports usage.
 	counts bool
-	own    usage.Own
+	own    usage.Counter
 	pool   *usage.Pool
 	// shared is the change up to which other readers were told, before, and the one before
 	// that: a message may be lost, so that all is told three times.
