--- a/core/usage/counter.go
+++ b/core/usage/counter.go
@@ -7,8 +7,8 @@
 	Process Process
 	// Length is the length of a window.
 	Length time.Duration
-	// Keep is how long the counts of a window are sent after its end.
-	Keep time.Duration
+	// Retention is how long the counts of a window are sent after its end.
+	Retention time.Duration
 
 	windows map[Window]*processCounts
 	// target is the daemon that the counts were last sent to, and acked the counts that it has
@@ -47,7 +47,7 @@
 	for w, e := range o.windows {
 		end := w.End(o.Length)
 		switch {
-		case now.Sub(end) > o.Keep:
+		case now.Sub(end) > o.Retention:
 			delete(o.windows, w)
 			delete(o.acked, w)
 		case now.Sub(end) >= closeDelay:
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -24,7 +24,7 @@
 func at(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 
 func own(id string) *usage.Counter {
-	return &usage.Counter{Process: usage.Process{ID: id, Start: 1}, Length: length, Keep: 2 * late}
+	return &usage.Counter{Process: usage.Process{ID: id, Start: 1}, Length: length, Retention: 2 * late}
 }
 
 func counts(of map[string]uint64) []usage.Count {
--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -192,7 +192,7 @@
 // Prepare sets the leaseholder up. It is called before Run and before anything is counted.
 func (d *Leaseholder) Prepare() {
 	d.ledger.own = usage.Counter{
-		Process: usage.Process{ID: d.Self, Start: d.Start}, Length: d.Settings.Window, Keep: 2 * d.Settings.Late,
+		Process: usage.Process{ID: d.Self, Start: d.Start}, Length: d.Settings.Window, Retention: 2 * d.Settings.Late,
 	}
 	d.ledger.counts = slices.Contains(d.Settings.Names, duty.Usage)
 	// It never begins anew: the leases are measured from it.
--- a/daemon/duties/ledger.go
+++ b/daemon/duties/ledger.go
@@ -87,5 +87,5 @@
 // turn takes this daemon's own counts into the pool, and forgets what is too late.
 func (l *ledger) turn(now time.Time) {
 	l.pool.Merge(l.own.Records(now))
-	l.pool.Drop(usage.At(now.Add(-l.own.Keep), l.own.Length))
+	l.pool.Drop(usage.At(now.Add(-l.own.Retention), l.own.Length))
 }
