--- a/core/usage/counter.go
+++ b/core/usage/counter.go
@@ -21,8 +21,8 @@
 	sentAt    time.Time
 }
 
-// Begin counts a request that was started at a time.
-func (o *Counter) Begin(organisation string, at time.Time) {
+// Add counts a request that was started at a time.
+func (o *Counter) Add(organisation string, at time.Time) {
 	o.window(At(at, o.Length)).counts[organisation]++
 }
 
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -56,7 +56,7 @@
 			for s := 0.0; s < 5; s += 0.5 {
 				for range rapid.IntRange(0, 3).Draw(t, "requests") {
 					name := rapid.SampledFrom([]string{"org-a", "org-b"}).Draw(t, "organisation")
-					o.Begin(name, at(s))
+					o.Add(name, at(s))
 					want[name]++
 				}
 				nonce := uint64(s*2) + 1
@@ -92,10 +92,10 @@
 
 func TestPartialRecordIsIncomplete(t *testing.T) {
 	o, pool := own("entry-1"), usage.NewPool()
-	o.Begin("org-a", at(1))
+	o.Add("org-a", at(1))
 	o.Unacknowledged("reader", 1, at(1))
 	o.Acknowledged(1)
-	o.Begin("org-b", at(2))
+	o.Add("org-b", at(2))
 	pool.Merge(o.Unacknowledged("reader", 2, at(6)))
 	if pool.Whole(first) {
 		t.Error("complete without the counts that were acknowledged before")
@@ -108,7 +108,7 @@
 
 func TestNewTargetReceivesAllCounts(t *testing.T) {
 	o, pool := own("entry-1"), usage.NewPool()
-	o.Begin("org-a", at(1))
+	o.Add("org-a", at(1))
 	o.Unacknowledged("reader-1", 1, at(1))
 	o.Acknowledged(1)
 	if news := o.Unacknowledged("reader-1", 2, at(2.5)); len(news) > 0 {
@@ -137,8 +137,8 @@
 
 func TestWindowIsReportedOnceAllCountsHaveArrived(t *testing.T) {
 	a, b, pool := own("entry-1"), own("entry-2"), usage.NewPool()
-	a.Begin("org-a", at(1))
-	b.Begin("org-a", at(1))
+	a.Add("org-a", at(1))
+	b.Add("org-a", at(1))
 	pool.Merge(a.Records(at(6)))
 	pool.Merge(b.Records(at(3)))
 	var book usage.Book
@@ -157,7 +157,7 @@
 
 func TestWaitForAStoppedDaemonIsBounded(t *testing.T) {
 	a, pool := own("entry-1"), usage.NewPool()
-	a.Begin("org-a", at(1))
+	a.Add("org-a", at(1))
 	pool.Merge(a.Records(at(3)))
 	var book usage.Book
 	if _, ok := book.Next(pool, at(9.9), length, late); ok {
@@ -186,7 +186,7 @@
 	}
 	pool := usage.NewPool()
 	o := own("entry-1")
-	o.Begin("org-a", at(6))
+	o.Add("org-a", at(6))
 	pool.Merge(o.Records(at(11)))
 	if r, ok := book.Next(pool, at(13), length, late); !ok || r.Window != first+1 {
 		t.Errorf("%v: window %d follows %d", ok, r.Window, first)
--- a/daemon/duties/ledger.go
+++ b/daemon/duties/ledger.go
@@ -34,7 +34,7 @@
 	}
 	d.ledger.mu.Lock()
 	defer d.ledger.mu.Unlock()
-	d.ledger.own.Begin(organisation, time.Now())
+	d.ledger.own.Add(organisation, time.Now())
 }
 
 // Unacknowledged returns what a reader does not know yet of this daemon's counts, to go along with the
