--- a/core/usage/report_log.go
+++ b/core/usage/report_log.go
@@ -101,7 +101,7 @@
 		w = earliest
 	}
 	after := now.Sub(w.End(length))
-	if after < settleDelay || (after < late/waitDivisor && !p.Whole(w)) {
+	if after < settleDelay || (after < late/waitDivisor && !p.Complete(w)) {
 		return Report{}, false
 	}
 	return Report{Window: w, Counts: p.Sum(w)}, true
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -165,8 +165,8 @@
 	maps.DeleteFunc(p.windows, func(w Window, _ map[Process]*processCounts) bool { return w <= p.dropped })
 }
 
-// Whole reports whether the counts of all known processes in a window are complete.
-func (p *Pool) Whole(w Window) bool {
+// Complete reports whether the counts of all known processes in a window are complete.
+func (p *Pool) Complete(w Window) bool {
 	for _, e := range p.windows[w] {
 		if !e.complete() {
 			return false
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -76,7 +76,7 @@
 		if diff := cmp.Diff(counts(want), pool.Sum(first)); diff != "" {
 			t.Fatal(diff)
 		}
-		if !pool.Whole(first) {
+		if !pool.Complete(first) {
 			t.Fatal("the counts are incomplete")
 		}
 	})
@@ -97,11 +97,11 @@
 	o.Acknowledged(1)
 	o.Add("org-b", at(2))
 	pool.Merge(o.Unacknowledged("reader", 2, at(6)))
-	if pool.Whole(first) {
+	if pool.Complete(first) {
 		t.Error("complete without the counts that were acknowledged before")
 	}
 	pool.Merge(o.Records(at(6)))
-	if !pool.Whole(first) {
+	if !pool.Complete(first) {
 		t.Error("incomplete although all counts are there")
 	}
 }
