--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// Changed returns the number of the last change.
-func (p *Pool) Changed() uint64 { return p.change }
+// LastChange returns the number of the last change.
+func (p *Pool) LastChange() uint64 { return p.change }
 
 // Since returns the records that have changed since the change with the given number; 0 returns all.
 func (p *Pool) Since(change uint64) []Record {
--- a/daemon/duties/ledger.go
+++ b/daemon/duties/ledger.go
@@ -80,7 +80,7 @@
 		since, l.sharedWith = 0, holder
 	}
 	copy(l.shared[1:], l.shared[:])
-	l.shared[0] = l.pool.Changed()
+	l.shared[0] = l.pool.LastChange()
 	return l.pool.Since(since), holder
 }
 
