--- a/core/usage/report_log.go
+++ b/core/usage/report_log.go
@@ -89,7 +89,7 @@
 
 // Next returns the report of the next window if it is to be sent now. Windows follow one another
 // without a gap, from the first one that the aggregate knows.
-func (b Book) Next(p *Pool, now time.Time, length, late time.Duration) (r Report, ok bool) {
+func (b Book) Next(p *Aggregate, now time.Time, length, late time.Duration) (r Report, ok bool) {
 	w, found := b.Last()
 	if found {
 		w++
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -81,8 +81,8 @@
 	return out
 }
 
-// Pool holds the counts of all processes. It must be used by one goroutine at a time.
-type Pool struct {
+// Aggregate holds the counts of all processes. It must be used by one goroutine at a time.
+type Aggregate struct {
 	windows map[Window]map[Process]*processCounts
 	change  uint64
 	// dropped is the window up to which counts are no longer kept.
@@ -90,20 +90,20 @@
 }
 
 // NewPool returns an empty aggregate.
-func NewPool() *Pool { return &Pool{windows: map[Window]map[Process]*processCounts{}} }
+func NewPool() *Aggregate { return &Aggregate{windows: map[Window]map[Process]*processCounts{}} }
 
 // maxWindows is the maximum number of windows kept. It is only reached if the clock of a daemon is far
 // off.
 const maxWindows = 64
 
 // Merge adds records. They may come in any order and more than once.
-func (p *Pool) Merge(records []Record) {
+func (p *Aggregate) Merge(records []Record) {
 	for _, r := range records {
 		p.merge(r)
 	}
 }
 
-func (p *Pool) merge(r Record) {
+func (p *Aggregate) merge(r Record) {
 	if r.Window <= p.dropped {
 		return
 	}
@@ -136,10 +136,10 @@
 }
 
 // LastChange returns the number of the last change.
-func (p *Pool) LastChange() uint64 { return p.change }
+func (p *Aggregate) LastChange() uint64 { return p.change }
 
 // Since returns the records that have changed since the change with the given number; 0 returns all.
-func (p *Pool) Since(change uint64) []Record {
+func (p *Aggregate) Since(change uint64) []Record {
 	var out []Record
 	for w, processes := range p.windows {
 		for process, e := range processes {
@@ -160,13 +160,13 @@
 }
 
 // Drop removes the windows up to and including one.
-func (p *Pool) Drop(upTo Window) {
+func (p *Aggregate) Drop(upTo Window) {
 	p.dropped = max(p.dropped, upTo)
 	maps.DeleteFunc(p.windows, func(w Window, _ map[Process]*processCounts) bool { return w <= p.dropped })
 }
 
 // Complete reports whether the counts of all known processes in a window are complete.
-func (p *Pool) Complete(w Window) bool {
+func (p *Aggregate) Complete(w Window) bool {
 	for _, e := range p.windows[w] {
 		if !e.complete() {
 			return false
@@ -177,7 +177,7 @@
 
 // Sum returns the known number of requests of each organisation that were started in a window, in order
 // of name.
-func (p *Pool) Sum(w Window) []Count {
+func (p *Aggregate) Sum(w Window) []Count {
 	sum := processCounts{counts: map[string]uint64{}}
 	for _, e := range p.windows[w] {
 		for name, n := range e.counts {
@@ -188,7 +188,7 @@
 }
 
 // First returns the earliest window with any counts; ok is false if there is none.
-func (p *Pool) First() (w Window, ok bool) {
+func (p *Aggregate) First() (w Window, ok bool) {
 	for known := range p.windows {
 		if !ok || known < w {
 			w, ok = known, true
--- a/daemon/duties/ledger.go
+++ b/daemon/duties/ledger.go
@@ -14,7 +14,7 @@
 	// counts is false if nobody reports usage.
 	counts bool
 	own    usage.Counter
-	pool   *usage.Pool
+	pool   *usage.Aggregate
 	// shared is the change up to which other readers were told, before, and the one before
 	// that: a message may be lost, so that all is told three times.
 	shared [shareTimes]uint64
