--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -89,8 +89,8 @@
 	dropped Window
 }
 
-// NewPool returns an empty aggregate.
-func NewPool() *Aggregate { return &Aggregate{windows: map[Window]map[Process]*processCounts{}} }
+// NewAggregate returns an empty aggregate.
+func NewAggregate() *Aggregate { return &Aggregate{windows: map[Window]map[Process]*processCounts{}} }
 
 // maxWindows is the maximum number of windows kept. It is only reached if the clock of a daemon is far
 // off.
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -49,7 +49,7 @@
 // Counts arrive at the reporting daemon through several others, late, twice and in any order.
 func TestSumIsIndependentOfDeliveryOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pool, want := usage.NewPool(), map[string]uint64{}
+		pool, want := usage.NewAggregate(), map[string]uint64{}
 		var sent []usage.Record
 		for _, id := range []string{"entry-1", "entry-2", "entry-3"} {
 			o := own(id)
@@ -91,7 +91,7 @@
 }
 
 func TestPartialRecordIsIncomplete(t *testing.T) {
-	o, pool := own("entry-1"), usage.NewPool()
+	o, pool := own("entry-1"), usage.NewAggregate()
 	o.Add("org-a", at(1))
 	o.Unacknowledged("reader", 1, at(1))
 	o.Acknowledged(1)
@@ -107,7 +107,7 @@
 }
 
 func TestNewTargetReceivesAllCounts(t *testing.T) {
-	o, pool := own("entry-1"), usage.NewPool()
+	o, pool := own("entry-1"), usage.NewAggregate()
 	o.Add("org-a", at(1))
 	o.Unacknowledged("reader-1", 1, at(1))
 	o.Acknowledged(1)
@@ -136,7 +136,7 @@
 }
 
 func TestWindowIsReportedOnceAllCountsHaveArrived(t *testing.T) {
-	a, b, pool := own("entry-1"), own("entry-2"), usage.NewPool()
+	a, b, pool := own("entry-1"), own("entry-2"), usage.NewAggregate()
 	a.Add("org-a", at(1))
 	b.Add("org-a", at(1))
 	pool.Merge(a.Records(at(6)))
@@ -156,7 +156,7 @@
 }
 
 func TestWaitForAStoppedDaemonIsBounded(t *testing.T) {
-	a, pool := own("entry-1"), usage.NewPool()
+	a, pool := own("entry-1"), usage.NewAggregate()
 	a.Add("org-a", at(1))
 	pool.Merge(a.Records(at(3)))
 	var book usage.Book
@@ -184,7 +184,7 @@
 	if diff := cmp.Diff(report, due); !ok || diff != "" {
 		t.Errorf("%v %s", ok, diff)
 	}
-	pool := usage.NewPool()
+	pool := usage.NewAggregate()
 	o := own("entry-1")
 	o.Add("org-a", at(6))
 	pool.Merge(o.Records(at(11)))
@@ -208,7 +208,7 @@
 
 func TestLateWindowsAreSkipped(t *testing.T) {
 	book := usage.Book{}.With(usage.Report{Window: first})
-	r, ok := book.Next(usage.NewPool(), at(100), length, late)
+	r, ok := book.Next(usage.NewAggregate(), at(100), length, late)
 	if earliest := usage.At(at(90), length); !ok || r.Window != earliest {
 		t.Errorf("%v: %d instead of %d", ok, r.Window, earliest)
 	}
--- a/daemon/duties/ledger.go
+++ b/daemon/duties/ledger.go
@@ -25,7 +25,7 @@
 // shareTimes is how often a change is told to other readers.
 const shareTimes = 3
 
-func newLedger() *ledger { return &ledger{pool: usage.NewPool()} }
+func newLedger() *ledger { return &ledger{pool: usage.NewAggregate()} }
 
 // Began counts a request of an organisation that begins to run now.
 func (d *Leaseholder) Began(organisation string) {
