--- a/core/usage/counter.go
+++ b/core/usage/counter.go
@@ -88,7 +88,7 @@
 	if acked == nil {
 		return e.record(o.Process, w), true
 	}
-	r = Record{Process: o.Process, Window: w, Over: e.closed, Total: e.total}
+	r = Record{Process: o.Process, Window: w, Closed: e.closed, Total: e.total}
 	for name, n := range e.counts {
 		if n > acked.counts[name] {
 			r.Counts = append(r.Counts, Count{Organisation: name, Requests: n})
@@ -108,7 +108,7 @@
 			o.acked[r.Window] = &processCounts{counts: map[string]uint64{}}
 		}
 		acked := o.acked[r.Window]
-		acked.closed = acked.closed || r.Over
+		acked.closed = acked.closed || r.Closed
 		for _, c := range r.Counts {
 			acked.counts[c.Organisation] = c.Requests
 		}
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -46,9 +46,9 @@
 	_       struct{} `cbor:",toarray"`
 	Process Process
 	Window  Window
-	// Over is set once the process has closed the window. Total is then the sum of all its counts, so that
+	// Closed is set once the process has closed the window. Total is then the sum of all its counts, so that
 	// a receiver can detect that it lacks some of them.
-	Over   bool
+	Closed bool
 	Total  uint64
 	Counts []Count
 }
@@ -73,7 +73,7 @@
 
 // record returns the counts as a record to send.
 func (e *processCounts) record(p Process, w Window) Record {
-	out := Record{Process: p, Window: w, Over: e.closed, Total: e.total}
+	out := Record{Process: p, Window: w, Closed: e.closed, Total: e.total}
 	for name, n := range e.counts {
 		out.Counts = append(out.Counts, Count{Organisation: name, Requests: n})
 	}
@@ -126,7 +126,7 @@
 			e.counts[c.Organisation], changed = c.Requests, true
 		}
 	}
-	if r.Over && !e.closed {
+	if r.Closed && !e.closed {
 		e.closed, e.total, changed = true, r.Total, true
 	}
 	if changed {
