--- a/core/usage/report_log.go
+++ b/core/usage/report_log.go
@@ -14,9 +14,9 @@
 	Taken bool `json:"taken"`
 }
 
-// Book holds the reports of the latest windows, oldest first. It is stored before any of them is
+// ReportLog holds the reports of the latest windows, oldest first. It is stored before any of them is
 // sent, so that the next holder of the duty sends identical reports. It is immutable.
-type Book struct {
+type ReportLog struct {
 	Reports []Report `json:"reports"`
 }
 
@@ -24,19 +24,19 @@
 const maxReports = 8
 
 // ReadBook decodes a log.
-func ReadBook(state string) (Book, error) {
-	var b Book
+func ReadBook(state string) (ReportLog, error) {
+	var b ReportLog
 	if state == "" {
 		return b, nil
 	}
 	if err := json.Unmarshal([]byte(state), &b); err != nil {
-		return Book{}, &Error{Op: "decode usage reports", Kind: Malformed, Err: err}
+		return ReportLog{}, &Error{Op: "decode usage reports", Kind: Malformed, Err: err}
 	}
 	return b, nil
 }
 
 // Encode returns the encoded log.
-func (b Book) Encode() (string, error) {
+func (b ReportLog) Encode() (string, error) {
 	data, err := json.Marshal(b)
 	if err != nil {
 		return "", &Error{Op: "encode usage reports", Kind: Malformed, Err: err}
@@ -45,7 +45,7 @@
 }
 
 // Last returns the latest window with a report; ok is false if there is none.
-func (b Book) Last() (w Window, ok bool) {
+func (b ReportLog) Last() (w Window, ok bool) {
 	if len(b.Reports) == 0 {
 		return 0, false
 	}
@@ -53,22 +53,22 @@
 }
 
 // With returns a copy of the log with one more report, which is of a later window.
-func (b Book) With(r Report) Book {
+func (b ReportLog) With(r Report) ReportLog {
 	reports := append(append([]Report{}, b.Reports...), r)
-	return Book{Reports: reports[max(0, len(reports)-maxReports):]}
+	return ReportLog{Reports: reports[max(0, len(reports)-maxReports):]}
 }
 
 // WithTaken returns a copy of the log with the report of a window marked as accepted.
-func (b Book) WithTaken(w Window) Book {
+func (b ReportLog) WithTaken(w Window) ReportLog {
 	reports := append([]Report{}, b.Reports...)
 	for i := range reports {
 		reports[i].Taken = reports[i].Taken || reports[i].Window == w
 	}
-	return Book{Reports: reports}
+	return ReportLog{Reports: reports}
 }
 
 // Due returns the oldest report that the platform has not accepted and would still accept.
-func (b Book) Due(now time.Time, length, late time.Duration) (r Report, ok bool) {
+func (b ReportLog) Due(now time.Time, length, late time.Duration) (r Report, ok bool) {
 	for _, r := range b.Reports {
 		if !r.Taken && now.Sub(r.Window.End(length)) <= late {
 			return r, true
@@ -89,7 +89,7 @@
 
 // Next returns the report of the next window if it is to be sent now. Windows follow one another
 // without a gap, from the first one that the aggregate knows.
-func (b Book) Next(p *Aggregate, now time.Time, length, late time.Duration) (r Report, ok bool) {
+func (b ReportLog) Next(p *Aggregate, now time.Time, length, late time.Duration) (r Report, ok bool) {
 	w, found := b.Last()
 	if found {
 		w++
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -141,7 +141,7 @@
 	b.Add("org-a", at(1))
 	pool.Merge(a.Records(at(6)))
 	pool.Merge(b.Records(at(3)))
-	var book usage.Book
+	var book usage.ReportLog
 	if _, ok := book.Next(pool, at(8), length, late); ok {
 		t.Error("reported before entry-2 has sent all its counts")
 	}
@@ -159,7 +159,7 @@
 	a, pool := own("entry-1"), usage.NewAggregate()
 	a.Add("org-a", at(1))
 	pool.Merge(a.Records(at(3)))
-	var book usage.Book
+	var book usage.ReportLog
 	if _, ok := book.Next(pool, at(9.9), length, late); ok {
 		t.Error("reported before the stopped daemon is given up")
 	}
@@ -172,7 +172,7 @@
 // next one continues from it.
 func TestNextHolderSendsTheSameReports(t *testing.T) {
 	report := usage.Report{Window: first, Counts: counts(map[string]uint64{"org-a": 7})}
-	state, err := usage.Book{}.With(report).Encode()
+	state, err := usage.ReportLog{}.With(report).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 }
 
 func TestAcceptedAndLateReportsAreNotSent(t *testing.T) {
-	book := usage.Book{}.With(usage.Report{Window: first}).With(usage.Report{Window: first + 1})
+	book := usage.ReportLog{}.With(usage.Report{Window: first}).With(usage.Report{Window: first + 1})
 	if r, ok := book.Due(at(11), length, late); !ok || r.Window != first {
 		t.Errorf("%v: the oldest goes first: %d", ok, r.Window)
 	}
@@ -207,7 +207,7 @@
 }
 
 func TestLateWindowsAreSkipped(t *testing.T) {
-	book := usage.Book{}.With(usage.Report{Window: first})
+	book := usage.ReportLog{}.With(usage.Report{Window: first})
 	r, ok := book.Next(usage.NewAggregate(), at(100), length, late)
 	if earliest := usage.At(at(90), length); !ok || r.Window != earliest {
 		t.Errorf("%v: %d instead of %d", ok, r.Window, earliest)
--- a/daemon/duties/report.go
+++ b/daemon/duties/report.go
@@ -10,7 +10,7 @@
 
 // reporting is the work of the holder of the duty to report usage.
 type reporting struct {
-	book usage.Book
+	book usage.ReportLog
 }
 
 // takeBook takes the book that the holder before has left.
