--- a/core/usage/report_log.go
+++ b/core/usage/report_log.go
@@ -23,8 +23,8 @@
 // maxReports is the maximum number of reports in a log: those that may still be due, and a margin.
 const maxReports = 8
 
-// ReadBook decodes a log.
-func ReadBook(state string) (ReportLog, error) {
+// DecodeReportLog decodes a log.
+func DecodeReportLog(state string) (ReportLog, error) {
 	var b ReportLog
 	if state == "" {
 		return b, nil
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	book, err := usage.ReadBook(state)
+	book, err := usage.DecodeReportLog(state)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,7 +215,7 @@
 }
 
 func TestMalformedStateIsAnError(t *testing.T) {
-	if _, err := usage.ReadBook("{"); err == nil {
+	if _, err := usage.DecodeReportLog("{"); err == nil {
 		t.Error("no error")
 	}
 }
--- a/daemon/cmd/ladderridge/cmd_duties.go
+++ b/daemon/cmd/ladderridge/cmd_duties.go
@@ -75,7 +75,7 @@
 	if s.Duty != duty.Usage {
 		return "ordered: " + showOrders(s.State)
 	}
-	book, err := usage.ReadBook(s.State)
+	book, err := usage.DecodeReportLog(s.State)
 	if err != nil {
 		return err.Error()
 	}
--- a/daemon/duties/report.go
+++ b/daemon/duties/report.go
@@ -15,7 +15,7 @@
 
 // takeBook takes the book that the holder before has left.
 func (d *Leaseholder) takeBook(h *holding, w *reporting) {
-	book, err := usage.ReadBook(h.claim.State())
+	book, err := usage.DecodeReportLog(h.claim.State())
 	if err != nil {
 		d.Log.Error().Err(err).Msg("duty: the book of reports does not decode: a new one is begun")
 	}
