--- a/core/usage/report_log.go
+++ b/core/usage/report_log.go
@@ -10,8 +10,8 @@
 type Report struct {
 	Window Window  `json:"window"`
 	Counts []Count `json:"counts"`
-	// Taken is set once the platform has accepted the report.
-	Taken bool `json:"taken"`
+	// Accepted is set once the platform has accepted the report.
+	Accepted bool `json:"taken"`
 }
 
 // ReportLog holds the reports of the latest windows, oldest first. It is stored before any of them is
@@ -62,7 +62,7 @@
 func (b ReportLog) WithTaken(w Window) ReportLog {
 	reports := append([]Report{}, b.Reports...)
 	for i := range reports {
-		reports[i].Taken = reports[i].Taken || reports[i].Window == w
+		reports[i].Accepted = reports[i].Accepted || reports[i].Window == w
 	}
 	return ReportLog{Reports: reports}
 }
@@ -70,7 +70,7 @@
 // Due returns the oldest report that the platform has not accepted and would still accept.
 func (b ReportLog) Due(now time.Time, length, late time.Duration) (r Report, ok bool) {
 	for _, r := range b.Reports {
-		if !r.Taken && now.Sub(r.Window.End(length)) <= late {
+		if !r.Accepted && now.Sub(r.Window.End(length)) <= late {
 			return r, true
 		}
 	}
--- a/daemon/cmd/ladderridge/cmd_duties.go
+++ b/daemon/cmd/ladderridge/cmd_duties.go
@@ -85,7 +85,7 @@
 	}
 	waiting := 0
 	for _, r := range book.Reports {
-		if !r.Taken {
+		if !r.Accepted {
 			waiting++
 		}
 	}
