--- a/core/usage/report_log.go
+++ b/core/usage/report_log.go
@@ -58,8 +58,8 @@
 	return ReportLog{Reports: reports[max(0, len(reports)-maxReports):]}
 }
 
-// WithTaken returns a copy of the log with the report of a window marked as accepted.
-func (b ReportLog) WithTaken(w Window) ReportLog {
+// WithAccepted returns a copy of the log with the report of a window marked as accepted.
+func (b ReportLog) WithAccepted(w Window) ReportLog {
 	reports := append([]Report{}, b.Reports...)
 	for i := range reports {
 		reports[i].Accepted = reports[i].Accepted || reports[i].Window == w
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -198,7 +198,7 @@
 	if r, ok := book.Due(at(11), length, late); !ok || r.Window != first {
 		t.Errorf("%v: the oldest goes first: %d", ok, r.Window)
 	}
-	if r, ok := book.WithTaken(first).Due(at(11), length, late); !ok || r.Window != first+1 {
+	if r, ok := book.WithAccepted(first).Due(at(11), length, late); !ok || r.Window != first+1 {
 		t.Errorf("%v: %d", ok, r.Window)
 	}
 	if _, ok := book.Due(at(30), length, late); ok {
--- a/daemon/duties/report.go
+++ b/daemon/duties/report.go
@@ -34,7 +34,7 @@
 			return
 		}
 		d.Reports.Add(1)
-		w.book = w.book.WithTaken(r.Window)
+		w.book = w.book.WithAccepted(r.Window)
 		d.Log.Info().Uint64("window", uint64(r.Window)).Int("organisations", len(r.Counts)).Dur("after", time.Since(r.Window.End(d.Settings.Window))).Msg("duty: usage reported")
 	})
 }
