--- a/core/usage/counter.go
+++ b/core/usage/counter.go
@@ -22,18 +22,18 @@
 }
 
 // Add counts a request that was started at a time.
-func (o *Counter) Add(organisation string, at time.Time) {
-	o.window(At(at, o.Length)).counts[organisation]++
+func (c *Counter) Add(organisation string, at time.Time) {
+	c.window(At(at, c.Length)).counts[organisation]++
 }
 
-func (o *Counter) window(w Window) *processCounts {
-	if o.windows == nil {
-		o.windows = map[Window]*processCounts{}
+func (c *Counter) window(w Window) *processCounts {
+	if c.windows == nil {
+		c.windows = map[Window]*processCounts{}
 	}
-	if o.windows[w] == nil {
-		o.windows[w] = &processCounts{counts: map[string]uint64{}}
+	if c.windows[w] == nil {
+		c.windows[w] = &processCounts{counts: map[string]uint64{}}
 	}
-	return o.windows[w]
+	return c.windows[w]
 }
 
 // closeDelay is how long after its end a window is closed for this process. All requests of the window
@@ -42,14 +42,14 @@
 
 // advance opens the current window, so that other daemons learn of this process, closes the windows that
 // have ended, and removes old ones.
-func (o *Counter) advance(now time.Time) {
-	o.window(At(now, o.Length))
-	for w, e := range o.windows {
-		end := w.End(o.Length)
+func (c *Counter) advance(now time.Time) {
+	c.window(At(now, c.Length))
+	for w, e := range c.windows {
+		end := w.End(c.Length)
 		switch {
-		case now.Sub(end) > o.Retention:
-			delete(o.windows, w)
-			delete(o.acked, w)
+		case now.Sub(end) > c.Retention:
+			delete(c.windows, w)
+			delete(c.acked, w)
 		case now.Sub(end) >= closeDelay:
 			e.closed, e.total = true, 0
 			for _, n := range e.counts {
@@ -65,30 +65,30 @@
 
 // Unacknowledged returns the records that a target does not have yet, to be sent with the request that
 // has the given number. Records that are not acknowledged are sent again.
-func (o *Counter) Unacknowledged(target string, nonce uint64, now time.Time) []Record {
-	o.advance(now)
-	if target != o.target {
-		o.target, o.acked, o.sentAt = target, map[Window]*processCounts{}, time.Time{}
+func (c *Counter) Unacknowledged(target string, nonce uint64, now time.Time) []Record {
+	c.advance(now)
+	if target != c.target {
+		c.target, c.acked, c.sentAt = target, map[Window]*processCounts{}, time.Time{}
 	}
-	if now.Sub(o.sentAt) < minSendInterval {
+	if now.Sub(c.sentAt) < minSendInterval {
 		return nil
 	}
-	o.sent, o.sentNonce, o.sentAt = nil, nonce, now
-	for w, e := range o.windows {
-		if r, ok := o.delta(w, e); ok {
-			o.sent = append(o.sent, r)
+	c.sent, c.sentNonce, c.sentAt = nil, nonce, now
+	for w, e := range c.windows {
+		if r, ok := c.delta(w, e); ok {
+			c.sent = append(c.sent, r)
 		}
 	}
-	return o.sent
+	return c.sent
 }
 
 // delta returns the counts of a window that the target does not have.
-func (o *Counter) delta(w Window, e *processCounts) (r Record, ok bool) {
-	acked := o.acked[w]
+func (c *Counter) delta(w Window, e *processCounts) (r Record, ok bool) {
+	acked := c.acked[w]
 	if acked == nil {
-		return e.record(o.Process, w), true
+		return e.record(c.Process, w), true
 	}
-	r = Record{Process: o.Process, Window: w, Closed: e.closed, Total: e.total}
+	r = Record{Process: c.Process, Window: w, Closed: e.closed, Total: e.total}
 	for name, n := range e.counts {
 		if n > acked.counts[name] {
 			r.Counts = append(r.Counts, Count{Organisation: name, Requests: n})
@@ -99,29 +99,29 @@
 
 // Acknowledged records that the request with the given number was answered, so that the records sent
 // with it have arrived.
-func (o *Counter) Acknowledged(nonce uint64) {
-	if nonce == 0 || nonce != o.sentNonce {
+func (c *Counter) Acknowledged(nonce uint64) {
+	if nonce == 0 || nonce != c.sentNonce {
 		return
 	}
-	for _, r := range o.sent {
-		if o.acked[r.Window] == nil {
-			o.acked[r.Window] = &processCounts{counts: map[string]uint64{}}
+	for _, r := range c.sent {
+		if c.acked[r.Window] == nil {
+			c.acked[r.Window] = &processCounts{counts: map[string]uint64{}}
 		}
-		acked := o.acked[r.Window]
+		acked := c.acked[r.Window]
 		acked.closed = acked.closed || r.Closed
-		for _, c := range r.Counts {
-			acked.counts[c.Organisation] = c.Requests
+		for _, count := range r.Counts {
+			acked.counts[count.Organisation] = count.Requests
 		}
 	}
-	o.sent, o.sentNonce = nil, 0
+	c.sent, c.sentNonce = nil, 0
 }
 
 // Records returns all counts of this process that it still keeps.
-func (o *Counter) Records(now time.Time) []Record {
-	o.advance(now)
+func (c *Counter) Records(now time.Time) []Record {
+	c.advance(now)
 	var out []Record
-	for w, e := range o.windows {
-		out = append(out, e.record(o.Process, w))
+	for w, e := range c.windows {
+		out = append(out, e.record(c.Process, w))
 	}
 	return out
 }
--- a/core/usage/report_log.go
+++ b/core/usage/report_log.go
@@ -25,19 +25,19 @@
 
 // DecodeReportLog decodes a log.
 func DecodeReportLog(state string) (ReportLog, error) {
-	var b ReportLog
+	var l ReportLog
 	if state == "" {
-		return b, nil
+		return l, nil
 	}
-	if err := json.Unmarshal([]byte(state), &b); err != nil {
+	if err := json.Unmarshal([]byte(state), &l); err != nil {
 		return ReportLog{}, &Error{Op: "decode usage reports", Kind: Malformed, Err: err}
 	}
-	return b, nil
+	return l, nil
 }
 
 // Encode returns the encoded log.
-func (b ReportLog) Encode() (string, error) {
-	data, err := json.Marshal(b)
+func (l ReportLog) Encode() (string, error) {
+	data, err := json.Marshal(l)
 	if err != nil {
 		return "", &Error{Op: "encode usage reports", Kind: Malformed, Err: err}
 	}
@@ -45,22 +45,22 @@
 }
 
 // Last returns the latest window with a report; ok is false if there is none.
-func (b ReportLog) Last() (w Window, ok bool) {
-	if len(b.Reports) == 0 {
+func (l ReportLog) Last() (w Window, ok bool) {
+	if len(l.Reports) == 0 {
 		return 0, false
 	}
-	return b.Reports[len(b.Reports)-1].Window, true
+	return l.Reports[len(l.Reports)-1].Window, true
 }
 
 // With returns a copy of the log with one more report, which is of a later window.
-func (b ReportLog) With(r Report) ReportLog {
-	reports := append(append([]Report{}, b.Reports...), r)
+func (l ReportLog) With(r Report) ReportLog {
+	reports := append(append([]Report{}, l.Reports...), r)
 	return ReportLog{Reports: reports[max(0, len(reports)-maxReports):]}
 }
 
 // WithAccepted returns a copy of the log with the report of a window marked as accepted.
-func (b ReportLog) WithAccepted(w Window) ReportLog {
-	reports := append([]Report{}, b.Reports...)
+func (l ReportLog) WithAccepted(w Window) ReportLog {
+	reports := append([]Report{}, l.Reports...)
 	for i := range reports {
 		reports[i].Accepted = reports[i].Accepted || reports[i].Window == w
 	}
@@ -68,8 +68,8 @@
 }
 
 // Due returns the oldest report that the platform has not accepted and would still accept.
-func (b ReportLog) Due(now time.Time, length, late time.Duration) (r Report, ok bool) {
-	for _, r := range b.Reports {
+func (l ReportLog) Due(now time.Time, length, late time.Duration) (r Report, ok bool) {
+	for _, r := range l.Reports {
 		if !r.Accepted && now.Sub(r.Window.End(length)) <= late {
 			return r, true
 		}
@@ -89,11 +89,11 @@
 
 // Next returns the report of the next window if it is to be sent now. Windows follow one another
 // without a gap, from the first one that the aggregate knows.
-func (b ReportLog) Next(p *Aggregate, now time.Time, length, late time.Duration) (r Report, ok bool) {
-	w, found := b.Last()
+func (l ReportLog) Next(a *Aggregate, now time.Time, length, late time.Duration) (r Report, ok bool) {
+	w, found := l.Last()
 	if found {
 		w++
-	} else if w, found = p.First(); !found {
+	} else if w, found = a.First(); !found {
 		return Report{}, false
 	}
 	// Windows that are too late for the platform are skipped.
@@ -101,8 +101,8 @@
 		w = earliest
 	}
 	after := now.Sub(w.End(length))
-	if after < settleDelay || (after < late/waitDivisor && !p.Complete(w)) {
+	if after < settleDelay || (after < late/waitDivisor && !a.Complete(w)) {
 		return Report{}, false
 	}
-	return Report{Window: w, Counts: p.Sum(w)}, true
+	return Report{Window: w, Counts: a.Sum(w)}, true
 }
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -97,23 +97,23 @@
 const maxWindows = 64
 
 // Merge adds records. They may come in any order and more than once.
-func (p *Aggregate) Merge(records []Record) {
+func (a *Aggregate) Merge(records []Record) {
 	for _, r := range records {
-		p.merge(r)
+		a.merge(r)
 	}
 }
 
-func (p *Aggregate) merge(r Record) {
-	if r.Window <= p.dropped {
+func (a *Aggregate) merge(r Record) {
+	if r.Window <= a.dropped {
 		return
 	}
-	processes := p.windows[r.Window]
+	processes := a.windows[r.Window]
 	if processes == nil {
-		if len(p.windows) >= maxWindows {
+		if len(a.windows) >= maxWindows {
 			return
 		}
 		processes = map[Process]*processCounts{}
-		p.windows[r.Window] = processes
+		a.windows[r.Window] = processes
 	}
 	e := processes[r.Process]
 	changed := e == nil
@@ -130,18 +130,18 @@
 		e.closed, e.total, changed = true, r.Total, true
 	}
 	if changed {
-		p.change++
-		e.changed = p.change
+		a.change++
+		e.changed = a.change
 	}
 }
 
 // LastChange returns the number of the last change.
-func (p *Aggregate) LastChange() uint64 { return p.change }
+func (a *Aggregate) LastChange() uint64 { return a.change }
 
 // Since returns the records that have changed since the change with the given number; 0 returns all.
-func (p *Aggregate) Since(change uint64) []Record {
+func (a *Aggregate) Since(change uint64) []Record {
 	var out []Record
-	for w, processes := range p.windows {
+	for w, processes := range a.windows {
 		for process, e := range processes {
 			if e.changed > change {
 				out = append(out, e.record(process, w))
@@ -160,14 +160,14 @@
 }
 
 // Drop removes the windows up to and including one.
-func (p *Aggregate) Drop(upTo Window) {
-	p.dropped = max(p.dropped, upTo)
-	maps.DeleteFunc(p.windows, func(w Window, _ map[Process]*processCounts) bool { return w <= p.dropped })
+func (a *Aggregate) Drop(upTo Window) {
+	a.dropped = max(a.dropped, upTo)
+	maps.DeleteFunc(a.windows, func(w Window, _ map[Process]*processCounts) bool { return w <= a.dropped })
 }
 
 // Complete reports whether the counts of all known processes in a window are complete.
-func (p *Aggregate) Complete(w Window) bool {
-	for _, e := range p.windows[w] {
+func (a *Aggregate) Complete(w Window) bool {
+	for _, e := range a.windows[w] {
 		if !e.complete() {
 			return false
 		}
@@ -177,9 +177,9 @@
 
 // Sum returns the known number of requests of each organisation that were started in a window, in order
 // of name.
-func (p *Aggregate) Sum(w Window) []Count {
+func (a *Aggregate) Sum(w Window) []Count {
 	sum := processCounts{counts: map[string]uint64{}}
-	for _, e := range p.windows[w] {
+	for _, e := range a.windows[w] {
 		for name, n := range e.counts {
 			sum.counts[name] += n
 		}
@@ -188,8 +188,8 @@
 }
 
 // First returns the earliest window with any counts; ok is false if there is none.
-func (p *Aggregate) First() (w Window, ok bool) {
-	for known := range p.windows {
+func (a *Aggregate) First() (w Window, ok bool) {
+	for known := range a.windows {
 		if !ok || known < w {
 			w, ok = known, true
 		}
