--- a/core/rollout/rollout.go
+++ b/core/rollout/rollout.go
@@ -1,8 +1,7 @@
-// Package rollout decides the next step of a version that is being rolled out,
-// from the evidence of all daemons. Any daemon may carry a step out: it is a
-// conditional write from the table generation that it saw, so that two drivers,
-// or one that was paused, can do no harm, and a roll-out whose driver is gone
-// is taken up by another.
+// Package rollout decides the next step of a version in roll-out from the evidence of all daemons.
+// Any daemon may be the driver that carries out a step. A step is a conditional write against the
+// table generation that the driver has read, so that two drivers, or one that was paused, do no
+// harm; if a driver fails, another daemon takes over.
 package rollout
 
 import (
@@ -12,26 +11,26 @@
 	"ladderridge.example/core/table"
 )
 
-// Facts are what a driver knows of a version in roll-out.
+// Facts holds what a driver knows of a version in roll-out.
 type Facts struct {
 	Version table.Version
-	// Since is when the driver first saw the present stage. One that takes a
-	// roll-out up starts anew: a stage is never cut short by that.
+	// Since is when the driver first saw the present stage. It restarts when another driver takes
+	// over, so that a stage is never shortened.
 	Since time.Time
 	// Answers and Bad count the answers of all daemons since then.
 	Answers uint64
 	Bad     uint64
-	// Alarm is why the pooled test finds the version bad, or "".
+	// Alarm is the reason why the pooled test rejects the version, or "".
 	Alarm string
 }
 
-// Action is what to do now: Wait, Advance or Withdraw.
+// Action is the next step: Wait, Advance or Withdraw.
 type Action interface{ action() }
 
-// Wait changes nothing.
+// Wait leaves the version as it is.
 type Wait struct{ Reason string }
 
-// Advance goes on to the next stage.
+// Advance moves the version to the next stage.
 type Advance struct {
 	Stage int
 	Note  string
@@ -64,8 +63,8 @@
 	return Advance{Stage: v.Stage + 1, Note: fmt.Sprintf("stage %d to %d after %d answers, %d bad", v.Stage, v.Stage+1, f.Answers, f.Bad)}
 }
 
-// Apply returns the version as an action leaves it, and the note for the
-// history; ok is false if the action changes nothing.
+// Apply returns the version after an action and a note for its history. ok is false if the action
+// changes nothing.
 func Apply(v table.Version, a Action) (changed table.Version, note string, ok bool) {
 	switch a := a.(type) {
 	case Advance:
