--- a/core/cascade/cascade.go
+++ b/core/cascade/cascade.go
@@ -63,7 +63,7 @@
 
 // String says what the line follows from, for logs.
 func (l Load) String() string {
-	return fmt.Sprintf("line %.0f (in time %.2f, waited %.2f, delays %.2f)", Line(l), l.InTime, l.Waited, l.Delay)
+	return fmt.Sprintf("line %.0f (in time %.2f, waited %.2f, delays %.2f)", ConfidenceThreshold(l), l.InTime, l.Waited, l.Delay)
 }
 
 // Waited is the part of an objective that the smallest model's answer takes: the
@@ -86,15 +86,15 @@
 	return math.Sqrt(own.Seconds()*usual.Seconds()) / objective.Seconds()
 }
 
-// Line is the confidence, from 0 to 100, below which an answer is dropped. When
+// ConfidenceThreshold is the confidence, from 0 to 100, below which an answer is dropped. When
 // servers are busy it falls, three times: a larger model is less likely in time,
 // its run costs more of what others wait for, and it holds up those that are there.
-func Line(l Load) float64 {
+func ConfidenceThreshold(l Load) float64 {
 	return 100 * (l.InTime + lateWorth*(1-l.InTime) - margin - l.Waited - delayCost*l.Waited*l.Delay)
 }
 
 // Escalate reports whether an answer of that confidence is to be dropped. One
 // without a stated confidence is kept.
 func (s Step) Escalate(confidence int, stated bool, l Load) bool {
-	return !s.Largest() && stated && float64(confidence) < Line(l)
+	return !s.Largest() && stated && float64(confidence) < ConfidenceThreshold(l)
 }
--- a/core/cascade/cascade_test.go
+++ b/core/cascade/cascade_test.go
@@ -34,7 +34,7 @@
 func TestBusyServersLowerTheLine(t *testing.T) {
 	last := 101.0
 	for _, inTime := range []float64{1, 0.99, 0.9, 0.5, 0.1, 0} {
-		line := cascade.Line(cascade.Load{InTime: inTime})
+		line := cascade.ConfidenceThreshold(cascade.Load{InTime: inTime})
 		if line >= last {
 			t.Errorf("in time with %v: the line is %v after %v", inTime, line, last)
 		}
@@ -43,7 +43,7 @@
 	if last > 0 {
 		t.Errorf("with no hope to be in time answers are dropped below %v", last)
 	}
-	if cascade.Line(cascade.Load{InTime: 1, Waited: 0.5}) >= cascade.Line(cascade.Load{InTime: 1}) {
+	if cascade.ConfidenceThreshold(cascade.Load{InTime: 1, Waited: 0.5}) >= cascade.ConfidenceThreshold(cascade.Load{InTime: 1}) {
 		t.Error("what others wait for does not count")
 	}
 	if cascade.Start(3).Escalate(0, true, cascade.Load{InTime: 0}) {
@@ -73,13 +73,13 @@
 func TestHoldingOthersUpCostsWhereTheyWait(t *testing.T) {
 	free := cascade.Load{InTime: 1}
 	delayed := cascade.Load{InTime: 1, Delay: 1}
-	if cascade.Line(delayed) != cascade.Line(free) {
+	if cascade.ConfidenceThreshold(delayed) != cascade.ConfidenceThreshold(free) {
 		t.Error("it costs something where nothing waits")
 	}
-	last := cascade.Line(free)
+	last := cascade.ConfidenceThreshold(free)
 	for _, busy := range []float64{0.1, 0.2, 0.4} {
-		line := cascade.Line(cascade.Load{InTime: 1, Waited: busy, Delay: 1})
-		if line >= last || line >= cascade.Line(cascade.Load{InTime: 1, Waited: busy}) {
+		line := cascade.ConfidenceThreshold(cascade.Load{InTime: 1, Waited: busy, Delay: 1})
+		if line >= last || line >= cascade.ConfidenceThreshold(cascade.Load{InTime: 1, Waited: busy}) {
 			t.Errorf("busy with %v: the line is %v", busy, line)
 		}
 		last = line
