--- a/core/cascade/cascade.go
+++ b/core/cascade/cascade.go
@@ -44,18 +44,18 @@
 // Largest reports whether there is no larger model.
 func (s Step) Largest() bool { return s.Index >= s.Top }
 
-// Up returns the step to go to if an answer is dropped. Models between the first
+// Next returns the step to go to if an answer is dropped. Models between the first
 // and the largest are passed over: each more run costs time and prompt memory
 // again, and gains less than it costs.
-func (s Step) Up() Step { return Step{Index: s.Top, Top: s.Top} }
+func (s Step) Next() Step { return Step{Index: s.Top, Top: s.Top} }
 
 // Load is how busy servers are, for a request.
 type Load struct {
 	// InTime is the probability that a larger model answers in time.
 	InTime float64
-	// Waited is the part of the objective that the smallest model's answer takes: what a
+	// WaitShare is the part of the objective that the smallest model's answer takes: what a
 	// larger model takes of the servers, others wait for.
-	Waited float64
+	WaitShare float64
 	// Delay is how long its run holds up the requests that are at the server, all
 	// together, in terms of the objective.
 	Delay float64
@@ -63,10 +63,10 @@
 
 // String says what the line follows from, for logs.
 func (l Load) String() string {
-	return fmt.Sprintf("line %.0f (in time %.2f, waited %.2f, delays %.2f)", ConfidenceThreshold(l), l.InTime, l.Waited, l.Delay)
+	return fmt.Sprintf("line %.0f (in time %.2f, waited %.2f, delays %.2f)", ConfidenceThreshold(l), l.InTime, l.WaitShare, l.Delay)
 }
 
-// Waited is the part of an objective that the smallest model's answer takes: the
+// WaitShare is the part of an objective that the smallest model's answer takes: the
 // geometric mean of what this request has waited for it and of what such answers usually
 // take, 0 if that is not known.
 //
@@ -79,7 +79,7 @@
 // 2.5 times for seven from 0.698 to 0.714, and stayed at 0.80 on a calm day (small twins,
 // three seeds); the own wait alone came to 0.621, 0.722 and 0.790, and at full size to
 // 0.802, 0.750 and 0.736 on three days where both together came to 0.807, 0.769 and 0.736.
-func Waited(own, usual, objective time.Duration) float64 {
+func WaitShare(own, usual, objective time.Duration) float64 {
 	if usual <= 0 || own <= 0 || objective <= 0 {
 		return 0
 	}
@@ -90,7 +90,7 @@
 // servers are busy it falls, three times: a larger model is less likely in time,
 // its run costs more of what others wait for, and it holds up those that are there.
 func ConfidenceThreshold(l Load) float64 {
-	return 100 * (l.InTime + lateWorth*(1-l.InTime) - margin - l.Waited - delayCost*l.Waited*l.Delay)
+	return 100 * (l.InTime + lateWorth*(1-l.InTime) - margin - l.WaitShare - delayCost*l.WaitShare*l.Delay)
 }
 
 // Escalate reports whether an answer of that confidence is to be dropped. One
--- a/core/cascade/cascade_test.go
+++ b/core/cascade/cascade_test.go
@@ -19,14 +19,14 @@
 		{start, 59, true, true},
 		{start, 60, true, false},
 		{start, 0, false, false},
-		{start.Up(), 0, true, false},
+		{start.Next(), 0, true, false},
 		{cascade.Start(1), 0, true, false},
 	} {
 		if up := c.step.Escalate(c.confidence, c.stated, cascade.Load{InTime: 1}); up != c.want {
 			t.Errorf("%+v: escalates %v", c, up)
 		}
 	}
-	if !start.Up().Largest() {
+	if !start.Next().Largest() {
 		t.Error("the next step is not the largest model")
 	}
 }
@@ -43,7 +43,7 @@
 	if last > 0 {
 		t.Errorf("with no hope to be in time answers are dropped below %v", last)
 	}
-	if cascade.ConfidenceThreshold(cascade.Load{InTime: 1, Waited: 0.5}) >= cascade.ConfidenceThreshold(cascade.Load{InTime: 1}) {
+	if cascade.ConfidenceThreshold(cascade.Load{InTime: 1, WaitShare: 0.5}) >= cascade.ConfidenceThreshold(cascade.Load{InTime: 1}) {
 		t.Error("what others wait for does not count")
 	}
 	if cascade.Start(3).Escalate(0, true, cascade.Load{InTime: 0}) {
@@ -55,15 +55,15 @@
 // factors go.
 func TestWhatARequestHasWaitedCountsBesideTheUsual(t *testing.T) {
 	const objective = 2 * time.Second
-	calm, full := cascade.Waited(100*time.Millisecond, 100*time.Millisecond, objective), cascade.Waited(time.Second, time.Second, objective)
-	begins, over := cascade.Waited(time.Second, 100*time.Millisecond, objective), cascade.Waited(100*time.Millisecond, time.Second, objective)
+	calm, full := cascade.WaitShare(100*time.Millisecond, 100*time.Millisecond, objective), cascade.WaitShare(time.Second, time.Second, objective)
+	begins, over := cascade.WaitShare(time.Second, 100*time.Millisecond, objective), cascade.WaitShare(100*time.Millisecond, time.Second, objective)
 	if calm != 0.05 || full != 0.5 {
 		t.Errorf("calm %v, full %v", calm, full)
 	}
 	if begins < 3*calm || over > full/3 {
 		t.Errorf("a burst that begins counts %v, one that is over %v", begins, over)
 	}
-	if cascade.Waited(time.Second, 0, objective) != 0 || cascade.Waited(time.Second, time.Second, 0) != 0 {
+	if cascade.WaitShare(time.Second, 0, objective) != 0 || cascade.WaitShare(time.Second, time.Second, 0) != 0 {
 		t.Error("what is not known counts")
 	}
 }
@@ -78,8 +78,8 @@
 	}
 	last := cascade.ConfidenceThreshold(free)
 	for _, busy := range []float64{0.1, 0.2, 0.4} {
-		line := cascade.ConfidenceThreshold(cascade.Load{InTime: 1, Waited: busy, Delay: 1})
-		if line >= last || line >= cascade.ConfidenceThreshold(cascade.Load{InTime: 1, Waited: busy}) {
+		line := cascade.ConfidenceThreshold(cascade.Load{InTime: 1, WaitShare: busy, Delay: 1})
+		if line >= last || line >= cascade.ConfidenceThreshold(cascade.Load{InTime: 1, WaitShare: busy}) {
 			t.Errorf("busy with %v: the line is %v", busy, line)
 		}
 		last = line
@@ -90,7 +90,7 @@
 }
 
 func TestLoadSaysWhatTheLineFollowsFrom(t *testing.T) {
-	got := cascade.Load{InTime: 1, Waited: 0.1, Delay: 0.5}.String()
+	got := cascade.Load{InTime: 1, WaitShare: 0.1, Delay: 0.5}.String()
 	if want := "line 40 (in time 1.00, waited 0.10, delays 0.50)"; got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
--- a/daemon/proxy/stream.go
+++ b/daemon/proxy/stream.go
@@ -70,7 +70,7 @@
 	if !j.step.Escalate(a.head.Confidence, a.head.Confident, load) || !j.engine.spendRepeat(j.service, j.view) {
 		return j.step, load, false
 	}
-	next := j.step.Up()
+	next := j.step.Next()
 	if !j.reserve(a, next, now) {
 		return j.step, load, false
 	}
@@ -97,11 +97,11 @@
 // load is how busy servers are, for deciding on a larger model.
 func (j *job) load(a *attempt, now time.Time) cascade.Load {
 	objective := j.route.LatencyObjective
-	larger := j.engine.paces.of(j.kind(j.route.Cascade[j.step.Up().Index]))
+	larger := j.engine.paces.of(j.kind(j.route.Cascade[j.step.Next().Index]))
 	l := cascade.Load{InTime: larger.Within(j.request.size(), j.request.Arrived.Add(objective).Sub(now), now)}
 	if objective > 0 {
 		usual := j.engine.paces.of(j.kind(j.model())).Mean(now)
-		l.Waited = cascade.Waited(now.Sub(a.sent), usual, objective)
+		l.WaitShare = cascade.WaitShare(now.Sub(a.sent), usual, objective)
 		l.Delay = j.delays(a, objective)
 	}
 	return l
@@ -111,7 +111,7 @@
 // server, together, in terms of an objective.
 func (j *job) delays(a *attempt, objective time.Duration) float64 {
 	run := latency.Features{Own: pieces(a.prompt.Own()), Load: 1}
-	larger := j.service + "/" + j.route.Cascade[j.step.Up().Index]
+	larger := j.service + "/" + j.route.Cascade[j.step.Next().Index]
 	return a.features().Load * j.engine.settled.of(larger).Expected(run) / objective.Seconds()
 }
 
