--- a/core/cascade/cascade.go
+++ b/core/cascade/cascade.go
@@ -1,7 +1,7 @@
-// Package cascade decides which model of a ladder, from the smallest to the
-// largest, answers a request, and whether a first answer is good enough to be
-// shown, by the model's own confidence in it and by what a larger model can
-// still do for the request.
+// Package cascade decides whether the answer of a small model is good enough to be returned, or is
+// dropped and the request sent to the largest model of its model cascade. The decision rests on
+// the confidence that the model states, and on what a larger model's answer can still gain given
+// the load of the servers.
 package cascade
 
 import (
@@ -11,26 +11,26 @@
 )
 
 const (
-	// margin is what an answer of a larger model must be expected to gain, as a
-	// part of a good answer in time: it costs more, and its prompt is read
-	// once more. With it an answer is dropped below a confidence of 60 when
-	// nothing is busy. Trials on recorded days of two users served best there;
-	// between 45 and 70 the result moved by less than 0.02.
-	margin = 0.4
-	// delayCost is what it costs to hold up requests for as long as an objective,
-	// all together, where servers are so busy that the smallest model's answer took all
-	// of its objective: by then each of them is late. Where nothing waits it costs
-	// nothing. With it the mean worth of days with trouble rose from 0.628 to 0.641
-	// of what is owed where reading binds (a calm day fell from 0.732 to 0.728), and
-	// stayed at 0.787 where it does not (0.850 to 0.846); six and three seeds of five
-	// days. Without the part of how busy servers are it costs calm days up to 0.03.
+	// margin is the least expected gain of a larger model's answer, as a fraction of the worth of
+	// a good answer in time: the larger model costs more and processes the prompt again. With this
+	// margin an answer is dropped below a confidence of 60 if the servers are idle. In trials on
+	// recorded days of two users 60 served best; between 45 and 70 the result changed by less than
+	// 0.02.
+	minGain = 0.4
+	// delayCost is the cost of delaying requests by one objective in total, on servers so busy
+	// that the smallest model's answer took its whole objective: there each delayed request is
+	// late. On idle servers a delay costs nothing. On days with incidents the term raised the mean
+	// worth from 0.628 to 0.641 of what is owed where prompt processing is the bottleneck (a calm
+	// day fell from 0.732 to 0.728), and left it at 0.787 where it is not (0.850 to 0.846), over
+	// six and three seeds of five days. Without the factor for the load of the servers it costs up
+	// to 0.03 on calm days.
 	delayCost = 2
-	// lateWorth is what a late answer is worth to callers, as a part of one in
-	// time: the users state 0.3 to 0.5.
+	// lateWorth is the worth of a late answer to callers as a fraction of one in time. The users
+	// state 0.3 to 0.5.
 	lateWorth = 0.35
 )
 
-// Step is the place of a request on its ladder.
+// Step is the position of a request in its cascade.
 type Step struct {
 	// Index is the present model, 0 the smallest.
 	Index int
@@ -38,63 +38,66 @@
 	Top int
 }
 
-// Start is where a request begins on a ladder of n models.
+// Start returns the first step of a cascade of n models.
 func Start(n int) Step { return Step{Index: 0, Top: n - 1} }
 
 // Largest reports whether there is no larger model.
 func (s Step) Largest() bool { return s.Index >= s.Top }
 
-// Next returns the step to go to if an answer is dropped. Models between the first
-// and the largest are passed over: each more run costs time and prompt memory
-// again, and gains less than it costs.
+// Next returns the step that follows if an answer is dropped: the largest model. Models in between
+// are skipped, since each further run costs time and prompt memory again and gains less than it
+// costs.
 func (s Step) Next() Step { return Step{Index: s.Top, Top: s.Top} }
 
-// Load is how busy servers are, for a request.
+// Load describes the load of the servers as far as it matters for a request.
 type Load struct {
 	// InTime is the probability that a larger model answers in time.
 	InTime float64
-	// WaitShare is the part of the objective that the smallest model's answer takes: what a
-	// larger model takes of the servers, others wait for.
+	// WaitShare is the time of the smallest model's answer as a fraction of the objective. It
+	// measures how long other requests wait for the capacity that a larger model's run takes.
 	WaitShare float64
-	// Delay is how long its run holds up the requests that are at the server, all
-	// together, in terms of the objective.
+	// Delay is by how much the run of a larger model delays the requests at its server, in total,
+	// as a multiple of the objective.
 	Delay float64
 }
 
-// String says what the line follows from, for logs.
+// String describes the confidence threshold and the values it results from, for logs.
 func (l Load) String() string {
 	return fmt.Sprintf("line %.0f (in time %.2f, waited %.2f, delays %.2f)", ConfidenceThreshold(l), l.InTime, l.WaitShare, l.Delay)
 }
 
-// WaitShare is the part of an objective that the smallest model's answer takes: the
-// geometric mean of what this request has waited for it and of what such answers usually
-// take, 0 if that is not known.
+// WaitShare returns the time that the smallest model's answer takes, as a fraction of the
+// objective: the geometric mean of this request's own time and of the mean time of such answers,
+// or 0 if either is unknown.
 //
-// The load that this answers is a burst. What is usual follows it by some twenty answers,
-// which for one of many daemons is seconds: at its beginning larger models' runs crowded
-// the servers, and for two seconds after it answers that took a tenth of a second were
-// dropped as seldom as if servers were full. A request's own wait knows at once, but also
-// counts a long prompt that is new to a server. Against the usual alone the mean worth with
-// five times the traffic for six seconds rose from 0.587 to 0.609 of what is owed, with
-// 2.5 times for seven from 0.698 to 0.714, and stayed at 0.80 on a calm day (small twins,
-// three seeds); the own wait alone came to 0.621, 0.722 and 0.790, and at full size to
-// 0.802, 0.750 and 0.736 on three days where both together came to 0.807, 0.769 and 0.736.
-func WaitShare(own, usual, objective time.Duration) float64 {
-	if usual <= 0 || own <= 0 || objective <= 0 {
+// It reacts to a burst in time. The mean follows a burst by some twenty answers, which for one of
+// many daemons is seconds: at the beginning of a burst the runs of larger models overloaded the
+// servers, and for two seconds after it answers were still dropped as rarely as on full servers
+// though they took a tenth of a second. A request's own time reacts at once, but is also long if
+// the server has to process a long prompt for the first time.
+//
+// Compared with the mean alone, the geometric mean raised the mean worth from 0.587 to 0.609 of
+// what is owed with five times the traffic for six seconds, and from 0.698 to 0.714 with 2.5 times
+// for seven; it stayed at 0.80 on a calm day (at reduced size, three seeds). The own time alone
+// came to 0.621, 0.722 and 0.790 there, and at full size to 0.802, 0.750 and 0.736 on three days,
+// on which both together came to 0.807, 0.769 and 0.736.
+func WaitShare(elapsed, mean, objective time.Duration) float64 {
+	if mean <= 0 || elapsed <= 0 || objective <= 0 {
 		return 0
 	}
-	return math.Sqrt(own.Seconds()*usual.Seconds()) / objective.Seconds()
+	return math.Sqrt(elapsed.Seconds()*mean.Seconds()) / objective.Seconds()
 }
 
-// ConfidenceThreshold is the confidence, from 0 to 100, below which an answer is dropped. When
-// servers are busy it falls, three times: a larger model is less likely in time,
-// its run costs more of what others wait for, and it holds up those that are there.
+// ConfidenceThreshold returns the confidence, from 0 to 100, below which an answer is dropped. It
+// falls with the load of the servers for three reasons: a larger model is less likely to answer in
+// time, its run takes capacity that other requests wait for, and it delays the requests at its
+// server.
 func ConfidenceThreshold(l Load) float64 {
-	return 100 * (l.InTime + lateWorth*(1-l.InTime) - margin - l.WaitShare - delayCost*l.WaitShare*l.Delay)
+	return 100 * (l.InTime + lateWorth*(1-l.InTime) - minGain - l.WaitShare - delayCost*l.WaitShare*l.Delay)
 }
 
-// Escalate reports whether an answer of that confidence is to be dropped. One
-// without a stated confidence is kept.
+// Escalate reports whether an answer of that confidence is dropped for one of a larger model. An
+// answer without a stated confidence is kept.
 func (s Step) Escalate(confidence int, stated bool, l Load) bool {
 	return !s.Largest() && stated && float64(confidence) < ConfidenceThreshold(l)
 }
