--- a/core/quality/quality.go
+++ b/core/quality/quality.go
@@ -126,8 +126,8 @@
 	return out
 }
 
-// BadFor are the versions that single organisations' ratings find bad.
-func (d Document) BadFor() map[route.QualityKey]bool {
+// RejectedBy are the versions that single organisations' ratings find bad.
+func (d Document) RejectedBy() map[route.QualityKey]bool {
 	out := map[route.QualityKey]bool{}
 	for _, r := range d.Rows {
 		if r.test().Alarmed() {
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -421,7 +421,7 @@
 		return &Error{Op: "take quality", Kind: BadDocument, Err: err}
 	}
 	l.quality = read.Estimates()
-	l.guard.badFor = read.BadFor()
+	l.guard.badFor = read.RejectedBy()
 	return nil
 }
 
