--- a/core/quality/quality.go
+++ b/core/quality/quality.go
@@ -1,8 +1,8 @@
-// Package quality folds ratings into estimates of how good versions are.
+// Package quality estimates the quality of versions from ratings.
 //
-// A Document is a fold over the ratings in their order, so that every data
-// hall's reader makes the same document from the same ratings, and a daemon
-// that starts anew takes it over whole.
+// A Document is a fold over the ratings in their order, so that the reader of each data hall
+// computes the same document from the same ratings, and a restarted daemon can copy the document
+// instead of reading all ratings again.
 package quality
 
 import (
@@ -16,11 +16,10 @@
 )
 
 const (
-	// keep is the weight that older ratings keep with each new one: the latest
-	// five hundred or so count.
-	keep = 0.998
-	// minRatings is how many ratings an estimate needs before it replaces the
-	// operator's figure.
+	// decay is the weight that earlier ratings keep with each new one, so that the last five
+	// hundred or so count.
+	decay = 0.998
+	// minRatings is how many ratings an estimate needs before it replaces the operator's figure.
 	minRatings = 20
 	// zScore is the normal quantile of a one-sided 95% confidence bound.
 	zScore = 1.645
@@ -28,14 +27,14 @@
 	badScore = 0.4
 )
 
-// Document is how the ratings of all versions stand.
+// Document holds the summed ratings of all versions.
 type Document struct {
 	// Rows are sorted by organisation, kind, model and version.
 	Rows []Row `json:"rows"`
 }
 
-// Row sums the ratings of one version by one organisation, for one kind of
-// request, or for all of them where the kind is empty.
+// Row sums the ratings of a version by one organisation for one kind of request, or for all kinds
+// if Kind is empty.
 type Row struct {
 	Organisation string  `json:"organisation"`
 	Kind         string  `json:"kind,omitempty"`
@@ -44,7 +43,7 @@
 	Count        float64 `json:"count"`
 	Sum          float64 `json:"sum"`
 	Squares      float64 `json:"squares"`
-	// Against is the sum of the test that finds the version bad.
+	// Against is the sum of the CUSUM test that rejects the version.
 	Against float64 `json:"against"`
 }
 
@@ -59,9 +58,9 @@
 // withScore returns the row after one more rating.
 func (r Row) withScore(score float64) Row {
 	score = min(1, max(0, score))
-	r.Count = r.Count*keep + 1
-	r.Sum = r.Sum*keep + score
-	r.Squares = r.Squares*keep + score*score
+	r.Count = r.Count*decay + 1
+	r.Sum = r.Sum*decay + score
+	r.Squares = r.Squares*decay + score*score
 	bad := uint64(0)
 	if score < badScore {
 		bad = 1
@@ -71,31 +70,31 @@
 	return r
 }
 
-// test is the test of the ratings so far. Good ratings bring its sum down
-// again, from at most twice the threshold.
+// test returns the CUSUM test at its present sum. The sum is capped at twice the threshold, so
+// that good ratings can bring it down again.
 func (r Row) test() evidence.Test {
 	t := evidence.Ratings
 	t.Sum = r.Against
 	return t
 }
 
-// estimate bounds the mean score, if there are enough ratings. The variance is
-// that of the scores and one more of each extreme, so that a run of equal ones
-// is not taken for certainty.
+// estimate returns confidence bounds of the mean score, if there are enough ratings. The variance
+// counts one more score of each extreme, so that a run of equal scores does not give an interval
+// of zero width.
 func (r Row) estimate() (route.Estimate, bool) {
 	if r.Count < minRatings {
 		return route.Estimate{}, false
 	}
 	mean := r.Sum / r.Count
 	n := r.Count + 2
-	smooth := (r.Sum + 1) / n
-	variance := max(0, (r.Squares+1)/n-smooth*smooth)
+	smoothedMean := (r.Sum + 1) / n
+	variance := max(0, (r.Squares+1)/n-smoothedMean*smoothedMean)
 	margin := zScore * math.Sqrt(variance/n)
 	return route.Estimate{Low: max(0, mean-margin), High: min(1, mean+margin)}, true
 }
 
-// WithRating returns the document after one more rating, which counts for its
-// kind and for all kinds together.
+// WithRating returns the document after one more rating, which counts for its kind and for all
+// kinds together.
 func (d Document) WithRating(key route.QualityKey, score float64) Document {
 	if key.Kind != "" {
 		d = d.withRow(key, score)
@@ -105,17 +104,17 @@
 }
 
 func (d Document) withRow(key route.QualityKey, score float64) Document {
-	want := Row{Organisation: key.Organisation, Kind: key.Kind, Model: key.Ref.Model, Version: key.Ref.Version}
+	row := Row{Organisation: key.Organisation, Kind: key.Kind, Model: key.Ref.Model, Version: key.Ref.Version}
 	rows := slices.Clone(d.Rows)
-	i, found := slices.BinarySearchFunc(rows, want, compareRows)
+	i, found := slices.BinarySearchFunc(rows, row, compareRows)
 	if !found {
-		rows = slices.Insert(rows, i, want)
+		rows = slices.Insert(rows, i, row)
 	}
 	rows[i] = rows[i].withScore(score)
 	return Document{Rows: rows}
 }
 
-// Estimates are the bounds of the rows that have enough ratings.
+// Estimates returns the bounds of the rows that have enough ratings.
 func (d Document) Estimates() map[route.QualityKey]route.Estimate {
 	out := make(map[route.QualityKey]route.Estimate, len(d.Rows))
 	for _, r := range d.Rows {
@@ -126,7 +125,7 @@
 	return out
 }
 
-// RejectedBy are the versions that single organisations' ratings find bad.
+// RejectedBy returns the versions that the ratings of single organisations reject.
 func (d Document) RejectedBy() map[route.QualityKey]bool {
 	out := map[route.QualityKey]bool{}
 	for _, r := range d.Rows {
