--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -39,9 +39,9 @@
 	At     time.Time
 }
 
-// Ledger holds the crash counts of requests. It is safe for concurrent use. Get one from
+// Registry holds the crash counts of requests. It is safe for concurrent use. Get one from
 // NewLedger.
-type Ledger struct {
+type Registry struct {
 	mu    sync.Mutex
 	cases map[Fingerprint]*record
 	// sound are contents that were answered whole lately, soundBefore those before them.
@@ -57,15 +57,15 @@
 	until time.Time
 }
 
-// NewLedger returns a ledger that holds nothing against anybody.
-func NewLedger() *Ledger {
-	return &Ledger{cases: map[Fingerprint]*record{}, sound: map[Fingerprint]bool{}, soundBefore: map[Fingerprint]bool{}}
+// NewRegistry returns a ledger that holds nothing against anybody.
+func NewRegistry() *Registry {
+	return &Registry{cases: map[Fingerprint]*record{}, sound: map[Fingerprint]bool{}, soundBefore: map[Fingerprint]bool{}}
 }
 
-// Count counts a crash and reports whether it was not counted yet. A request that was
+// RecordCrash counts a crash and reports whether it was not counted yet. A request that was
 // answered whole lately is not to blame: many callers may ask for the same, and it is under
 // way at whatever server ends.
-func (l *Ledger) Count(c Crash) bool {
+func (l *Registry) RecordCrash(c Crash) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.sound[c.Content] || l.soundBefore[c.Content] {
@@ -82,13 +82,13 @@
 	return true
 }
 
-// CountAll counts the end of a server, by its name, against what was under way there, and
+// RecordServerExit counts the end of a server, by its name, against what was under way there, and
 // returns the crashes that were not counted yet.
-func (l *Ledger) CountAll(server string, contents []Fingerprint, at time.Time) []Crash {
+func (l *Registry) RecordServerExit(server string, contents []Fingerprint, at time.Time) []Crash {
 	var fresh []Crash
 	for _, f := range contents {
 		c := Crash{Content: f, Server: xxhash.Sum64String(server), At: at}
-		if l.Count(c) {
+		if l.RecordCrash(c) {
 			fresh = append(fresh, c)
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 // record returns the record of a content, a new one if there is none; l is locked.
-func (l *Ledger) record(f Fingerprint, now time.Time) *record {
+func (l *Registry) record(f Fingerprint, now time.Time) *record {
 	if r := l.cases[f]; r != nil {
 		return r
 	}
@@ -115,7 +115,7 @@
 
 // forget makes room: what is too old goes, or else whatever has a single crash; l is
 // locked.
-func (l *Ledger) forget(now time.Time) {
+func (l *Registry) forget(now time.Time) {
 	for f, r := range l.cases {
 		if r.over(now) {
 			delete(l.cases, f)
@@ -169,7 +169,7 @@
 
 // Answered notes a content that a server answered whole, and lived: nothing is held
 // against it any more, but for a quarantine that it is in.
-func (l *Ledger) Answered(f Fingerprint, now time.Time) {
+func (l *Registry) Answered(f Fingerprint, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r := l.cases[f]; r != nil {
@@ -185,14 +185,14 @@
 }
 
 // Suspected reports whether a server has ended under a request.
-func (l *Ledger) Suspected(f Fingerprint) bool {
+func (l *Registry) Suspected(f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cases[f] != nil
 }
 
 // Quarantined returns until when a request gets no server, if it is in quarantine.
-func (l *Ledger) Quarantined(f Fingerprint, now time.Time) (until time.Time, ok bool) {
+func (l *Registry) Quarantined(f Fingerprint, now time.Time) (until time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.cases[f]
@@ -202,9 +202,9 @@
 	return r.end(now)
 }
 
-// Confine puts a request that another daemon has found into quarantine. It reports whether
+// Quarantine puts a request that another daemon has found into quarantine. It reports whether
 // it was not in one that ends as late.
-func (l *Ledger) Confine(f Fingerprint, until, now time.Time) bool {
+func (l *Registry) Quarantine(f Fingerprint, until, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if most := now.Add(For); until.After(most) {
@@ -222,14 +222,14 @@
 }
 
 // Len is how many requests something is held against.
-func (l *Ledger) Len() int {
+func (l *Registry) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.cases)
 }
 
-// Case is a request that is held to have ended servers.
-type Case struct {
+// Entry is a request that is held to have ended servers.
+type Entry struct {
 	Content Fingerprint
 	// Crashes is how many servers this daemon knows to have ended under it.
 	Crashes int
@@ -240,12 +240,12 @@
 // mostRecent bounds what Recent returns.
 const mostRecent = 64
 
-// Recent returns the crash counts within the time of a quarantine, the highest ones if
+// RecentCrashes returns the crash counts within the time of a quarantine, the highest ones if
 // there are many.
-func (l *Ledger) Recent(now time.Time) []Case {
+func (l *Registry) RecentCrashes(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Case
+	var out []Entry
 	for f, r := range l.cases {
 		n := 0
 		for _, c := range r.crashes {
@@ -254,23 +254,23 @@
 			}
 		}
 		if n > 0 {
-			out = append(out, Case{Content: f, Crashes: n})
+			out = append(out, Entry{Content: f, Crashes: n})
 		}
 	}
-	slices.SortFunc(out, func(a, b Case) int {
+	slices.SortFunc(out, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(b.Crashes, a.Crashes), cmp.Compare(a.Content, b.Content))
 	})
 	return out[:min(len(out), mostRecent)]
 }
 
-// Cases returns the requests that are in quarantine.
-func (l *Ledger) Cases(now time.Time) []Case {
+// Entries returns the requests that are in quarantine.
+func (l *Registry) Entries(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Case
+	var out []Entry
 	for f, r := range l.cases {
 		if until, in := r.end(now); in {
-			out = append(out, Case{Content: f, Crashes: r.count(now), Until: until})
+			out = append(out, Entry{Content: f, Crashes: r.count(now), Until: until})
 		}
 	}
 	return out
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -16,21 +16,21 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // count counts a crash of each server against a content, two seconds apart.
-func count(l *quarantine.Ledger, f quarantine.Fingerprint, from time.Time, servers ...uint64) time.Time {
+func count(l *quarantine.Registry, f quarantine.Fingerprint, from time.Time, servers ...uint64) time.Time {
 	for _, s := range servers {
 		from = from.Add(2 * time.Second)
-		l.Count(quarantine.Crash{Content: f, Server: s, At: from})
+		l.RecordCrash(quarantine.Crash{Content: f, Server: s, At: from})
 	}
 	return from
 }
 
-func quarantined(l *quarantine.Ledger, f quarantine.Fingerprint, now time.Time) bool {
+func quarantined(l *quarantine.Registry, f quarantine.Fingerprint, now time.Time) bool {
 	_, in := l.Quarantined(f, now)
 	return in
 }
 
 func TestThirdServerThatEndsBringsQuarantine(t *testing.T) {
-	l := quarantine.NewLedger()
+	l := quarantine.NewRegistry()
 	now := count(l, deadly, start, 1, 2)
 	if quarantined(l, deadly, now) || !l.Suspected(deadly) {
 		t.Error("two servers are not enough, and enough for a suspicion")
@@ -43,9 +43,9 @@
 }
 
 func TestOneServersEndSeenByManyCountsOnce(t *testing.T) {
-	l := quarantine.NewLedger()
+	l := quarantine.NewRegistry()
 	for i := range 5 {
-		l.Count(quarantine.Crash{Content: deadly, Server: 1, At: start.Add(time.Duration(i) * 100 * time.Millisecond)})
+		l.RecordCrash(quarantine.Crash{Content: deadly, Server: 1, At: start.Add(time.Duration(i) * 100 * time.Millisecond)})
 	}
 	if quarantined(l, deadly, start) {
 		t.Error("five reports of one end count as several")
@@ -58,7 +58,7 @@
 }
 
 func TestQuarantineEndsAndOneMoreCrashBeginsItAnew(t *testing.T) {
-	l := quarantine.NewLedger()
+	l := quarantine.NewRegistry()
 	now := count(l, deadly, start, 1, 2, 3).Add(10*time.Minute + time.Second)
 	if quarantined(l, deadly, now) {
 		t.Fatal("it does not end")
@@ -76,7 +76,7 @@
 
 // Many callers ask for the same, which is under way at whatever server ends.
 func TestWhatServersAnswerWholeIsNotToBlame(t *testing.T) {
-	l := quarantine.NewLedger()
+	l := quarantine.NewRegistry()
 	now := count(l, another, start, 1, 2)
 	l.Answered(another, now)
 	now = count(l, another, now, 3, 4, 5)
@@ -86,14 +86,14 @@
 }
 
 func TestQuarantineOfOthersHolds(t *testing.T) {
-	l := quarantine.NewLedger()
-	if !l.Confine(deadly, start.Add(time.Minute), start) || l.Confine(deadly, start.Add(time.Minute), start) || l.Confine(another, start, start) {
+	l := quarantine.NewRegistry()
+	if !l.Quarantine(deadly, start.Add(time.Minute), start) || l.Quarantine(deadly, start.Add(time.Minute), start) || l.Quarantine(another, start, start) {
 		t.Error("what is new is not told apart")
 	}
 	if !quarantined(l, deadly, start.Add(59*time.Second)) || quarantined(l, deadly, start.Add(61*time.Second)) {
 		t.Error("it does not hold for its time")
 	}
-	l.Confine(deadly, start.Add(time.Hour), start)
+	l.Quarantine(deadly, start.Add(time.Hour), start)
 	if until, _ := l.Quarantined(deadly, start); until.Sub(start) > 10*time.Minute {
 		t.Errorf("a daemon whose clock is wrong has it last %v", until.Sub(start))
 	}
@@ -104,7 +104,7 @@
 // each of which goes to another server and may meet the same end there.
 func TestOnlyTheRequestThatEndsServersIsConfined(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	l := quarantine.NewLedger()
+	l := quarantine.NewRegistry()
 	now, next := start, quarantine.Fingerprint(100)
 	var waiting []quarantine.Fingerprint
 	innocent, ended := 0, 0
@@ -114,14 +114,14 @@
 			break
 		}
 		ended++
-		l.Count(quarantine.Crash{Content: deadly, Server: server, At: now})
+		l.RecordCrash(quarantine.Crash{Content: deadly, Server: server, At: now})
 		for len(waiting) < 20 {
 			next++
 			waiting = append(waiting, next)
 		}
 		var again []quarantine.Fingerprint
 		for _, f := range waiting {
-			l.Count(quarantine.Crash{Content: f, Server: server, At: now})
+			l.RecordCrash(quarantine.Crash{Content: f, Server: server, At: now})
 			if quarantined(l, f, now) {
 				innocent++
 			}
@@ -139,10 +139,10 @@
 }
 
 func TestLedgerIsBounded(t *testing.T) {
-	l := quarantine.NewLedger()
+	l := quarantine.NewRegistry()
 	now := count(l, deadly, start, 1, 2, 3)
 	for f := quarantine.Fingerprint(10); f < 20_000; f++ {
-		l.Count(quarantine.Crash{Content: f, Server: 9, At: now})
+		l.RecordCrash(quarantine.Crash{Content: f, Server: 9, At: now})
 	}
 	if !quarantined(l, deadly, now) {
 		t.Error("many servers that end at once let a quarantine be forgotten")
--- a/daemon/front/quarantine.go
+++ b/daemon/front/quarantine.go
@@ -19,12 +19,12 @@
 // the tally: without it one request would end three servers for each daemon that it comes
 // to.
 type confinement struct {
-	ledger *quarantine.Ledger
+	ledger *quarantine.Registry
 	runs   *quarantine.Runs
 }
 
 func newConfinement() *confinement {
-	return &confinement{ledger: quarantine.NewLedger(), runs: quarantine.NewRuns()}
+	return &confinement{ledger: quarantine.NewRegistry(), runs: quarantine.NewRuns()}
 }
 
 // crashKey is the key of a request's crash count in the tally.
@@ -35,7 +35,7 @@
 // Crashes are the crash counts of requests that this daemon has found, for the tally.
 func (f *Front) Crashes() []aggregation.Evidence {
 	var out []aggregation.Evidence
-	for _, c := range f.confinement.ledger.Recent(time.Now()) {
+	for _, c := range f.confinement.ledger.RecentCrashes(time.Now()) {
 		out = append(out, aggregation.Evidence{Key: crashKey(c.Content), Answers: uint64(c.Crashes), Bad: uint64(c.Crashes)})
 	}
 	slices.SortFunc(out, func(a, b aggregation.Evidence) int { return cmp.Compare(a.Key, b.Key) })
@@ -112,6 +112,6 @@
 	if len(contents) == 0 {
 		return
 	}
-	f.confinement.ledger.CountAll(p.Server, contents, now)
+	f.confinement.ledger.RecordServerExit(p.Server, contents, now)
 	f.Log.Warn().Str("server", p.Server).Int("requests", len(contents)).Msg("quarantine: a server ended while requests were under way there")
 }
--- a/daemon/gateway/dump.go
+++ b/daemon/gateway/dump.go
@@ -121,7 +121,7 @@
 		d.Emptied[hall] = now.Sub(since).Milliseconds()
 	}
 	d.Spoiled = v.Spoiled
-	for _, c := range v.Quarantine.Cases(now) {
+	for _, c := range v.Quarantine.Entries(now) {
 		d.Quarantine = append(d.Quarantine, CaseDump{Content: c.Content.String(), Crashes: c.Crashes, LeftMS: c.Until.Sub(now).Milliseconds()})
 	}
 	for _, u := range g.engine.Repeats() {
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -797,7 +797,7 @@
 		if !refused || out.Reason != proxy.Quarantined || out.RetryAfter < 9*time.Minute || got.took > 0 || len(b.seen()) > arrived {
 			t.Errorf("after %d servers: %#v after %v, %d arrivals", b.ended.Load(), got.outcome, got.took, len(b.seen())-arrived)
 		}
-		if cases := b.known.ledger.Cases(time.Now()); len(cases) != 1 || int64(cases[0].Crashes) != b.ended.Load() {
+		if cases := b.known.ledger.Entries(time.Now()); len(cases) != 1 || int64(cases[0].Crashes) != b.ended.Load() {
 			t.Errorf("%d servers ended, counted are %+v", b.ended.Load(), cases)
 		}
 		// Others of the organisation are served.
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -62,7 +62,7 @@
 	view  *storesync.View
 	facts []storesync.Fact
 	// ledger has the crash counts of requests.
-	ledger *quarantine.Ledger
+	ledger *quarantine.Registry
 }
 
 func (k *known) View() *storesync.View {
@@ -97,7 +97,7 @@
 func (k *known) Ran(string, uint64, string) {}
 
 func (k *known) ServerEnded(server string, contents []quarantine.Fingerprint) {
-	k.ledger.CountAll(server, contents, time.Now())
+	k.ledger.RecordServerExit(server, contents, time.Now())
 }
 
 func (k *known) Answered(f quarantine.Fingerprint) { k.ledger.Answered(f, time.Now()) }
@@ -140,7 +140,7 @@
 
 func newBench(t *testing.T) *bench {
 	t.Helper()
-	b := &bench{t: t, known: &known{view: &storesync.View{}, ledger: quarantine.NewLedger()}, scripts: map[string]script{}, conns: map[string][]net.Conn{}}
+	b := &bench{t: t, known: &known{view: &storesync.View{}, ledger: quarantine.NewRegistry()}, scripts: map[string]script{}, conns: map[string][]net.Conn{}}
 	pool := channel.NewPool()
 	pool.Dial = b.dial
 	t.Cleanup(func() {
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -193,7 +193,7 @@
 	// ledger has the crash counts of requests, crashNews what is to be told of them,
 	// ownCrashes what this daemon has seen lately, crashReader whom it told last; confine
 	// are the requests in quarantine.
-	ledger      *quarantine.Ledger
+	ledger      *quarantine.Registry
 	crashNews   []crashNews
 	ownCrashes  []quarantine.Crash
 	crashReader string
@@ -244,7 +244,7 @@
 		emptied: map[string]time.Time{}, returned: map[string]time.Time{}, coldUntil: map[fleet.Incarnation]time.Time{}, coldRows: map[fleet.Incarnation]revision.Revision{}, lapsed: map[string]time.Time{},
 		firstSeen: map[string]time.Time{}, asked: map[uint64]time.Time{}, listeners: map[string]time.Time{}, toldSums: map[gossip.Topic]uint64{}, readers: newReaders(),
 		bad: map[string]uint64{}, rollouts: newRollouts(), sessions: newSessions(), board: serverload.NewBoard(), limits: newLimits(),
-		entries: map[string]serverEntry{}, starts: map[string]int64{}, ledger: quarantine.NewLedger(), confine: map[quarantine.Fingerprint]confined{},
+		entries: map[string]serverEntry{}, starts: map[string]int64{}, ledger: quarantine.NewRegistry(), confine: map[quarantine.Fingerprint]confined{},
 	}
 	for _, t := range []gossip.Topic{gossip.Operator, gossip.Servers, gossip.Progress, gossip.Members} {
 		k.topics[t] = newTopicState()
--- a/daemon/storesync/quarantine.go
+++ b/daemon/storesync/quarantine.go
@@ -68,7 +68,7 @@
 // ServerEnded counts a server that has ended against what was under way there, and tells
 // the other daemons.
 func (k *Keeper) ServerEnded(server string, contents []quarantine.Fingerprint) {
-	e := crashed{crashes: k.ledger.CountAll(server, contents, time.Now())}
+	e := crashed{crashes: k.ledger.RecordServerExit(server, contents, time.Now())}
 	k.Ended.Add(1)
 	k.Log.Warn().Str("server", server).Int("requests", len(contents)).Int("counted", len(e.crashes)).Msg("quarantine: a server ended while requests were under way there")
 	if len(e.crashes) > 0 {
@@ -111,7 +111,7 @@
 	m, known := (*k.members.Load())[from]
 	for _, told := range crashes {
 		c := quarantine.Crash{Content: quarantine.Fingerprint(told.Content), Server: told.Server, At: now.Add(-time.Duration(told.AgeMS) * time.Millisecond)}
-		if !k.ledger.Count(c) {
+		if !k.ledger.RecordCrash(c) {
 			continue
 		}
 		if k.reading.Load() {
@@ -235,7 +235,7 @@
 		return
 	}
 	content := quarantine.Fingerprint(f)
-	if k.ledger.Confine(content, time.UnixMilli(c.UntilMS), now) {
+	if k.ledger.Quarantine(content, time.UnixMilli(c.UntilMS), now) {
 		k.noteQuarantine(content, now, confined{due: now.Add(bystanderWait)})
 	}
 }
--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -36,7 +36,7 @@
 	// Spoiled are the entries that name no server, by their keys, and why.
 	Spoiled map[string]string
 	// Quarantine has the crash counts of requests; nil holds nothing against any.
-	Quarantine *quarantine.Ledger
+	Quarantine *quarantine.Registry
 
 	// StoodStill tells how long the VM has stood still, Stood how long it had when the view
 	// was made, WokeAt when it last began to run again.
