--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -11,13 +11,13 @@
 
 // The bounds of what is held against a request.
 const (
-	// Fatal is the crash count from which a request is in quarantine: one server may end
+	// CrashThreshold is the crash count from which a request is in quarantine: one server may end
 	// by itself, and two that do so under one request are bad luck; the platform's pages
 	// count from the third.
-	Fatal = 3
-	// For is how long after its last crash a request gets no server. Then it may
+	CrashThreshold = 3
+	// Duration is how long after its last crash a request gets no server. Then it may
 	// have been mended, or its servers; a further crash begins the quarantine anew.
-	For = 10 * time.Minute
+	Duration = 10 * time.Minute
 	// rememberFor is how long a crash counts.
 	rememberFor = 30 * time.Minute
 	// sameCrash is within which time reports of one server's end by several daemons are of
@@ -125,7 +125,7 @@
 		return
 	}
 	for f, r := range l.cases {
-		if len(r.crashes) < Fatal-1 && now.After(r.until) {
+		if len(r.crashes) < CrashThreshold-1 && now.After(r.until) {
 			delete(l.cases, f)
 		}
 	}
@@ -161,7 +161,7 @@
 // end is when the quarantine of a request ends, if it is in one.
 func (r *record) end(now time.Time) (time.Time, bool) {
 	until := r.until
-	if own := r.last().Add(For); r.count(now) >= Fatal && own.After(until) {
+	if own := r.last().Add(Duration); r.count(now) >= CrashThreshold && own.After(until) {
 		until = own
 	}
 	return until, now.Before(until)
@@ -207,7 +207,7 @@
 func (l *Registry) Quarantine(f Fingerprint, until, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if most := now.Add(For); until.After(most) {
+	if most := now.Add(Duration); until.After(most) {
 		until = most
 	}
 	if !until.After(now) {
@@ -249,7 +249,7 @@
 	for f, r := range l.cases {
 		n := 0
 		for _, c := range r.crashes {
-			if now.Sub(c.At) < For {
+			if now.Sub(c.At) < Duration {
 				n++
 			}
 		}
--- a/daemon/front/quarantine.go
+++ b/daemon/front/quarantine.go
@@ -56,10 +56,10 @@
 	until, in := j.front.confinement.ledger.Quarantined(j.content, now)
 	left := until.Sub(now)
 	if !in {
-		if j.front.Control.Snapshot().Seen(crashKey(j.content)).Bad < quarantine.Fatal {
+		if j.front.Control.Snapshot().Seen(crashKey(j.content)).Bad < quarantine.CrashThreshold {
 			return nil
 		}
-		left = quarantine.For
+		left = quarantine.Duration
 	}
 	return refuse(http.StatusServiceUnavailable, Quarantined, "backend servers have ended under this request: it gets no more of them for now").withRetry(left)
 }
