--- a/core/quarantine/runs.go
+++ b/core/quarantine/runs.go
@@ -10,55 +10,55 @@
 // for a moment, and its server ends some hundred milliseconds after it began.
 const afterglow = 2 * time.Second
 
-// Place is a server as requests find it.
-type Place struct {
+// Instance is a server as requests find it.
+type Instance struct {
 	// Server names the incarnation.
 	Server string
 	Addr   string
 }
 
-// Visit is a request at a server.
-type Visit struct {
-	place   Place
+// Run is a request at a server.
+type Run struct {
+	place   Instance
 	content Fingerprint
 	cancel  func()
 }
 
-// Leave says how a request left a server.
-type Leave int
+// Ending says how a request left a server.
+type Ending int
 
 // The ways to leave.
 const (
-	// Cut is a request that was broken off at either end, or dropped.
-	Cut Leave = iota
-	// Done is one that the server has answered whole, or declined.
-	Done
+	// Aborted is a request that was broken off at either end, or dropped.
+	Aborted Ending = iota
+	// Completed is one that the server has answered whole, or declined.
+	Completed
 )
 
-// Runs remembers which requests this daemon has at which servers, so that it is known what
+// Tracker remembers which requests this daemon has at which servers, so that it is known what
 // a server that ends was working on. It is safe for concurrent use. Get one from NewRuns.
-type Runs struct {
+type Tracker struct {
 	mu sync.Mutex
-	at map[Place]*visits
+	at map[Instance]*visits
 	// swept is when what is too old was last dropped.
 	swept time.Time
 }
 
 // visits are the requests at one server.
 type visits struct {
-	open map[*Visit]bool
+	open map[*Run]bool
 	// cut are those that were cut, by when.
 	cut map[Fingerprint]time.Time
 	// looking tells that somebody finds out whether the server is there.
 	looking bool
 }
 
-// NewRuns returns an empty memory.
-func NewRuns() *Runs { return &Runs{at: map[Place]*visits{}} }
+// NewTracker returns an empty memory.
+func NewTracker() *Tracker { return &Tracker{at: map[Instance]*visits{}} }
 
-func newVisits() *visits { return &visits{open: map[*Visit]bool{}, cut: map[Fingerprint]time.Time{}} }
+func newVisits() *visits { return &visits{open: map[*Run]bool{}, cut: map[Fingerprint]time.Time{}} }
 
-func (r *Runs) visits(p Place) *visits {
+func (r *Tracker) visits(p Instance) *visits {
 	v := r.at[p]
 	if v == nil {
 		v = newVisits()
@@ -68,17 +68,17 @@
 }
 
 // Begin notes a request that goes to a server, and how it is broken off there.
-func (r *Runs) Begin(p Place, f Fingerprint, cancel func(), now time.Time) *Visit {
+func (r *Tracker) Begin(p Instance, f Fingerprint, cancel func(), now time.Time) *Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sweep(now)
-	visit := &Visit{place: p, content: f, cancel: cancel}
+	visit := &Run{place: p, content: f, cancel: cancel}
 	r.visits(p).open[visit] = true
 	return visit
 }
 
 // End notes that it has left the server.
-func (r *Runs) End(visit *Visit, how Leave, now time.Time) {
+func (r *Tracker) End(visit *Run, how Ending, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.at[visit.place]
@@ -87,13 +87,13 @@
 		return
 	}
 	delete(v.open, visit)
-	if how == Cut {
+	if how == Aborted {
 		v.cut[visit.content] = now
 	}
 }
 
-// BreakOff breaks off what is under way at a server that is no more.
-func (r *Runs) BreakOff(p Place) {
+// CancelAll breaks off what is under way at a server that is no more.
+func (r *Tracker) CancelAll(p Instance) {
 	var cancels []func()
 	r.mu.Lock()
 	if v := r.at[p]; v != nil {
@@ -107,9 +107,9 @@
 	}
 }
 
-// Ended returns what was under way at a server that has ended, or was cut there a moment
+// TakeSuspects returns what was under way at a server that has ended, or was cut there a moment
 // before. Each is returned once.
-func (r *Runs) Ended(p Place, now time.Time) []Fingerprint {
+func (r *Tracker) TakeSuspects(p Instance, now time.Time) []Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.at[p]
@@ -135,11 +135,11 @@
 	return out
 }
 
-// Places returns the servers where a request was cut a moment ago.
-func (r *Runs) Places(f Fingerprint, now time.Time) []Place {
+// AbortedAt returns the servers where a request was cut a moment ago.
+func (r *Tracker) AbortedAt(f Fingerprint, now time.Time) []Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []Place
+	var out []Instance
 	for p, v := range r.at {
 		if at, ok := v.cut[f]; ok && now.Sub(at) < afterglow {
 			out = append(out, p)
@@ -148,8 +148,8 @@
 	return out
 }
 
-// Look reports whether the caller is to find out if a server is there: one at a time does.
-func (r *Runs) Look(p Place) bool {
+// BeginProbe reports whether the caller is to find out if a server is there: one at a time does.
+func (r *Tracker) BeginProbe(p Instance) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.visits(p)
@@ -160,8 +160,8 @@
 	return true
 }
 
-// Looked ends what Look began.
-func (r *Runs) Looked(p Place) {
+// EndProbe ends what Look began.
+func (r *Tracker) EndProbe(p Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.visits(p).looking = false
@@ -171,7 +171,7 @@
 const sweepEvery = 10 * time.Second
 
 // sweep drops what is too old; r is locked.
-func (r *Runs) sweep(now time.Time) {
+func (r *Tracker) sweep(now time.Time) {
 	if now.Sub(r.swept) < sweepEvery {
 		return
 	}
@@ -179,5 +179,5 @@
 	for _, v := range r.at {
 		maps.DeleteFunc(v.cut, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) >= afterglow })
 	}
-	maps.DeleteFunc(r.at, func(_ Place, v *visits) bool { return len(v.open)+len(v.cut) == 0 && !v.looking })
+	maps.DeleteFunc(r.at, func(_ Instance, v *visits) bool { return len(v.open)+len(v.cut) == 0 && !v.looking })
 }
--- a/core/quarantine/runs_test.go
+++ b/core/quarantine/runs_test.go
@@ -9,43 +9,43 @@
 )
 
 func TestRunsKnowWhatAServerWasWorkingOn(t *testing.T) {
-	r := quarantine.NewRuns()
-	p, other := quarantine.Place{Server: "a", Addr: "a:1"}, quarantine.Place{Server: "b", Addr: "b:1"}
-	var visits []*quarantine.Visit
+	r := quarantine.NewTracker()
+	p, other := quarantine.Instance{Server: "a", Addr: "a:1"}, quarantine.Instance{Server: "b", Addr: "b:1"}
+	var visits []*quarantine.Run
 	broken := 0
 	for f := range quarantine.Fingerprint(5) {
 		visits = append(visits, r.Begin(p, f, func() { broken++ }, start))
 	}
 	r.Begin(other, 9, func() { broken++ }, start)
-	r.End(visits[1], quarantine.Done, start)
-	r.End(visits[2], quarantine.Cut, start)
-	r.End(visits[3], quarantine.Cut, start.Add(3*time.Second))
-	if r.BreakOff(p); broken != 2 {
+	r.End(visits[1], quarantine.Completed, start)
+	r.End(visits[2], quarantine.Aborted, start)
+	r.End(visits[3], quarantine.Aborted, start.Add(3*time.Second))
+	if r.CancelAll(p); broken != 2 {
 		t.Errorf("%d of two requests were broken off", broken)
 	}
 	now := start.Add(4 * time.Second)
-	if got := r.Places(3, now); !slices.Equal(got, []quarantine.Place{p}) {
+	if got := r.AbortedAt(3, now); !slices.Equal(got, []quarantine.Instance{p}) {
 		t.Errorf("the third was cut at %v", got)
 	}
-	got := r.Ended(p, now)
+	got := r.TakeSuspects(p, now)
 	slices.Sort(got)
 	if !slices.Equal(got, []quarantine.Fingerprint{0, 3, 4}) {
 		t.Errorf("at its end the server was working on %v", got)
 	}
-	r.End(visits[0], quarantine.Cut, now)
-	if got := r.Ended(p, now); len(got) > 0 {
+	r.End(visits[0], quarantine.Aborted, now)
+	if got := r.TakeSuspects(p, now); len(got) > 0 {
 		t.Errorf("counted twice: %v", got)
 	}
 }
 
 func TestOneLookAtAServerAtATime(t *testing.T) {
-	r := quarantine.NewRuns()
-	p := quarantine.Place{Server: "a"}
-	if !r.Look(p) || r.Look(p) {
+	r := quarantine.NewTracker()
+	p := quarantine.Instance{Server: "a"}
+	if !r.BeginProbe(p) || r.BeginProbe(p) {
 		t.Error("two look at once")
 	}
-	r.Looked(p)
-	if !r.Look(p) {
+	r.EndProbe(p)
+	if !r.BeginProbe(p) {
 		t.Error("nobody looks a second time")
 	}
 }
--- a/daemon/front/quarantine.go
+++ b/daemon/front/quarantine.go
@@ -20,11 +20,11 @@
 // to.
 type confinement struct {
 	ledger *quarantine.Registry
-	runs   *quarantine.Runs
+	runs   *quarantine.Tracker
 }
 
 func newConfinement() *confinement {
-	return &confinement{ledger: quarantine.NewRegistry(), runs: quarantine.NewRuns()}
+	return &confinement{ledger: quarantine.NewRegistry(), runs: quarantine.NewTracker()}
 }
 
 // crashKey is the key of a request's crash count in the tally.
@@ -42,7 +42,7 @@
 	return out
 }
 
-func placeOf(s *route.Server) quarantine.Place { return quarantine.Place{Server: s.ID, Addr: s.Addr} }
+func placeOf(s *route.Server) quarantine.Instance { return quarantine.Instance{Server: s.ID, Addr: s.Addr} }
 
 // identify works out what the request asks.
 func (j *job) identify() {
@@ -67,7 +67,7 @@
 // watch follows an attempt: what is under way at a server that ends is held against it.
 func (j *job) watch(x *backend.Exchange) {
 	place, gate, ended := placeOf(x.Server), x.Gate, x.Ended
-	var visit *quarantine.Visit
+	var visit *quarantine.Run
 	x.Gate = func() error {
 		if err := gate(); err != nil {
 			return err
@@ -81,9 +81,9 @@
 		if visit == nil {
 			return
 		}
-		how := quarantine.Cut
+		how := quarantine.Aborted
 		if x.Attempt.Outcome() == attempt.Done {
-			how = quarantine.Done
+			how = quarantine.Completed
 			j.front.confinement.ledger.Answered(j.content, time.Now())
 		}
 		j.front.confinement.runs.End(visit, how, time.Now())
@@ -101,14 +101,14 @@
 }
 
 // look finds out whether a server that broke off is there.
-func (f *Front) look(p quarantine.Place) {
+func (f *Front) look(p quarantine.Instance) {
 	f.Backend.Channels.Look(f.confinement.runs, p, f.serverEnded)
 }
 
 // serverEnded holds a server that has ended against what was under way there.
-func (f *Front) serverEnded(p quarantine.Place) {
+func (f *Front) serverEnded(p quarantine.Instance) {
 	now := time.Now()
-	contents := f.confinement.runs.Ended(p, now)
+	contents := f.confinement.runs.TakeSuspects(p, now)
 	if len(contents) == 0 {
 		return
 	}
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -42,7 +42,7 @@
 	ended  bool
 	// visit is the request at its server, once it may have reached it; done tells that the
 	// server has answered it whole or declined it.
-	visit *quarantine.Visit
+	visit *quarantine.Run
 	done  bool
 	// kind is what times are compared by: the route and the model.
 	kind string
--- a/daemon/proxy/ended.go
+++ b/daemon/proxy/ended.go
@@ -15,8 +15,8 @@
 // a moment there, and its server ends some hundred milliseconds after it began.
 const lookAfter = 300 * time.Millisecond
 
-func placeOf(s *fleet.Server) quarantine.Place {
-	return quarantine.Place{Server: s.Incarnation().String(), Addr: s.Addr}
+func placeOf(s *fleet.Server) quarantine.Instance {
+	return quarantine.Instance{Server: s.Incarnation().String(), Addr: s.Addr}
 }
 
 // arrive notes that the request is about to reach the attempt's server.
@@ -30,12 +30,12 @@
 	if a.visit == nil {
 		return
 	}
-	how := quarantine.Cut
+	how := quarantine.Aborted
 	if a.done {
-		how = quarantine.Done
+		how = quarantine.Completed
 	}
 	j.engine.runs.End(a.visit, how, time.Now())
-	if how == quarantine.Cut && j.view.Suspected(j.content) {
+	if how == quarantine.Aborted && j.view.Suspected(j.content) {
 		j.engine.lookLater(placeOf(a.server))
 	}
 }
@@ -56,32 +56,32 @@
 }
 
 // look finds out whether a server that broke off is there.
-func (e *Engine) look(p quarantine.Place) { e.Channels.Look(e.runs, p, e.serverEnded) }
+func (e *Engine) look(p quarantine.Instance) { e.Channels.Look(e.runs, p, e.serverEnded) }
 
-func (e *Engine) lookLater(p quarantine.Place) { time.AfterFunc(lookAfter, func() { e.look(p) }) }
+func (e *Engine) lookLater(p quarantine.Instance) { time.AfterFunc(lookAfter, func() { e.look(p) }) }
 
 // BeganAgain ends what is under way at a server that has begun again under its id: it knows
 // nothing of that. Of one that was not to leave it counts as what was there when it ended.
 func (e *Engine) BeganAgain(was *fleet.Server) {
 	p := placeOf(was)
 	e.Channels.Drop(p.Addr)
-	e.runs.BreakOff(p)
-	if contents := e.runs.Ended(p, time.Now()); len(contents) > 0 && was.Usable() {
+	e.runs.CancelAll(p)
+	if contents := e.runs.TakeSuspects(p, time.Now()); len(contents) > 0 && was.Usable() {
 		e.Knowledge.ServerEnded(p.Server, contents)
 	}
 }
 
 // serverEnded tells what was under way at a server that has ended without notice. What a
 // server leaves behind that was to go, or is no longer listed, tells nothing.
-func (e *Engine) serverEnded(p quarantine.Place) {
+func (e *Engine) serverEnded(p quarantine.Instance) {
 	now := time.Now()
-	contents := e.runs.Ended(p, now)
+	contents := e.runs.TakeSuspects(p, now)
 	if len(contents) == 0 || !e.Knowledge.View().Serves(p.Server) {
 		return
 	}
 	e.Knowledge.ServerEnded(p.Server, contents)
 	for _, f := range contents {
-		for _, other := range e.runs.Places(f, now) {
+		for _, other := range e.runs.AbortedAt(f, now) {
 			e.lookLater(other)
 		}
 	}
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -75,7 +75,7 @@
 	// settled are what answers of versions take that are not in roll-out.
 	settled *byKind[latency.Reference]
 	// runs are the requests at servers.
-	runs *quarantine.Runs
+	runs *quarantine.Tracker
 }
 
 // SetKeyAge sets how old the configuration may be for a key to pass or to be
@@ -95,7 +95,7 @@
 
 // New returns an engine that has served nothing yet.
 func New() *Engine {
-	return &Engine{paces: newByKind[latency.Estimate](), settled: newByKind[latency.Reference](), runs: quarantine.NewRuns()}
+	return &Engine{paces: newByKind[latency.Estimate](), settled: newByKind[latency.Reference](), runs: quarantine.NewTracker()}
 }
 
 // Report is what became of a request and why, for logs and metrics.
