--- a/core/quarantine/fingerprint.go
+++ b/core/quarantine/fingerprint.go
@@ -1,7 +1,7 @@
-// Package quarantine finds requests under which backend servers end, queries of death, and
-// says which requests get no server any more. The load that it answers is one request that
-// comes again at any daemon and ends each server that begins to run it: whoever blames the
-// servers alone has it end one after the other, with all that others run there.
+// Package quarantine detects requests that crash backend servers (queries of death) and says which
+// requests are not sent to any server for now. It protects against a request that is sent again
+// and again, to any daemon, and crashes each server that begins to run it: a daemon that blames
+// only the servers would lose them one after the other, with all other requests running there.
 package quarantine
 
 import (
@@ -11,26 +11,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint is a hash of what a request asks, whoever of its caller's attempts it is:
-// requests that are alike in all of a Content have the same.
+// Fingerprint is a hash of the content of a request. All attempts of a caller with equal Contents
+// have the same one.
 type Fingerprint uint64
 
-// String writes it as logs have it.
+// String formats the fingerprint for logs.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), 16) }
 
-// Content is what makes two requests the same one.
+// Content holds the parts of a request that identify it.
 type Content struct {
 	Method string
 	Host   string
 	// Target is the path with its query.
 	Target string
-	// Organisation is the caller's, or "".
+	// Organisation is that of the caller, or "".
 	Organisation string
 	Body         []byte
 }
 
-// Fingerprint returns the hash of the content. Each part goes in behind its length, so that
-// no two contents run into each other.
+// Fingerprint returns the hash of the content. The length of each part is hashed before the part,
+// so that different contents don't concatenate to the same bytes.
 func (c Content) Fingerprint() Fingerprint {
 	d := xxhash.New()
 	for _, part := range []string{c.Method, c.Host, c.Target, c.Organisation} {
--- a/core/quarantine/fingerprint_test.go
+++ b/core/quarantine/fingerprint_test.go
@@ -12,7 +12,7 @@
 	again := same
 	again.Body = []byte("hello")
 	if again.Fingerprint() != same.Fingerprint() {
-		t.Error("the same content has two fingerprints")
+		t.Error("equal contents have different fingerprints")
 	}
 	for _, other := range []quarantine.Content{
 		{Method: "PUT", Host: "a.example", Target: "/chat/?q=1", Organisation: "org", Body: []byte("hello")},
@@ -23,7 +23,7 @@
 	} {
 		f := other.Fingerprint()
 		if was, ok := seen[f]; ok {
-			t.Errorf("%v and %v have one fingerprint", was, other)
+			t.Errorf("%v and %v have the same fingerprint", was, other)
 		}
 		seen[f] = other
 	}
--- /dev/null
+++ b/core/quarantine/tracker.go
@@ -0,0 +1,184 @@
+package quarantine
+
+import (
+	"maps"
+	"sync"
+	"time"
+)
+
+// crashDelay is how long after its cancellation a request may still crash its server: the server
+// runs it for a moment longer, and crashes some hundred milliseconds after it began to.
+const crashDelay = 2 * time.Second
+
+// Instance identifies a server process as requests address it.
+type Instance struct {
+	// Server names the incarnation.
+	Server string
+	Addr   string
+}
+
+// Run is a request at a server.
+type Run struct {
+	instance Instance
+	content  Fingerprint
+	cancel   func()
+}
+
+// Ending says how a request ended at a server.
+type Ending int
+
+// The ways in which a request ends.
+const (
+	// Aborted means that either end broke the request off, or that it was dropped.
+	Aborted Ending = iota
+	// Completed means that the server answered completely, or declined the request.
+	Completed
+)
+
+// Tracker records which requests this daemon has in flight at which servers, so that the suspects
+// are known when a server crashes. It is safe for concurrent use. Get one from NewTracker.
+type Tracker struct {
+	mu sync.Mutex
+	at map[Instance]*runs
+	// swept is the time of the last sweep.
+	swept time.Time
+}
+
+// runs holds the requests at one server.
+type runs struct {
+	open map[*Run]bool
+	// aborted holds the time at which requests were aborted.
+	aborted map[Fingerprint]time.Time
+	// probing reports whether a probe of the server is in progress.
+	probing bool
+}
+
+// NewTracker returns an empty tracker.
+func NewTracker() *Tracker { return &Tracker{at: map[Instance]*runs{}} }
+
+func newRuns() *runs { return &runs{open: map[*Run]bool{}, aborted: map[Fingerprint]time.Time{}} }
+
+func (t *Tracker) runsAt(inst Instance) *runs {
+	rs := t.at[inst]
+	if rs == nil {
+		rs = newRuns()
+		t.at[inst] = rs
+	}
+	return rs
+}
+
+// Begin records a request that is sent to a server, and the function that cancels it there.
+func (t *Tracker) Begin(inst Instance, f Fingerprint, cancel func(), now time.Time) *Run {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.sweep(now)
+	run := &Run{instance: inst, content: f, cancel: cancel}
+	t.runsAt(inst).open[run] = true
+	return run
+}
+
+// End records that the request has ended at the server.
+func (t *Tracker) End(run *Run, ending Ending, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	rs := t.at[run.instance]
+	if rs == nil || !rs.open[run] {
+		// The server has crashed, and the request was already returned as a suspect.
+		return
+	}
+	delete(rs.open, run)
+	if ending == Aborted {
+		rs.aborted[run.content] = now
+	}
+}
+
+// CancelAll cancels the requests in flight at a server that no longer exists.
+func (t *Tracker) CancelAll(inst Instance) {
+	var cancels []func()
+	t.mu.Lock()
+	if rs := t.at[inst]; rs != nil {
+		for run := range rs.open {
+			cancels = append(cancels, run.cancel)
+		}
+	}
+	t.mu.Unlock()
+	for _, cancel := range cancels {
+		cancel()
+	}
+}
+
+// TakeSuspects returns the requests that were in flight at a crashed server, or were aborted there
+// shortly before. Each is returned once.
+func (t *Tracker) TakeSuspects(inst Instance, now time.Time) []Fingerprint {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	rs := t.at[inst]
+	if rs == nil {
+		return nil
+	}
+	found := map[Fingerprint]bool{}
+	for run := range rs.open {
+		found[run.content] = true
+	}
+	for f, at := range rs.aborted {
+		if now.Sub(at) < crashDelay {
+			found[f] = true
+		}
+	}
+	// Requests still in flight there break off too, and must not be returned again.
+	t.at[inst] = newRuns()
+	t.at[inst].probing = rs.probing
+	out := make([]Fingerprint, 0, len(found))
+	for f := range found {
+		out = append(out, f)
+	}
+	return out
+}
+
+// AbortedAt returns the servers at which a request was aborted a moment ago.
+func (t *Tracker) AbortedAt(f Fingerprint, now time.Time) []Instance {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var out []Instance
+	for inst, rs := range t.at {
+		if at, ok := rs.aborted[f]; ok && now.Sub(at) < crashDelay {
+			out = append(out, inst)
+		}
+	}
+	return out
+}
+
+// BeginProbe reports whether the caller is to probe a server: there is one probe of a server at a
+// time.
+func (t *Tracker) BeginProbe(inst Instance) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	rs := t.runsAt(inst)
+	if rs.probing {
+		return false
+	}
+	rs.probing = true
+	return true
+}
+
+// EndProbe ends the probe that BeginProbe allowed.
+func (t *Tracker) EndProbe(inst Instance) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.runsAt(inst).probing = false
+}
+
+// sweepInterval is the time between two sweeps.
+const sweepInterval = 10 * time.Second
+
+// sweep drops what is expired. The caller holds t.mu.
+func (t *Tracker) sweep(now time.Time) {
+	if now.Sub(t.swept) < sweepInterval {
+		return
+	}
+	t.swept = now
+	for _, rs := range t.at {
+		maps.DeleteFunc(rs.aborted, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) >= crashDelay })
+	}
+	maps.DeleteFunc(t.at, func(_ Instance, rs *runs) bool { return len(rs.open)+len(rs.aborted) == 0 && !rs.probing })
+}
--- /dev/null
+++ b/core/quarantine/tracker_test.go
@@ -0,0 +1,51 @@
+package quarantine_test
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"ladderridge.example/core/quarantine"
+)
+
+func TestTrackerReturnsRequestsInFlightAtCrash(t *testing.T) {
+	r := quarantine.NewTracker()
+	p, other := quarantine.Instance{Server: "a", Addr: "a:1"}, quarantine.Instance{Server: "b", Addr: "b:1"}
+	var runs []*quarantine.Run
+	cancelled := 0
+	for f := range quarantine.Fingerprint(5) {
+		runs = append(runs, r.Begin(p, f, func() { cancelled++ }, start))
+	}
+	r.Begin(other, 9, func() { cancelled++ }, start)
+	r.End(runs[1], quarantine.Completed, start)
+	r.End(runs[2], quarantine.Aborted, start)
+	r.End(runs[3], quarantine.Aborted, start.Add(3*time.Second))
+	if r.CancelAll(p); cancelled != 2 {
+		t.Errorf("%d of two requests cancelled", cancelled)
+	}
+	now := start.Add(4 * time.Second)
+	if got := r.AbortedAt(3, now); !slices.Equal(got, []quarantine.Instance{p}) {
+		t.Errorf("the third request was aborted at %v", got)
+	}
+	got := r.TakeSuspects(p, now)
+	slices.Sort(got)
+	if !slices.Equal(got, []quarantine.Fingerprint{0, 3, 4}) {
+		t.Errorf("suspects of the crash: %v", got)
+	}
+	r.End(runs[0], quarantine.Aborted, now)
+	if got := r.TakeSuspects(p, now); len(got) > 0 {
+		t.Errorf("returned twice: %v", got)
+	}
+}
+
+func TestOneProbeOfAServerAtATime(t *testing.T) {
+	r := quarantine.NewTracker()
+	p := quarantine.Instance{Server: "a"}
+	if !r.BeginProbe(p) || r.BeginProbe(p) {
+		t.Error("two probes at once")
+	}
+	r.EndProbe(p)
+	if !r.BeginProbe(p) {
+		t.Error("no second probe")
+	}
+}
