--- a/core/evidence/evidence_test.go
+++ b/core/evidence/evidence_test.go
@@ -7,7 +7,8 @@
 	"ladderridge.example/core/evidence"
 )
 
-// answersUntilAlarm feeds answers of which a share is bad, at most limit.
+// answersUntilAlarm returns after how many answers, of which a share is bad, the test raises an
+// alarm, at most limit.
 func answersUntilAlarm(rng *rand.Rand, share float64, limit int) int {
 	test := evidence.Default
 	for n := range limit {
@@ -22,7 +23,7 @@
 	return limit
 }
 
-func TestBadVersionIsFoundAndGoodOneIsNot(t *testing.T) {
+func TestAlarmOnBadVersionOnly(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
 		if n := answersUntilAlarm(rng, 0.5, 1000); n > 40 {
