--- a/core/cascade/cascade.go
+++ b/core/cascade/cascade.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// margin is the least expected gain of a larger model's answer, as a fraction of the worth of
+	// minGain is the least expected gain of a larger model's answer, as a fraction of the worth of
 	// a good answer in time: the larger model costs more and processes the prompt again. With this
 	// margin an answer is dropped below a confidence of 60 if the servers are idle. In trials on
 	// recorded days of two users 60 served best; between 45 and 70 the result changed by less than
