--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -13,126 +13,126 @@
 	"ladderridge.example/core/prefixcache"
 )
 
-// site replays a load on many daemons in modelled time: prompts of which some are
-// popular, servers that read one prompt after the other and keep what they have read,
-// and daemons that each know what they sent and, if they share it, what all had under
-// way a while ago.
-type site struct {
+// simulation plays a load on many daemons in simulated time: prompts of which some are
+// popular, servers that process one prompt after the other and cache what they have
+// processed, and daemons that each know their own requests and, if load is shared, the
+// delayed load of all daemons.
+type simulation struct {
 	rng     *rand.Rand
 	now     time.Time
-	daemons []*member
-	servers []*engine
-	// lag is how old the work is that daemons are told.
+	daemons []*daemon
+	servers []*modelServer
+	// lag is the age of the load when daemons receive it.
 	lag time.Duration
-	// told is work under way at past times, oldest first.
-	told    []toldAt
-	pending []*run
-	shares  bool
-	// waits are the times to the first part of all answers, read the prompts' shared
-	// parts that were read.
-	waits []time.Duration
-	read  int
+	// history holds the load at past times, oldest first.
+	history    []loadAt
+	inFlight   []*request
+	sharesLoad bool
+	// waits are the times to first token of all answers; processed counts the shared
+	// prompt parts that servers had to process.
+	waits     []time.Duration
+	processed int
 }
 
-// member is one daemon with its own knowledge of the servers.
-type member struct {
+// daemon is one daemon with its own view of the servers.
+type daemon struct {
 	list  *fleet.List
 	loads map[string]*fleet.ServerState
 }
 
-// engine is one model server.
-type engine struct {
-	id   string
-	free time.Time
-	has  map[int]bool
+// modelServer is one model server.
+type modelServer struct {
+	id     string
+	freeAt time.Time
+	cached map[int]bool
 }
 
-// run is one request under way.
-type run struct {
-	load *fleet.ServerState
-	id   string
-	ends time.Time
+// request is one request in flight.
+type request struct {
+	load   *fleet.ServerState
+	id     string
+	endsAt time.Time
 }
 
-type toldAt struct {
+type loadAt struct {
 	at   time.Time
-	work map[string]float64
+	load map[string]float64
 }
 
-// The load: as many requests a second for each server as fill half of it, with prompts
-// whose shared part takes three times as long to read as their own.
+// The load: the number of requests a second that uses half of each server's capacity,
+// with prompts whose shared part takes three times as long to process as the rest.
 const (
-	sharedPart = 3 * fleet.BlockTokens
-	ownPart    = fleet.BlockTokens
-	pieceTime  = 60 * time.Millisecond
-	answerTime = 400 * time.Millisecond
-	perServer  = 6
-	tellEvery  = 450 * time.Millisecond
+	sharedPart        = 3 * fleet.BlockTokens
+	uniquePart        = fleet.BlockTokens
+	blockTime         = 60 * time.Millisecond
+	answerTime        = 400 * time.Millisecond
+	requestsPerServer = 6
+	reportInterval    = 450 * time.Millisecond
 )
 
-func newSite(daemons, servers int, lag time.Duration, shares bool) *site {
-	s := &site{rng: rand.New(rand.NewPCG(1, uint64(daemons))), now: start, lag: lag, shares: shares}
+func newSimulation(daemons, servers int, lag time.Duration, shares bool) *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(1, uint64(daemons))), now: start, lag: lag, sharesLoad: shares}
 	for i := range servers {
-		s.servers = append(s.servers, &engine{id: "s" + strconv.Itoa(i), has: map[int]bool{}, free: start})
+		s.servers = append(s.servers, &modelServer{id: "s" + strconv.Itoa(i), cached: map[int]bool{}, freeAt: start})
 	}
 	for range daemons {
-		m := &member{loads: map[string]*fleet.ServerState{}}
+		d := &daemon{loads: map[string]*fleet.ServerState{}}
 		var list []*fleet.Server
 		hall := fleet.NewHallState()
 		for _, e := range s.servers {
-			m.loads[e.id] = fleet.NewServerState(hall)
-			list = append(list, &fleet.Server{ID: e.id, Service: "llm", Version: "v", Hall: "h", State: m.loads[e.id]})
+			d.loads[e.id] = fleet.NewServerState(hall)
+			list = append(list, &fleet.Server{ID: e.id, Service: "llm", Version: "v", Hall: "h", State: d.loads[e.id]})
 		}
-		m.list = fleet.NewList(list)
-		s.daemons = append(s.daemons, m)
+		d.list = fleet.NewList(list)
+		s.daemons = append(s.daemons, d)
 	}
 	return s
 }
 
-// play plays the load for a while and returns how long the slowest twentieth waited at
-// least, and the largest work at a server in terms of the mean.
-func (s *site) play(length time.Duration) (slow time.Duration, crowding float64) {
+// play plays the load for a while. It returns the 95th percentile of the waiting times,
+// and the ratio of the highest load at a server to the mean.
+func (s *simulation) play(length time.Duration) (p95 time.Duration, imbalance float64) {
 	keys := rand.NewZipf(s.rng, 1.3, 4, uint64(len(s.servers)))
-	step := time.Second / time.Duration(perServer*len(s.servers))
+	step := time.Second / time.Duration(requestsPerServer*len(s.servers))
 	next := s.now
-	looks := 0
+	reports := 0
 	for end := s.now.Add(length); s.now.Before(end); s.now = s.now.Add(step) {
-		s.settle()
+		s.finish()
 		if !s.now.Before(next) {
-			next = next.Add(tellEvery)
-			crowding += s.tell()
-			looks++
+			next = next.Add(reportInterval)
+			imbalance += s.report()
+			reports++
 		}
-		s.request(int(keys.Uint64()))
+		s.send(int(keys.Uint64()))
 	}
 	slices.Sort(s.waits)
-	return s.waits[len(s.waits)*19/20], crowding / float64(looks)
+	return s.waits[len(s.waits)*19/20], imbalance / float64(reports)
 }
 
-// request has any daemon send a request with a shared prompt.
-func (s *site) request(key int) {
-	m := s.daemons[s.rng.IntN(len(s.daemons))]
-	parts := []prefixcache.Part{{ID: strconv.Itoa(key), Tokens: sharedPart}, {ID: fmt.Sprint(key, "-", len(s.waits)), Tokens: ownPart}}
+// send sends a request with a shared prompt from a random daemon.
+func (s *simulation) send(key int) {
+	d := s.daemons[s.rng.IntN(len(s.daemons))]
+	parts := []prefixcache.Part{{ID: strconv.Itoa(key), Tokens: sharedPart}, {ID: fmt.Sprint(key, "-", len(s.waits)), Tokens: uniquePart}}
 	prompt := prefixcache.For("m", parts)
-	chosen, _ := m.list.Choose(fleet.Criteria{Service: "llm", Hall: "h", Affinity: uint64(key) + 1, Prompt: prompt, BlockCost: 1}, s.now)
-	e := s.servers[slices.IndexFunc(s.servers, func(e *engine) bool { return e.id == chosen.ID })]
-	reading := pieceTime
-	if !e.has[key] {
-		reading += pieceTime * sharedPart / fleet.BlockTokens
-		e.has[key] = true
-		s.read++
+	chosen, _ := d.list.Choose(fleet.Criteria{Service: "llm", Hall: "h", Affinity: uint64(key) + 1, Prompt: prompt, BlockCost: 1}, s.now)
+	e := s.servers[slices.IndexFunc(s.servers, func(e *modelServer) bool { return e.id == chosen.ID })]
+	processing := blockTime
+	if !e.cached[key] {
+		processing += blockTime * sharedPart / fleet.BlockTokens
+		e.cached[key] = true
+		s.processed++
 	}
-	e.free = slices.MaxFunc([]time.Time{e.free, s.now}, time.Time.Compare).Add(reading)
-	s.waits = append(s.waits, e.free.Sub(s.now))
+	e.freeAt = slices.MaxFunc([]time.Time{e.freeAt, s.now}, time.Time.Compare).Add(processing)
+	s.waits = append(s.waits, e.freeAt.Sub(s.now))
 	chosen.State.PrefixCache.Read(prompt, s.now)
 	chosen.State.Begin(2)
-	s.pending = append(s.pending, &run{load: chosen.State, id: e.id, ends: e.free.Add(answerTime)})
+	s.inFlight = append(s.inFlight, &request{load: chosen.State, id: e.id, endsAt: e.freeAt.Add(answerTime)})
 }
 
-// settle ends the requests that are over.
-func (s *site) settle() {
-	s.pending = slices.DeleteFunc(s.pending, func(r *run) bool {
-		if r.ends.After(s.now) {
+// finish ends the requests that are over.
+func (s *simulation) finish() {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(r *request) bool {
+		if r.endsAt.After(s.now) {
 			return false
 		}
 		r.load.End(2)
@@ -140,47 +140,47 @@
 	})
 }
 
-// tell tells all daemons the work of a while ago, and returns how crowded the most
-// crowded server is.
-func (s *site) tell() float64 {
-	work := map[string]float64{}
-	for _, r := range s.pending {
-		work[r.id] += 2
+// report sends the load of lag ago to all daemons, and returns the ratio of the highest
+// load at a server to the mean.
+func (s *simulation) report() float64 {
+	load := map[string]float64{}
+	for _, r := range s.inFlight {
+		load[r.id] += 2
 	}
-	s.told = append(s.told, toldAt{s.now, work})
-	for s.shares && len(s.told) > 0 && s.now.Sub(s.told[0].at) >= s.lag {
-		for _, m := range s.daemons {
+	s.history = append(s.history, loadAt{s.now, load})
+	for s.sharesLoad && len(s.history) > 0 && s.now.Sub(s.history[0].at) >= s.lag {
+		for _, d := range s.daemons {
 			others := map[string]float64{}
-			for id, w := range s.told[0].work {
-				others[id] = max(0, w-m.loads[id].OwnLoad())
+			for id, w := range s.history[0].load {
+				others[id] = max(0, w-d.loads[id].OwnLoad())
 			}
-			m.list.SetRemoteLoad(others, s.now)
+			d.list.SetRemoteLoad(others, s.now)
 		}
-		s.told = s.told[1:]
+		s.history = s.history[1:]
 	}
 	most, sum := 0.0, 0.0
-	for _, w := range work {
+	for _, w := range load {
 		most, sum = max(most, w), sum+w
 	}
 	return cmp.Or(most*float64(len(s.servers))/max(1, sum), 1)
 }
 
-// Popular prompts crowd the servers that they prefer where each daemon knows only its own
-// requests. Told what all have under way, daemons spread them without meeting elsewhere:
-// also where what they are told is two seconds old.
-func TestManyDaemonsDoNotCrowdNorHerd(t *testing.T) {
+// Popular prompts overload the servers that they prefer if each daemon knows only its
+// own requests. With the load of all daemons they spread without herding to another
+// server, also if the figures are two seconds old.
+func TestManyDaemonsNeitherOverloadNorHerd(t *testing.T) {
 	const length = 15 * time.Second
 	for _, daemons := range []int{30, 100, 300} {
-		alone, alike := newSite(daemons, 40, 0, false).play(length)
+		p95Alone, imbalanceAlone := newSimulation(daemons, 40, 0, false).play(length)
 		for _, lag := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second} {
-			s := newSite(daemons, 40, lag, true)
-			slow, crowding := s.play(length)
-			t.Logf("%d daemons, %v: the slowest twentieth %v, alone %v; crowding %.1f, alone %.1f; %d prompts read", daemons, lag, slow, alone, crowding, alike, s.read)
-			if slow > alone {
-				t.Errorf("%d daemons, work told %v old: the slowest twentieth waits %v, and %v where each knows its own", daemons, lag, slow, alone)
+			s := newSimulation(daemons, 40, lag, true)
+			p95, imbalance := s.play(length)
+			t.Logf("%d daemons, lag %v: 95th percentile of waits %v, without shared load %v; highest load %.1f times the mean, without shared load %.1f; %d prompts processed", daemons, lag, p95, p95Alone, imbalance, imbalanceAlone, s.processed)
+			if p95 > p95Alone {
+				t.Errorf("%d daemons, lag %v: 95th percentile of waits %v, without shared load %v", daemons, lag, p95, p95Alone)
 			}
-			if crowding > alike {
-				t.Errorf("%d daemons, work told %v old: the most crowded server has %.1f times the mean, and %.1f where each knows its own", daemons, lag, crowding, alike)
+			if imbalance > imbalanceAlone {
+				t.Errorf("%d daemons, lag %v: the highest load is %.1f times the mean, without shared load %.1f times", daemons, lag, imbalance, imbalanceAlone)
 			}
 		}
 	}
--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -1,13 +1,14 @@
-// Package serverload sums what all daemons have under way at each backend server.
+// Package serverload sums the in-flight load of all daemons at each backend server.
 //
-// The load that it answers is one that is spread over many daemons: of ninety before 140
-// servers each meets a given server once in ten seconds and has no request of its own
-// there, so that all of them go on sending to the one that a popular prompt prefers, and
-// none sees that it is crowded. Each daemon tells its hall's reader its own work with the
-// questions that it asks anyway, and is told the sum with the answers; readers tell each
-// other the sums of their halls. What is told is half a second old and loses weight with
-// its age, so that a daemon that pauses or lies about itself cannot empty or overrun a
-// server for long.
+// Protects servers against load that is spread over many daemons. With ninety daemons
+// and 140 servers, a daemon sends to a given server once in ten seconds. It has no
+// request of its own there, so that all daemons keep sending to the server that a
+// popular prompt prefers, and none of them sees that the server is overloaded. Each
+// daemon reports its own load to its hall's reader in the requests that it sends there
+// anyway, and receives the sum in the responses. Readers exchange the sums of their
+// halls. The figures are half a second old and lose weight with age, so that a daemon
+// that is suspended or reports a false load cannot keep a server idle or overload it
+// for long.
 package serverload
 
 import (
@@ -17,177 +18,184 @@
 )
 
 const (
-	// tellEvery is the least time between two messages of a daemon about its work: that
-	// between two questions to its reader.
-	tellEvery = 450 * time.Millisecond
-	// mostBytes bounds what a daemon tells and is told of work, in bytes a second each: with
-	// more servers than 180 it is told less often. Of the 9 KB/s that a daemon may use for
-	// control that is a tenth; a reader has it for each daemon of its hall.
-	mostBytes = 400
-	// countsFor is how many times the time between two messages what was told counts, so
-	// that one of them may be lost.
-	countsFor = 3
+	// minReportInterval is the minimum time between two reports of a daemon's load: the
+	// time between two of its requests to the reader.
+	minReportInterval = 450 * time.Millisecond
+	// maxBytesPerSecond bounds the load reports that a daemon sends and, separately,
+	// those that it receives. With more than 180 servers it reports less often. This is
+	// a tenth of the 9 KB/s that a daemon may use for control traffic; a reader has the
+	// same amount for each daemon of its hall.
+	maxBytesPerSecond = 400
+	// lifetimeIntervals is the lifetime of a report in report intervals, so that one
+	// report may be lost.
+	lifetimeIntervals = 3
 )
 
-// mostWork bounds the work at a server that one message is believed to tell of, whether of
-// a daemon, a hall or all, with a small request as 1: about what fills the largest server.
-const mostWork = 1000
+// maxLoad bounds the load at a server that is accepted from one message, for a daemon,
+// a hall or all of them, with a small request as 1: about the load at which the largest
+// server is full.
+const maxLoad = 1000
 
-// Board is what one daemon has been told. It has one owner.
+// Tracker holds the load reports that one daemon has received. It has one owner.
 type Board struct {
-	// ids are the servers' in order, sum that of their rows.
-	ids []string
-	sum uint64
-	// daemons is the work of daemons that ask this one, halls that of other halls.
-	daemons map[string]told
-	halls   map[string]told
-	// asked is this daemon's own work when it last asked.
-	asked []float64
-	// latest is the work of all daemons as it was last added up, at latestAt.
-	latest   gossip.Load
-	latestAt time.Time
-}
-
-// told is work at the servers, in their order, as of a time.
-type told struct {
-	work []float64
+	// ids are the servers' ids in order, checksum is the checksum of their rows.
+	ids      []string
+	checksum uint64
+	// daemons holds the reports of daemons that use this one as their reader, halls
+	// those of other halls.
+	daemons map[string]report
+	halls   map[string]report
+	// ownReported is this daemon's own load in its last report.
+	ownReported []float64
+	// total is the load of all daemons as computed at totalAt.
+	total   gossip.Load
+	totalAt time.Time
+}
+
+// report is a load for each server, in the order of the servers, as of a time.
+type report struct {
+	load []float64
 	at   time.Time
 }
 
-// NewBoard returns a board without servers.
-func NewBoard() *Board { return &Board{daemons: map[string]told{}, halls: map[string]told{}} }
+// NewTracker returns a tracker without servers.
+func NewBoard() *Board { return &Board{daemons: map[string]report{}, halls: map[string]report{}} }
 
-// List takes the servers' ids, in order, and the sum of their rows. What was told of
-// another list is forgotten.
-func (b *Board) List(sum uint64, ids []string) {
-	b.ids, b.sum, b.asked, b.latestAt = ids, sum, nil, time.Time{}
-	clear(b.daemons)
-	clear(b.halls)
+// SetServers sets the servers' ids, in order, and the checksum of their rows. Reports
+// for another list of servers are dropped.
+func (t *Board) List(sum uint64, ids []string) {
+	t.ids, t.checksum, t.ownReported, t.totalAt = ids, sum, nil, time.Time{}
+	clear(t.daemons)
+	clear(t.halls)
 }
 
-// Sum is that of the servers' rows.
-func (b *Board) Sum() uint64 { return b.sum }
+// Checksum returns the checksum of the servers' rows.
+func (t *Board) Sum() uint64 { return t.checksum }
 
-// Every is the time between two messages of a daemon about its work.
-func (b *Board) Every() time.Duration {
-	return max(tellEvery, time.Duration(len(b.ids))*time.Second/mostBytes)
+// ReportInterval returns the time between two load reports of a daemon.
+func (t *Board) Every() time.Duration {
+	return max(minReportInterval, time.Duration(len(t.ids))*time.Second/maxBytesPerSecond)
 }
 
-// Counts is how long what was told counts.
-func (b *Board) Counts() time.Duration { return countsFor * b.Every() }
+// ReportLifetime returns how long a report is used.
+func (t *Board) Counts() time.Duration { return lifetimeIntervals * t.Every() }
 
-// Ask returns this daemon's own work, by server, for a question to its reader.
-func (b *Board) Ask(own map[string]float64) gossip.Load {
-	b.asked = b.inOrder(own)
-	return b.pack(b.asked)
+// OwnReport returns this daemon's own load as a report to its reader.
+func (t *Board) Ask(own map[string]float64) gossip.Load {
+	t.ownReported = t.inOrder(own)
+	return t.pack(t.ownReported)
 }
 
-// HearDaemon notes what a daemon of this hall has told of itself with a question.
-func (b *Board) HearDaemon(id string, m gossip.Load, now time.Time) { b.hear(b.daemons, id, m, now) }
+// SetDaemonLoad records the load that a daemon of this hall has reported.
+func (t *Board) HearDaemon(id string, m gossip.Load, now time.Time) { t.record(t.daemons, id, m, now) }
 
-// HearHall notes what the reader of another hall has told of it.
-func (b *Board) HearHall(hall string, m gossip.Load, now time.Time) { b.hear(b.halls, hall, m, now) }
+// SetHallLoad records the load that the reader of another hall has reported for its
+// hall.
+func (t *Board) HearHall(hall string, m gossip.Load, now time.Time) { t.record(t.halls, hall, m, now) }
 
-// Hall is the work of this daemon's hall, for other halls, with its own work.
-func (b *Board) Hall(own map[string]float64, now time.Time) gossip.Load {
-	return b.pack(b.hall(own, now))
+// HallTotal returns the load of this daemon's hall, including its own, as a report to
+// other halls.
+func (t *Board) Hall(own map[string]float64, now time.Time) gossip.Load {
+	return t.pack(t.hall(own, now))
 }
 
-// All is the work of all daemons, for an answer to one of this hall. It is added up at
-// most twice between two messages: a hundred daemons ask, and each would cost a sum over a
-// hundred.
-func (b *Board) All(own func() map[string]float64, now time.Time) gossip.Load {
-	if b.latestAt.IsZero() || now.Sub(b.latestAt) >= b.Every()/2 {
-		b.latest, b.latestAt = b.pack(b.all(own(), now)), now
+// Total returns the load of all daemons, as the response to a daemon of this hall. It
+// is computed at most twice in a report interval: a hundred daemons request it, and
+// each computation adds up a hundred reports.
+func (t *Board) All(own func() map[string]float64, now time.Time) gossip.Load {
+	if t.totalAt.IsZero() || now.Sub(t.totalAt) >= t.Every()/2 {
+		t.total, t.totalAt = t.pack(t.all(own(), now)), now
 	}
-	return b.latest
+	return t.total
 }
 
-// Others is the work of all other daemons, by server, as this one has been told.
-func (b *Board) Others(now time.Time) map[string]float64 {
-	return b.byServer(b.all(nil, now))
+// Others returns the load of all other daemons for each server, by the reports that
+// this daemon has received.
+func (t *Board) Others(now time.Time) map[string]float64 {
+	return t.byServer(t.all(nil, now))
 }
 
-// OthersOf is the work of all other daemons by what an answer to the last question says;
-// ok is false if it is about another list of servers.
-func (b *Board) OthersOf(m gossip.Load) (others map[string]float64, ok bool) {
-	work, ok := b.unpack(m)
-	if !ok || len(b.asked) != len(work) {
+// OthersFromResponse returns the load of all other daemons by the response to the last
+// report; ok is false if the response is for another list of servers.
+func (t *Board) OthersOf(m gossip.Load) (others map[string]float64, ok bool) {
+	load, ok := t.unpack(m)
+	if !ok || len(t.ownReported) != len(load) {
 		return nil, false
 	}
-	for i := range work {
-		work[i] -= b.asked[i]
+	for i := range load {
+		load[i] -= t.ownReported[i]
 	}
-	return b.byServer(work), true
+	return t.byServer(load), true
 }
 
-func (b *Board) hear(from map[string]told, id string, m gossip.Load, now time.Time) {
-	if work, ok := b.unpack(m); ok {
-		from[id] = told{work: work, at: now}
+func (t *Board) record(reports map[string]report, id string, m gossip.Load, now time.Time) {
+	if load, ok := t.unpack(m); ok {
+		reports[id] = report{load: load, at: now}
 	}
 }
 
-func (b *Board) hall(own map[string]float64, now time.Time) []float64 {
-	sum := b.inOrder(own)
-	b.add(sum, b.daemons, now)
+func (t *Board) hall(own map[string]float64, now time.Time) []float64 {
+	sum := t.inOrder(own)
+	t.add(sum, t.daemons, now)
 	return sum
 }
 
-func (b *Board) all(own map[string]float64, now time.Time) []float64 {
-	sum := b.hall(own, now)
-	b.add(sum, b.halls, now)
+func (t *Board) all(own map[string]float64, now time.Time) []float64 {
+	sum := t.hall(own, now)
+	t.add(sum, t.halls, now)
 	return sum
 }
 
-// add adds what was told and still counts, and forgets the rest.
-func (b *Board) add(sum []float64, from map[string]told, now time.Time) {
-	for id, t := range from {
-		if now.Sub(t.at) > b.Counts() {
-			delete(from, id)
+// add adds the reports within their lifetime to sum, and deletes the others.
+func (t *Board) add(sum []float64, reports map[string]report, now time.Time) {
+	for id, r := range reports {
+		if now.Sub(r.at) > t.Counts() {
+			delete(reports, id)
 			continue
 		}
-		for i, work := range t.work {
-			sum[i] += work
+		for i, load := range r.load {
+			sum[i] += load
 		}
 	}
 }
 
-// inOrder is work in the order of the servers.
-func (b *Board) inOrder(work map[string]float64) []float64 {
-	out := make([]float64, len(b.ids))
-	for i, id := range b.ids {
-		out[i] = work[id]
+// inOrder returns the load in the order of the servers.
+func (t *Board) inOrder(load map[string]float64) []float64 {
+	out := make([]float64, len(t.ids))
+	for i, id := range t.ids {
+		out[i] = load[id]
 	}
 	return out
 }
 
-// byServer is work by server, without servers that have none.
-func (b *Board) byServer(work []float64) map[string]float64 {
-	out := make(map[string]float64, len(work))
-	for i, id := range b.ids {
-		if work[i] > 0 {
-			out[id] = work[i]
+// byServer returns the load by server id, without servers that have none.
+func (t *Board) byServer(load []float64) map[string]float64 {
+	out := make(map[string]float64, len(load))
+	for i, id := range t.ids {
+		if load[i] > 0 {
+			out[id] = load[i]
 		}
 	}
 	return out
 }
 
-func (b *Board) pack(work []float64) gossip.Load {
-	out := gossip.Load{Sum: b.sum, Packed: make([]byte, len(work))}
-	for i, w := range work {
+func (t *Board) pack(load []float64) gossip.Load {
+	out := gossip.Load{Sum: t.checksum, Packed: make([]byte, len(load))}
+	for i, w := range load {
 		out.Packed[i] = gossip.PackLoad(w)
 	}
 	return out
 }
 
-// unpack returns the work of a message, unless it is of another list of servers.
-func (b *Board) unpack(m gossip.Load) ([]float64, bool) {
-	if m.Sum != b.sum || len(m.Packed) != len(b.ids) {
+// unpack returns the load in a message, unless the message is for another list of
+// servers.
+func (t *Board) unpack(m gossip.Load) ([]float64, bool) {
+	if m.Sum != t.checksum || len(m.Packed) != len(t.ids) {
 		return nil, false
 	}
-	work := make([]float64, len(m.Packed))
+	load := make([]float64, len(m.Packed))
 	for i, packed := range m.Packed {
-		work[i] = min(mostWork, gossip.UnpackLoad(packed))
+		load[i] = min(maxLoad, gossip.UnpackLoad(packed))
 	}
-	return work, true
+	return load, true
 }
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -15,114 +15,115 @@
 	ids   = []string{"s1", "s2", "s3"}
 )
 
-// board returns a board of the usual servers.
-func board() *serverload.Board {
-	b := serverload.NewBoard()
-	b.List(7, ids)
-	return b
+// newTracker returns a tracker with the servers ids.
+func newTracker() *serverload.Board {
+	tr := serverload.NewBoard()
+	tr.List(7, ids)
+	return tr
 }
 
-// own is this daemon's work, as a board asks for it.
-func own(work map[string]float64) func() map[string]float64 {
-	return func() map[string]float64 { return work }
+// own returns a function that returns the load, for Tracker.Total.
+func own(load map[string]float64) func() map[string]float64 {
+	return func() map[string]float64 { return load }
 }
 
-// near reports whether work is the same but for what packing loses.
+// near reports whether two loads are equal within the precision of the packed format.
 func near(got, want map[string]float64) bool {
 	return maps.EqualFunc(got, want, func(a, b float64) bool { return math.Abs(a-b) <= 0.06*(1+b) })
 }
 
-func TestWorkOfAllHallsIsSummed(t *testing.T) {
-	reader, abroad, daemon := board(), board(), board()
-	ask := daemon.Ask(map[string]float64{"s1": 10, "s2": 1})
-	reader.HearDaemon("d", ask, start)
-	abroad.HearDaemon("x", board().Ask(map[string]float64{"s3": 4}), start)
-	reader.HearHall("h2", abroad.Hall(map[string]float64{"s1": 2}, start), start)
+func TestLoadOfAllHallsIsSummed(t *testing.T) {
+	reader, otherReader, daemon := newTracker(), newTracker(), newTracker()
+	ownReport := daemon.Ask(map[string]float64{"s1": 10, "s2": 1})
+	reader.HearDaemon("d", ownReport, start)
+	otherReader.HearDaemon("x", newTracker().Ask(map[string]float64{"s3": 4}), start)
+	reader.HearHall("h2", otherReader.Hall(map[string]float64{"s1": 2}, start), start)
 	others, ok := daemon.OthersOf(reader.All(own(map[string]float64{"s2": 3}), start))
 	if want := map[string]float64{"s1": 2, "s2": 3, "s3": 4}; !ok || !near(others, want) {
-		t.Errorf("the daemon is told %v, %v", others, ok)
+		t.Errorf("the daemon receives %v, %v", others, ok)
 	}
 	if others, want := reader.Others(start), map[string]float64{"s1": 12, "s2": 1, "s3": 4}; !near(others, want) {
-		t.Errorf("the reader takes %v", others)
+		t.Errorf("the reader computes %v", others)
 	}
-	if others, want := abroad.Others(start), map[string]float64{"s3": 4}; !near(others, want) {
-		t.Errorf("the other hall's reader takes %v", others)
+	if others, want := otherReader.Others(start), map[string]float64{"s3": 4}; !near(others, want) {
+		t.Errorf("the other hall's reader computes %v", others)
 	}
 }
 
-func TestWhatADaemonTellsReplacesWhatItToldAndIsForgotten(t *testing.T) {
-	b := board()
+func TestReportReplacesPreviousReportAndExpires(t *testing.T) {
+	tr := newTracker()
 	for range 5 {
-		b.HearDaemon("d", board().Ask(map[string]float64{"s1": 10}), start)
+		tr.HearDaemon("d", newTracker().Ask(map[string]float64{"s1": 10}), start)
 	}
-	if others := b.Others(start.Add(b.Counts())); !near(others, map[string]float64{"s1": 10}) {
-		t.Errorf("told five times: %v", others)
+	if others := tr.Others(start.Add(tr.Counts())); !near(others, map[string]float64{"s1": 10}) {
+		t.Errorf("after five reports: %v", others)
 	}
-	if others := b.Others(start.Add(b.Counts() + 1)); len(others) > 0 {
-		t.Errorf("of a daemon that is silent: %v", others)
+	if others := tr.Others(start.Add(tr.Counts() + 1)); len(others) > 0 {
+		t.Errorf("after the lifetime of the report: %v", others)
 	}
 }
 
-func TestWorkOfAnotherListIsNotTaken(t *testing.T) {
-	b, other := board(), serverload.NewBoard()
+func TestLoadOfAnotherServerListIsRejected(t *testing.T) {
+	tr, other := newTracker(), serverload.NewBoard()
 	other.List(8, ids)
-	b.HearDaemon("d", other.Ask(map[string]float64{"s1": 10}), start)
-	b.HearHall("h", gossip.Load{Sum: 7, Packed: []byte{255}}, start)
-	if others := b.Others(start); len(others) > 0 {
-		t.Errorf("taken: %v", others)
+	tr.HearDaemon("d", other.Ask(map[string]float64{"s1": 10}), start)
+	tr.HearHall("h", gossip.Load{Sum: 7, Packed: []byte{255}}, start)
+	if others := tr.Others(start); len(others) > 0 {
+		t.Errorf("a report for another list of servers was accepted: %v", others)
 	}
-	b.Ask(nil)
-	if _, ok := b.OthersOf(other.All(own(nil), start)); ok {
-		t.Error("an answer about another list is taken")
+	tr.Ask(nil)
+	if _, ok := tr.OthersOf(other.All(own(nil), start)); ok {
+		t.Error("a response for another list of servers was accepted")
 	}
-	answer := board().All(own(nil), start)
-	b.List(9, ids)
-	if _, ok := b.OthersOf(answer); ok {
-		t.Error("an answer to a question about an earlier list is taken")
+	answer := newTracker().All(own(nil), start)
+	tr.List(9, ids)
+	if _, ok := tr.OthersOf(answer); ok {
+		t.Error("a response for an earlier list of servers was accepted")
 	}
 }
 
-// One daemon that lies makes a server look full, not more.
-func TestWorkOfOneDaemonIsBounded(t *testing.T) {
-	b := board()
-	b.HearDaemon("d", board().Ask(map[string]float64{"s1": 1e9}), start)
-	if work := b.Others(start)["s1"]; work > 1000 {
-		t.Errorf("believed: %v", work)
+// A daemon that reports a false load makes a server look full, but no more than that.
+func TestReportedLoadIsBounded(t *testing.T) {
+	tr := newTracker()
+	tr.HearDaemon("d", newTracker().Ask(map[string]float64{"s1": 1e9}), start)
+	if work := tr.Others(start)["s1"]; work > 1000 {
+		t.Errorf("accepted load: %v", work)
 	}
 }
 
-func TestPackedWorkIsNearlyWhatItWas(t *testing.T) {
+func TestPackedLoadIsUnpackedWithinPrecision(t *testing.T) {
 	for _, work := range []float64{0, 0.5, 1, 7, 100, 5000} {
 		if got := gossip.UnpackLoad(gossip.PackLoad(work)); math.Abs(got-work) > 0.05*(1+work) {
-			t.Errorf("%v becomes %v", work, got)
+			t.Errorf("load %v was unpacked as %v", work, got)
 		}
 	}
 	if gossip.PackLoad(-1) != 0 || gossip.PackLoad(math.Inf(1)) != 255 {
-		t.Error("what does not fit is not bounded")
+		t.Error("a load out of range is not clamped")
 	}
 }
 
-// A long list of servers is told less often: the bytes of a daemon stay the same.
-func TestBytesAreBoundedWhateverTheNumberOfServers(t *testing.T) {
+// With more servers a daemon reports less often, so that the bytes per second stay
+// bounded.
+func TestBytesPerSecondAreBoundedForAnyNumberOfServers(t *testing.T) {
 	for _, servers := range []int{10, 140, 720, 3000} {
-		b := serverload.NewBoard()
-		b.List(1, make([]string, servers))
-		each := float64(len(b.Ask(nil).Packed)) / b.Every().Seconds()
+		tr := serverload.NewBoard()
+		tr.List(1, make([]string, servers))
+		each := float64(len(tr.Ask(nil).Packed)) / tr.Every().Seconds()
 		if each > 400 {
 			t.Errorf("%d servers: %.0f bytes a second", servers, each)
 		}
 	}
 }
 
-// Those who ask one after the other are answered by one sum.
-func TestSumIsNotMadeForEachQuestion(t *testing.T) {
-	b := board()
+// Requests in quick succession are answered with one computed sum.
+func TestSumIsNotComputedForEachRequest(t *testing.T) {
+	tr := newTracker()
 	sums := 0
 	counted := func() map[string]float64 { sums++; return nil }
 	for i := range 100 {
-		b.All(counted, start.Add(time.Duration(i)*time.Millisecond))
+		tr.All(counted, start.Add(time.Duration(i)*time.Millisecond))
 	}
 	if sums != 1 {
-		t.Errorf("%d sums in a tenth of a second", sums)
+		t.Errorf("%d sums were computed within 100 ms", sums)
 	}
 }
