--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -37,7 +37,7 @@
 const maxLoad = 1000
 
 // Tracker holds the load reports that one daemon has received. It has one owner.
-type Board struct {
+type Tracker struct {
 	// ids are the servers' ids in order, checksum is the checksum of their rows.
 	ids      []string
 	checksum uint64
@@ -59,50 +59,54 @@
 }
 
 // NewTracker returns a tracker without servers.
-func NewBoard() *Board { return &Board{daemons: map[string]report{}, halls: map[string]report{}} }
+func NewBoard() *Tracker { return &Tracker{daemons: map[string]report{}, halls: map[string]report{}} }
 
 // SetServers sets the servers' ids, in order, and the checksum of their rows. Reports
 // for another list of servers are dropped.
-func (t *Board) List(sum uint64, ids []string) {
+func (t *Tracker) List(sum uint64, ids []string) {
 	t.ids, t.checksum, t.ownReported, t.totalAt = ids, sum, nil, time.Time{}
 	clear(t.daemons)
 	clear(t.halls)
 }
 
 // Checksum returns the checksum of the servers' rows.
-func (t *Board) Sum() uint64 { return t.checksum }
+func (t *Tracker) Sum() uint64 { return t.checksum }
 
 // ReportInterval returns the time between two load reports of a daemon.
-func (t *Board) Every() time.Duration {
+func (t *Tracker) Every() time.Duration {
 	return max(minReportInterval, time.Duration(len(t.ids))*time.Second/maxBytesPerSecond)
 }
 
 // ReportLifetime returns how long a report is used.
-func (t *Board) Counts() time.Duration { return lifetimeIntervals * t.Every() }
+func (t *Tracker) Counts() time.Duration { return lifetimeIntervals * t.Every() }
 
 // OwnReport returns this daemon's own load as a report to its reader.
-func (t *Board) Ask(own map[string]float64) gossip.Load {
+func (t *Tracker) Ask(own map[string]float64) gossip.Load {
 	t.ownReported = t.inOrder(own)
 	return t.pack(t.ownReported)
 }
 
 // SetDaemonLoad records the load that a daemon of this hall has reported.
-func (t *Board) HearDaemon(id string, m gossip.Load, now time.Time) { t.record(t.daemons, id, m, now) }
+func (t *Tracker) HearDaemon(id string, m gossip.Load, now time.Time) {
+	t.record(t.daemons, id, m, now)
+}
 
 // SetHallLoad records the load that the reader of another hall has reported for its
 // hall.
-func (t *Board) HearHall(hall string, m gossip.Load, now time.Time) { t.record(t.halls, hall, m, now) }
+func (t *Tracker) HearHall(hall string, m gossip.Load, now time.Time) {
+	t.record(t.halls, hall, m, now)
+}
 
 // HallTotal returns the load of this daemon's hall, including its own, as a report to
 // other halls.
-func (t *Board) Hall(own map[string]float64, now time.Time) gossip.Load {
+func (t *Tracker) Hall(own map[string]float64, now time.Time) gossip.Load {
 	return t.pack(t.hall(own, now))
 }
 
 // Total returns the load of all daemons, as the response to a daemon of this hall. It
 // is computed at most twice in a report interval: a hundred daemons request it, and
 // each computation adds up a hundred reports.
-func (t *Board) All(own func() map[string]float64, now time.Time) gossip.Load {
+func (t *Tracker) All(own func() map[string]float64, now time.Time) gossip.Load {
 	if t.totalAt.IsZero() || now.Sub(t.totalAt) >= t.Every()/2 {
 		t.total, t.totalAt = t.pack(t.all(own(), now)), now
 	}
@@ -111,13 +115,13 @@
 
 // Others returns the load of all other daemons for each server, by the reports that
 // this daemon has received.
-func (t *Board) Others(now time.Time) map[string]float64 {
+func (t *Tracker) Others(now time.Time) map[string]float64 {
 	return t.byServer(t.all(nil, now))
 }
 
 // OthersFromResponse returns the load of all other daemons by the response to the last
 // report; ok is false if the response is for another list of servers.
-func (t *Board) OthersOf(m gossip.Load) (others map[string]float64, ok bool) {
+func (t *Tracker) OthersOf(m gossip.Load) (others map[string]float64, ok bool) {
 	load, ok := t.unpack(m)
 	if !ok || len(t.ownReported) != len(load) {
 		return nil, false
@@ -128,26 +132,26 @@
 	return t.byServer(load), true
 }
 
-func (t *Board) record(reports map[string]report, id string, m gossip.Load, now time.Time) {
+func (t *Tracker) record(reports map[string]report, id string, m gossip.Load, now time.Time) {
 	if load, ok := t.unpack(m); ok {
 		reports[id] = report{load: load, at: now}
 	}
 }
 
-func (t *Board) hall(own map[string]float64, now time.Time) []float64 {
+func (t *Tracker) hall(own map[string]float64, now time.Time) []float64 {
 	sum := t.inOrder(own)
 	t.add(sum, t.daemons, now)
 	return sum
 }
 
-func (t *Board) all(own map[string]float64, now time.Time) []float64 {
+func (t *Tracker) all(own map[string]float64, now time.Time) []float64 {
 	sum := t.hall(own, now)
 	t.add(sum, t.halls, now)
 	return sum
 }
 
 // add adds the reports within their lifetime to sum, and deletes the others.
-func (t *Board) add(sum []float64, reports map[string]report, now time.Time) {
+func (t *Tracker) add(sum []float64, reports map[string]report, now time.Time) {
 	for id, r := range reports {
 		if now.Sub(r.at) > t.Counts() {
 			delete(reports, id)
@@ -160,7 +164,7 @@
 }
 
 // inOrder returns the load in the order of the servers.
-func (t *Board) inOrder(load map[string]float64) []float64 {
+func (t *Tracker) inOrder(load map[string]float64) []float64 {
 	out := make([]float64, len(t.ids))
 	for i, id := range t.ids {
 		out[i] = load[id]
@@ -169,7 +173,7 @@
 }
 
 // byServer returns the load by server id, without servers that have none.
-func (t *Board) byServer(load []float64) map[string]float64 {
+func (t *Tracker) byServer(load []float64) map[string]float64 {
 	out := make(map[string]float64, len(load))
 	for i, id := range t.ids {
 		if load[i] > 0 {
@@ -179,7 +183,7 @@
 	return out
 }
 
-func (t *Board) pack(load []float64) gossip.Load {
+func (t *Tracker) pack(load []float64) gossip.Load {
 	out := gossip.Load{Sum: t.checksum, Packed: make([]byte, len(load))}
 	for i, w := range load {
 		out.Packed[i] = gossip.PackLoad(w)
@@ -189,7 +193,7 @@
 
 // unpack returns the load in a message, unless the message is for another list of
 // servers.
-func (t *Board) unpack(m gossip.Load) ([]float64, bool) {
+func (t *Tracker) unpack(m gossip.Load) ([]float64, bool) {
 	if m.Sum != t.checksum || len(m.Packed) != len(t.ids) {
 		return nil, false
 	}
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -16,7 +16,7 @@
 )
 
 // newTracker returns a tracker with the servers ids.
-func newTracker() *serverload.Board {
+func newTracker() *serverload.Tracker {
 	tr := serverload.NewBoard()
 	tr.List(7, ids)
 	return tr
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -180,7 +180,7 @@
 	// board is what is known of the work at servers, workAskedAt when this daemon last
 	// told its own with a question, workAbroadAt when other halls were last told of this
 	// one's.
-	board        *serverload.Board
+	board        *serverload.Tracker
 	workAskedAt  time.Time
 	workAbroadAt time.Time
 	// usageAt is when other readers were last told of usage.
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -13,7 +13,7 @@
 // reader and its answers, and from reader to reader between halls.
 
 // workBoard returns the board for the present list of servers.
-func (k *Keeper) workBoard() *serverload.Board {
+func (k *Keeper) workBoard() *serverload.Tracker {
 	if t := k.topics[gossip.Servers]; k.board.Sum() != t.sum {
 		k.board.List(t.sum, slices.Sorted(maps.Keys(t.rows)))
 	}
