--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -59,7 +59,7 @@
 }
 
 // NewTracker returns a tracker without servers.
-func NewBoard() *Tracker { return &Tracker{daemons: map[string]report{}, halls: map[string]report{}} }
+func NewTracker() *Tracker { return &Tracker{daemons: map[string]report{}, halls: map[string]report{}} }
 
 // SetServers sets the servers' ids, in order, and the checksum of their rows. Reports
 // for another list of servers are dropped.
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -17,7 +17,7 @@
 
 // newTracker returns a tracker with the servers ids.
 func newTracker() *serverload.Tracker {
-	tr := serverload.NewBoard()
+	tr := serverload.NewTracker()
 	tr.List(7, ids)
 	return tr
 }
@@ -64,7 +64,7 @@
 }
 
 func TestLoadOfAnotherServerListIsRejected(t *testing.T) {
-	tr, other := newTracker(), serverload.NewBoard()
+	tr, other := newTracker(), serverload.NewTracker()
 	other.List(8, ids)
 	tr.HearDaemon("d", other.Ask(map[string]float64{"s1": 10}), start)
 	tr.HearHall("h", gossip.Load{Sum: 7, Packed: []byte{255}}, start)
@@ -106,7 +106,7 @@
 // bounded.
 func TestBytesPerSecondAreBoundedForAnyNumberOfServers(t *testing.T) {
 	for _, servers := range []int{10, 140, 720, 3000} {
-		tr := serverload.NewBoard()
+		tr := serverload.NewTracker()
 		tr.List(1, make([]string, servers))
 		each := float64(len(tr.Ask(nil).Packed)) / tr.Every().Seconds()
 		if each > 400 {
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -243,7 +243,7 @@
 		topics: map[gossip.Topic]*topicState{}, loads: map[fleet.Incarnation]*fleet.ServerState{}, unlisted: map[fleet.Incarnation]unlisted{}, halls: map[string]*fleet.HallState{},
 		emptied: map[string]time.Time{}, returned: map[string]time.Time{}, coldUntil: map[fleet.Incarnation]time.Time{}, coldRows: map[fleet.Incarnation]revision.Revision{}, lapsed: map[string]time.Time{},
 		firstSeen: map[string]time.Time{}, asked: map[uint64]time.Time{}, listeners: map[string]time.Time{}, toldSums: map[gossip.Topic]uint64{}, readers: newReaders(),
-		bad: map[string]uint64{}, rollouts: newRollouts(), sessions: newSessions(), board: serverload.NewBoard(), limits: newLimits(),
+		bad: map[string]uint64{}, rollouts: newRollouts(), sessions: newSessions(), board: serverload.NewTracker(), limits: newLimits(),
 		entries: map[string]serverEntry{}, starts: map[string]int64{}, ledger: quarantine.NewRegistry(), confine: map[quarantine.Fingerprint]confined{},
 	}
 	for _, t := range []gossip.Topic{gossip.Operator, gossip.Servers, gossip.Progress, gossip.Members} {
