--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -63,7 +63,7 @@
 
 // SetServers sets the servers' ids, in order, and the checksum of their rows. Reports
 // for another list of servers are dropped.
-func (t *Tracker) List(sum uint64, ids []string) {
+func (t *Tracker) SetServers(sum uint64, ids []string) {
 	t.ids, t.checksum, t.ownReported, t.totalAt = ids, sum, nil, time.Time{}
 	clear(t.daemons)
 	clear(t.halls)
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -18,7 +18,7 @@
 // newTracker returns a tracker with the servers ids.
 func newTracker() *serverload.Tracker {
 	tr := serverload.NewTracker()
-	tr.List(7, ids)
+	tr.SetServers(7, ids)
 	return tr
 }
 
@@ -65,7 +65,7 @@
 
 func TestLoadOfAnotherServerListIsRejected(t *testing.T) {
 	tr, other := newTracker(), serverload.NewTracker()
-	other.List(8, ids)
+	other.SetServers(8, ids)
 	tr.HearDaemon("d", other.Ask(map[string]float64{"s1": 10}), start)
 	tr.HearHall("h", gossip.Load{Sum: 7, Packed: []byte{255}}, start)
 	if others := tr.Others(start); len(others) > 0 {
@@ -76,7 +76,7 @@
 		t.Error("a response for another list of servers was accepted")
 	}
 	answer := newTracker().All(own(nil), start)
-	tr.List(9, ids)
+	tr.SetServers(9, ids)
 	if _, ok := tr.OthersOf(answer); ok {
 		t.Error("a response for an earlier list of servers was accepted")
 	}
@@ -107,7 +107,7 @@
 func TestBytesPerSecondAreBoundedForAnyNumberOfServers(t *testing.T) {
 	for _, servers := range []int{10, 140, 720, 3000} {
 		tr := serverload.NewTracker()
-		tr.List(1, make([]string, servers))
+		tr.SetServers(1, make([]string, servers))
 		each := float64(len(tr.Ask(nil).Packed)) / tr.Every().Seconds()
 		if each > 400 {
 			t.Errorf("%d servers: %.0f bytes a second", servers, each)
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -15,7 +15,7 @@
 // workBoard returns the board for the present list of servers.
 func (k *Keeper) workBoard() *serverload.Tracker {
 	if t := k.topics[gossip.Servers]; k.board.Sum() != t.sum {
-		k.board.List(t.sum, slices.Sorted(maps.Keys(t.rows)))
+		k.board.SetServers(t.sum, slices.Sorted(maps.Keys(t.rows)))
 	}
 	return k.board
 }
