--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -70,7 +70,7 @@
 }
 
 // Checksum returns the checksum of the servers' rows.
-func (t *Tracker) Sum() uint64 { return t.checksum }
+func (t *Tracker) Checksum() uint64 { return t.checksum }
 
 // ReportInterval returns the time between two load reports of a daemon.
 func (t *Tracker) Every() time.Duration {
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -14,7 +14,7 @@
 
 // workBoard returns the board for the present list of servers.
 func (k *Keeper) workBoard() *serverload.Tracker {
-	if t := k.topics[gossip.Servers]; k.board.Sum() != t.sum {
+	if t := k.topics[gossip.Servers]; k.board.Checksum() != t.sum {
 		k.board.SetServers(t.sum, slices.Sorted(maps.Keys(t.rows)))
 	}
 	return k.board
