--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -81,7 +81,7 @@
 func (t *Tracker) Counts() time.Duration { return lifetimeIntervals * t.Every() }
 
 // OwnReport returns this daemon's own load as a report to its reader.
-func (t *Tracker) Ask(own map[string]float64) gossip.Load {
+func (t *Tracker) OwnReport(own map[string]float64) gossip.Load {
 	t.ownReported = t.inOrder(own)
 	return t.pack(t.ownReported)
 }
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -34,9 +34,9 @@
 
 func TestLoadOfAllHallsIsSummed(t *testing.T) {
 	reader, otherReader, daemon := newTracker(), newTracker(), newTracker()
-	ownReport := daemon.Ask(map[string]float64{"s1": 10, "s2": 1})
+	ownReport := daemon.OwnReport(map[string]float64{"s1": 10, "s2": 1})
 	reader.HearDaemon("d", ownReport, start)
-	otherReader.HearDaemon("x", newTracker().Ask(map[string]float64{"s3": 4}), start)
+	otherReader.HearDaemon("x", newTracker().OwnReport(map[string]float64{"s3": 4}), start)
 	reader.HearHall("h2", otherReader.Hall(map[string]float64{"s1": 2}, start), start)
 	others, ok := daemon.OthersOf(reader.All(own(map[string]float64{"s2": 3}), start))
 	if want := map[string]float64{"s1": 2, "s2": 3, "s3": 4}; !ok || !near(others, want) {
@@ -53,7 +53,7 @@
 func TestReportReplacesPreviousReportAndExpires(t *testing.T) {
 	tr := newTracker()
 	for range 5 {
-		tr.HearDaemon("d", newTracker().Ask(map[string]float64{"s1": 10}), start)
+		tr.HearDaemon("d", newTracker().OwnReport(map[string]float64{"s1": 10}), start)
 	}
 	if others := tr.Others(start.Add(tr.Counts())); !near(others, map[string]float64{"s1": 10}) {
 		t.Errorf("after five reports: %v", others)
@@ -66,12 +66,12 @@
 func TestLoadOfAnotherServerListIsRejected(t *testing.T) {
 	tr, other := newTracker(), serverload.NewTracker()
 	other.SetServers(8, ids)
-	tr.HearDaemon("d", other.Ask(map[string]float64{"s1": 10}), start)
+	tr.HearDaemon("d", other.OwnReport(map[string]float64{"s1": 10}), start)
 	tr.HearHall("h", gossip.Load{Sum: 7, Packed: []byte{255}}, start)
 	if others := tr.Others(start); len(others) > 0 {
 		t.Errorf("a report for another list of servers was accepted: %v", others)
 	}
-	tr.Ask(nil)
+	tr.OwnReport(nil)
 	if _, ok := tr.OthersOf(other.All(own(nil), start)); ok {
 		t.Error("a response for another list of servers was accepted")
 	}
@@ -85,7 +85,7 @@
 // A daemon that reports a false load makes a server look full, but no more than that.
 func TestReportedLoadIsBounded(t *testing.T) {
 	tr := newTracker()
-	tr.HearDaemon("d", newTracker().Ask(map[string]float64{"s1": 1e9}), start)
+	tr.HearDaemon("d", newTracker().OwnReport(map[string]float64{"s1": 1e9}), start)
 	if work := tr.Others(start)["s1"]; work > 1000 {
 		t.Errorf("accepted load: %v", work)
 	}
@@ -108,7 +108,7 @@
 	for _, servers := range []int{10, 140, 720, 3000} {
 		tr := serverload.NewTracker()
 		tr.SetServers(1, make([]string, servers))
-		each := float64(len(tr.Ask(nil).Packed)) / tr.Every().Seconds()
+		each := float64(len(tr.OwnReport(nil).Packed)) / tr.Every().Seconds()
 		if each > 400 {
 			t.Errorf("%d servers: %.0f bytes a second", servers, each)
 		}
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -27,7 +27,7 @@
 		return gossip.Load{}
 	}
 	k.workAskedAt = now
-	return b.Ask(k.ownWork())
+	return b.OwnReport(k.ownWork())
 }
 
 // ownWork is this daemon's work at each server now.
