--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -87,7 +87,7 @@
 }
 
 // SetDaemonLoad records the load that a daemon of this hall has reported.
-func (t *Tracker) HearDaemon(id string, m gossip.Load, now time.Time) {
+func (t *Tracker) SetDaemonLoad(id string, m gossip.Load, now time.Time) {
 	t.record(t.daemons, id, m, now)
 }
 
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -35,8 +35,8 @@
 func TestLoadOfAllHallsIsSummed(t *testing.T) {
 	reader, otherReader, daemon := newTracker(), newTracker(), newTracker()
 	ownReport := daemon.OwnReport(map[string]float64{"s1": 10, "s2": 1})
-	reader.HearDaemon("d", ownReport, start)
-	otherReader.HearDaemon("x", newTracker().OwnReport(map[string]float64{"s3": 4}), start)
+	reader.SetDaemonLoad("d", ownReport, start)
+	otherReader.SetDaemonLoad("x", newTracker().OwnReport(map[string]float64{"s3": 4}), start)
 	reader.HearHall("h2", otherReader.Hall(map[string]float64{"s1": 2}, start), start)
 	others, ok := daemon.OthersOf(reader.All(own(map[string]float64{"s2": 3}), start))
 	if want := map[string]float64{"s1": 2, "s2": 3, "s3": 4}; !ok || !near(others, want) {
@@ -53,7 +53,7 @@
 func TestReportReplacesPreviousReportAndExpires(t *testing.T) {
 	tr := newTracker()
 	for range 5 {
-		tr.HearDaemon("d", newTracker().OwnReport(map[string]float64{"s1": 10}), start)
+		tr.SetDaemonLoad("d", newTracker().OwnReport(map[string]float64{"s1": 10}), start)
 	}
 	if others := tr.Others(start.Add(tr.Counts())); !near(others, map[string]float64{"s1": 10}) {
 		t.Errorf("after five reports: %v", others)
@@ -66,7 +66,7 @@
 func TestLoadOfAnotherServerListIsRejected(t *testing.T) {
 	tr, other := newTracker(), serverload.NewTracker()
 	other.SetServers(8, ids)
-	tr.HearDaemon("d", other.OwnReport(map[string]float64{"s1": 10}), start)
+	tr.SetDaemonLoad("d", other.OwnReport(map[string]float64{"s1": 10}), start)
 	tr.HearHall("h", gossip.Load{Sum: 7, Packed: []byte{255}}, start)
 	if others := tr.Others(start); len(others) > 0 {
 		t.Errorf("a report for another list of servers was accepted: %v", others)
@@ -85,7 +85,7 @@
 // A daemon that reports a false load makes a server look full, but no more than that.
 func TestReportedLoadIsBounded(t *testing.T) {
 	tr := newTracker()
-	tr.HearDaemon("d", newTracker().OwnReport(map[string]float64{"s1": 1e9}), start)
+	tr.SetDaemonLoad("d", newTracker().OwnReport(map[string]float64{"s1": 1e9}), start)
 	if work := tr.Others(start)["s1"]; work > 1000 {
 		t.Errorf("accepted load: %v", work)
 	}
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -47,7 +47,7 @@
 	}
 	b := k.workBoard()
 	if from.Hall == k.Self.Hall {
-		b.HearDaemon(from.ID, m, now)
+		b.SetDaemonLoad(from.ID, m, now)
 	}
 	return b.All(k.ownWork, now)
 }
