--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -93,7 +93,7 @@
 
 // SetHallLoad records the load that the reader of another hall has reported for its
 // hall.
-func (t *Tracker) HearHall(hall string, m gossip.Load, now time.Time) {
+func (t *Tracker) SetHallLoad(hall string, m gossip.Load, now time.Time) {
 	t.record(t.halls, hall, m, now)
 }
 
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -37,7 +37,7 @@
 	ownReport := daemon.OwnReport(map[string]float64{"s1": 10, "s2": 1})
 	reader.SetDaemonLoad("d", ownReport, start)
 	otherReader.SetDaemonLoad("x", newTracker().OwnReport(map[string]float64{"s3": 4}), start)
-	reader.HearHall("h2", otherReader.Hall(map[string]float64{"s1": 2}, start), start)
+	reader.SetHallLoad("h2", otherReader.Hall(map[string]float64{"s1": 2}, start), start)
 	others, ok := daemon.OthersOf(reader.All(own(map[string]float64{"s2": 3}), start))
 	if want := map[string]float64{"s1": 2, "s2": 3, "s3": 4}; !ok || !near(others, want) {
 		t.Errorf("the daemon receives %v, %v", others, ok)
@@ -67,7 +67,7 @@
 	tr, other := newTracker(), serverload.NewTracker()
 	other.SetServers(8, ids)
 	tr.SetDaemonLoad("d", other.OwnReport(map[string]float64{"s1": 10}), start)
-	tr.HearHall("h", gossip.Load{Sum: 7, Packed: []byte{255}}, start)
+	tr.SetHallLoad("h", gossip.Load{Sum: 7, Packed: []byte{255}}, start)
 	if others := tr.Others(start); len(others) > 0 {
 		t.Errorf("a report for another list of servers was accepted: %v", others)
 	}
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -61,7 +61,7 @@
 	}
 	if m.Nonce == 0 {
 		if member.Hall != k.Self.Hall {
-			k.workBoard().HearHall(member.Hall, m.Load, now)
+			k.workBoard().SetHallLoad(member.Hall, m.Load, now)
 		}
 		return
 	}
