--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -99,7 +99,7 @@
 
 // HallTotal returns the load of this daemon's hall, including its own, as a report to
 // other halls.
-func (t *Tracker) Hall(own map[string]float64, now time.Time) gossip.Load {
+func (t *Tracker) HallTotal(own map[string]float64, now time.Time) gossip.Load {
 	return t.pack(t.hall(own, now))
 }
 
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -37,7 +37,7 @@
 	ownReport := daemon.OwnReport(map[string]float64{"s1": 10, "s2": 1})
 	reader.SetDaemonLoad("d", ownReport, start)
 	otherReader.SetDaemonLoad("x", newTracker().OwnReport(map[string]float64{"s3": 4}), start)
-	reader.SetHallLoad("h2", otherReader.Hall(map[string]float64{"s1": 2}, start), start)
+	reader.SetHallLoad("h2", otherReader.HallTotal(map[string]float64{"s1": 2}, start), start)
 	others, ok := daemon.OthersOf(reader.All(own(map[string]float64{"s2": 3}), start))
 	if want := map[string]float64{"s1": 2, "s2": 3, "s3": 4}; !ok || !near(others, want) {
 		t.Errorf("the daemon receives %v, %v", others, ok)
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -78,6 +78,6 @@
 	}
 	k.workAbroadAt = now
 	b := k.workBoard()
-	k.broadcast(gossip.Response{Load: b.Hall(k.ownWork(), now)})
+	k.broadcast(gossip.Response{Load: b.HallTotal(k.ownWork(), now)})
 	k.View().Servers.SetRemoteLoad(b.Others(now), now)
 }
