--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -106,7 +106,7 @@
 // Total returns the load of all daemons, as the response to a daemon of this hall. It
 // is computed at most twice in a report interval: a hundred daemons request it, and
 // each computation adds up a hundred reports.
-func (t *Tracker) All(own func() map[string]float64, now time.Time) gossip.Load {
+func (t *Tracker) Total(own func() map[string]float64, now time.Time) gossip.Load {
 	if t.totalAt.IsZero() || now.Sub(t.totalAt) >= t.Every()/2 {
 		t.total, t.totalAt = t.pack(t.all(own(), now)), now
 	}
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -49,7 +49,7 @@
 	if from.Hall == k.Self.Hall {
 		b.SetDaemonLoad(from.ID, m, now)
 	}
-	return b.All(k.ownWork, now)
+	return b.Total(k.ownWork, now)
 }
 
 // toldWork takes what another daemon tells of work: that of all daemons with an answer,
