--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -121,7 +121,7 @@
 
 // OthersFromResponse returns the load of all other daemons by the response to the last
 // report; ok is false if the response is for another list of servers.
-func (t *Tracker) OthersOf(m gossip.Load) (others map[string]float64, ok bool) {
+func (t *Tracker) OthersFromResponse(m gossip.Load) (others map[string]float64, ok bool) {
 	load, ok := t.unpack(m)
 	if !ok || len(t.ownReported) != len(load) {
 		return nil, false
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -38,7 +38,7 @@
 	reader.SetDaemonLoad("d", ownReport, start)
 	otherReader.SetDaemonLoad("x", newTracker().OwnReport(map[string]float64{"s3": 4}), start)
 	reader.SetHallLoad("h2", otherReader.HallTotal(map[string]float64{"s1": 2}, start), start)
-	others, ok := daemon.OthersOf(reader.Total(own(map[string]float64{"s2": 3}), start))
+	others, ok := daemon.OthersFromResponse(reader.Total(own(map[string]float64{"s2": 3}), start))
 	if want := map[string]float64{"s1": 2, "s2": 3, "s3": 4}; !ok || !near(others, want) {
 		t.Errorf("the daemon receives %v, %v", others, ok)
 	}
@@ -72,12 +72,12 @@
 		t.Errorf("a report for another list of servers was accepted: %v", others)
 	}
 	tr.OwnReport(nil)
-	if _, ok := tr.OthersOf(other.Total(own(nil), start)); ok {
+	if _, ok := tr.OthersFromResponse(other.Total(own(nil), start)); ok {
 		t.Error("a response for another list of servers was accepted")
 	}
 	answer := newTracker().Total(own(nil), start)
 	tr.SetServers(9, ids)
-	if _, ok := tr.OthersOf(answer); ok {
+	if _, ok := tr.OthersFromResponse(answer); ok {
 		t.Error("a response for an earlier list of servers was accepted")
 	}
 }
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -65,7 +65,7 @@
 		}
 		return
 	}
-	if others, ok := k.workBoard().OthersOf(m.Load); ok {
+	if others, ok := k.workBoard().OthersFromResponse(m.Load); ok {
 		k.View().Servers.SetRemoteLoad(others, now)
 	}
 }
