--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -73,12 +73,12 @@
 func (t *Tracker) Checksum() uint64 { return t.checksum }
 
 // ReportInterval returns the time between two load reports of a daemon.
-func (t *Tracker) Every() time.Duration {
+func (t *Tracker) ReportInterval() time.Duration {
 	return max(minReportInterval, time.Duration(len(t.ids))*time.Second/maxBytesPerSecond)
 }
 
 // ReportLifetime returns how long a report is used.
-func (t *Tracker) Counts() time.Duration { return lifetimeIntervals * t.Every() }
+func (t *Tracker) Counts() time.Duration { return lifetimeIntervals * t.ReportInterval() }
 
 // OwnReport returns this daemon's own load as a report to its reader.
 func (t *Tracker) OwnReport(own map[string]float64) gossip.Load {
@@ -107,7 +107,7 @@
 // is computed at most twice in a report interval: a hundred daemons request it, and
 // each computation adds up a hundred reports.
 func (t *Tracker) Total(own func() map[string]float64, now time.Time) gossip.Load {
-	if t.totalAt.IsZero() || now.Sub(t.totalAt) >= t.Every()/2 {
+	if t.totalAt.IsZero() || now.Sub(t.totalAt) >= t.ReportInterval()/2 {
 		t.total, t.totalAt = t.pack(t.all(own(), now)), now
 	}
 	return t.total
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -108,7 +108,7 @@
 	for _, servers := range []int{10, 140, 720, 3000} {
 		tr := serverload.NewTracker()
 		tr.SetServers(1, make([]string, servers))
-		each := float64(len(tr.OwnReport(nil).Packed)) / tr.Every().Seconds()
+		each := float64(len(tr.OwnReport(nil).Packed)) / tr.ReportInterval().Seconds()
 		if each > 400 {
 			t.Errorf("%d servers: %.0f bytes a second", servers, each)
 		}
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -23,7 +23,7 @@
 // askWork is this daemon's work, for a question, or nothing if it was told a moment ago.
 func (k *Keeper) askWork(now time.Time) gossip.Load {
 	b := k.workBoard()
-	if now.Sub(k.workAskedAt) < b.Every() {
+	if now.Sub(k.workAskedAt) < b.ReportInterval() {
 		return gossip.Load{}
 	}
 	k.workAskedAt = now
@@ -73,7 +73,7 @@
 // shareWork has a reader tell other halls of this one's work, and take what it has been
 // told itself: it has nobody to ask.
 func (k *Keeper) shareWork(now time.Time) {
-	if !k.reading.Load() || k.View().Servers == nil || now.Sub(k.workAbroadAt) < k.workBoard().Every() {
+	if !k.reading.Load() || k.View().Servers == nil || now.Sub(k.workAbroadAt) < k.workBoard().ReportInterval() {
 		return
 	}
 	k.workAbroadAt = now
