--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -78,7 +78,7 @@
 }
 
 // ReportLifetime returns how long a report is used.
-func (t *Tracker) Counts() time.Duration { return lifetimeIntervals * t.ReportInterval() }
+func (t *Tracker) ReportLifetime() time.Duration { return lifetimeIntervals * t.ReportInterval() }
 
 // OwnReport returns this daemon's own load as a report to its reader.
 func (t *Tracker) OwnReport(own map[string]float64) gossip.Load {
@@ -153,7 +153,7 @@
 // add adds the reports within their lifetime to sum, and deletes the others.
 func (t *Tracker) add(sum []float64, reports map[string]report, now time.Time) {
 	for id, r := range reports {
-		if now.Sub(r.at) > t.Counts() {
+		if now.Sub(r.at) > t.ReportLifetime() {
 			delete(reports, id)
 			continue
 		}
--- a/core/serverload/serverload_test.go
+++ b/core/serverload/serverload_test.go
@@ -55,10 +55,10 @@
 	for range 5 {
 		tr.SetDaemonLoad("d", newTracker().OwnReport(map[string]float64{"s1": 10}), start)
 	}
-	if others := tr.Others(start.Add(tr.Counts())); !near(others, map[string]float64{"s1": 10}) {
+	if others := tr.Others(start.Add(tr.ReportLifetime())); !near(others, map[string]float64{"s1": 10}) {
 		t.Errorf("after five reports: %v", others)
 	}
-	if others := tr.Others(start.Add(tr.Counts() + 1)); len(others) > 0 {
+	if others := tr.Others(start.Add(tr.ReportLifetime() + 1)); len(others) > 0 {
 		t.Errorf("after the lifetime of the report: %v", others)
 	}
 }
