--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -36,8 +36,8 @@
 
 // daemon is one daemon with its own view of the servers.
 type daemon struct {
-	list  *fleet.List
-	loads map[string]*fleet.ServerState
+	list   *fleet.List
+	states map[string]*fleet.ServerState
 }
 
 // modelServer is one model server.
@@ -49,7 +49,7 @@
 
 // request is one request in flight.
 type request struct {
-	load   *fleet.ServerState
+	state  *fleet.ServerState
 	id     string
 	endsAt time.Time
 }
@@ -76,12 +76,12 @@
 		s.servers = append(s.servers, &modelServer{id: "s" + strconv.Itoa(i), cached: map[int]bool{}, freeAt: start})
 	}
 	for range daemons {
-		d := &daemon{loads: map[string]*fleet.ServerState{}}
+		d := &daemon{states: map[string]*fleet.ServerState{}}
 		var list []*fleet.Server
 		hall := fleet.NewHallState()
 		for _, e := range s.servers {
-			d.loads[e.id] = fleet.NewServerState(hall)
-			list = append(list, &fleet.Server{ID: e.id, Service: "llm", Version: "v", Hall: "h", State: d.loads[e.id]})
+			d.states[e.id] = fleet.NewServerState(hall)
+			list = append(list, &fleet.Server{ID: e.id, Service: "llm", Version: "v", Hall: "h", State: d.states[e.id]})
 		}
 		d.list = fleet.NewList(list)
 		s.daemons = append(s.daemons, d)
@@ -126,7 +126,7 @@
 	s.waits = append(s.waits, e.freeAt.Sub(s.now))
 	chosen.State.PrefixCache.Read(prompt, s.now)
 	chosen.State.Begin(2)
-	s.inFlight = append(s.inFlight, &request{load: chosen.State, id: e.id, endsAt: e.freeAt.Add(answerTime)})
+	s.inFlight = append(s.inFlight, &request{state: chosen.State, id: e.id, endsAt: e.freeAt.Add(answerTime)})
 }
 
 // finish ends the requests that are over.
@@ -135,7 +135,7 @@
 		if r.endsAt.After(s.now) {
 			return false
 		}
-		r.load.End(2)
+		r.state.End(2)
 		return true
 	})
 }
@@ -152,7 +152,7 @@
 		for _, d := range s.daemons {
 			others := map[string]float64{}
 			for id, w := range s.history[0].load {
-				others[id] = max(0, w-d.loads[id].OwnLoad())
+				others[id] = max(0, w-d.states[id].OwnLoad())
 			}
 			d.list.SetRemoteLoad(others, s.now)
 		}
--- a/core/serverload/serverload.go
+++ b/core/serverload/serverload.go
@@ -63,8 +63,8 @@
 
 // SetServers sets the servers' ids, in order, and the checksum of their rows. Reports
 // for another list of servers are dropped.
-func (t *Tracker) SetServers(sum uint64, ids []string) {
-	t.ids, t.checksum, t.ownReported, t.totalAt = ids, sum, nil, time.Time{}
+func (t *Tracker) SetServers(checksum uint64, ids []string) {
+	t.ids, t.checksum, t.ownReported, t.totalAt = ids, checksum, nil, time.Time{}
 	clear(t.daemons)
 	clear(t.halls)
 }
@@ -100,7 +100,7 @@
 // HallTotal returns the load of this daemon's hall, including its own, as a report to
 // other halls.
 func (t *Tracker) HallTotal(own map[string]float64, now time.Time) gossip.Load {
-	return t.pack(t.hall(own, now))
+	return t.pack(t.hallLoad(own, now))
 }
 
 // Total returns the load of all daemons, as the response to a daemon of this hall. It
@@ -108,7 +108,7 @@
 // each computation adds up a hundred reports.
 func (t *Tracker) Total(own func() map[string]float64, now time.Time) gossip.Load {
 	if t.totalAt.IsZero() || now.Sub(t.totalAt) >= t.ReportInterval()/2 {
-		t.total, t.totalAt = t.pack(t.all(own(), now)), now
+		t.total, t.totalAt = t.pack(t.totalLoad(own(), now)), now
 	}
 	return t.total
 }
@@ -116,7 +116,7 @@
 // Others returns the load of all other daemons for each server, by the reports that
 // this daemon has received.
 func (t *Tracker) Others(now time.Time) map[string]float64 {
-	return t.byServer(t.all(nil, now))
+	return t.byServer(t.totalLoad(nil, now))
 }
 
 // OthersFromResponse returns the load of all other daemons by the response to the last
@@ -138,14 +138,14 @@
 	}
 }
 
-func (t *Tracker) hall(own map[string]float64, now time.Time) []float64 {
+func (t *Tracker) hallLoad(own map[string]float64, now time.Time) []float64 {
 	sum := t.inOrder(own)
 	t.add(sum, t.daemons, now)
 	return sum
 }
 
-func (t *Tracker) all(own map[string]float64, now time.Time) []float64 {
-	sum := t.hall(own, now)
+func (t *Tracker) totalLoad(own map[string]float64, now time.Time) []float64 {
+	sum := t.hallLoad(own, now)
 	t.add(sum, t.halls, now)
 	return sum
 }
