--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -1,13 +1,11 @@
-// Package aggregation adds up, over all daemons, what each of them sees: how much
-// each organisation asks for, how well each version answers, and which table
-// generation is in force.
+// Package aggregation sums up counters over all daemons: the demand of each organisation, the responses
+// of each version, and the table generations in force.
 //
-// The daemons of a data hall form a tree (package member). At every tick each
-// sends the sum of its own figures and its children's to its parent, and gets
-// the totals of all data halls back from it. So a daemon's work depends on the
-// number of organisations and versions, and not on the number of daemons.
-// Figures are cumulative or levels, never differences: a lost or doubled
-// message does no harm.
+// The daemons of a data hall form a tree (see package member). At every tick each daemon sends the sum of
+// its own counters and those of its children to its parent, and receives the totals of all data halls from
+// it. The work of a daemon therefore depends on the number of organisations and versions, not on the number
+// of daemons. Values are cumulative counters or gauges, never differences, so that lost or duplicated
+// messages do no harm.
 package aggregation
 
 import (
@@ -20,31 +18,31 @@
 	"ladderridge.example/core/table"
 )
 
-// Key stands for a name on the wire.
+// Key represents a name on the wire.
 type Key uint32
 
-// KeyOf is the key of an organisation's name.
+// KeyOf returns the key of the name of an organisation.
 func KeyOf(name string) Key { return Key(xxhash.Sum64String(name)) }
 
-// KeyOfRef is the key of a version.
+// KeyOfRef returns the key of a version.
 func KeyOfRef(ref table.Ref) Key { return KeyOf(ref.String()) }
 
-// RequestsUnit is how many units of Demand.Requests are one request a second.
+// RequestsUnit is the number of units of Demand.Requests per request per second.
 const RequestsUnit = 10
 
-// Demand is what one organisation asks for.
+// Demand is the demand of one organisation.
 type Demand struct {
 	_   struct{} `cbor:",toarray"`
 	Key Key
-	// Requests, in parts of RequestsUnit, and Tokens are asked for a second, refused ones
-	// included. Whole numbers are short on the wire.
+	// Requests, in units of 1/RequestsUnit, and Tokens are requested per second, including requests that were
+	// refused. They are integers because these are short on the wire.
 	Requests uint32
 	Tokens   uint32
-	// InFlight is how many requests are under way.
+	// InFlight is the number of requests in flight.
 	InFlight uint32
 }
 
-// Evidence is how one version has answered, counted since a daemon started.
+// Evidence counts the responses of one version since the start of a daemon.
 type Evidence struct {
 	_       struct{} `cbor:",toarray"`
 	Key     Key
@@ -52,14 +50,14 @@
 	Bad     uint64
 }
 
-// Sums are figures added up over a number of daemons.
+// Sums holds counters summed over a number of daemons.
 type Sums struct {
 	_       struct{} `cbor:",toarray"`
 	Daemons uint32
-	// Set is the sum of the hashes of the daemons' ids: it tells whether just
-	// the expected daemons were added up, each of them once.
+	// Set is the sum of the hashes of the daemons' ids. It shows whether exactly the expected daemons are
+	// included, each of them once.
 	Set uint64
-	// Oldest is the lowest table generation in force on any of them.
+	// Oldest is the oldest table generation in force on any of them.
 	Oldest   uint64
 	Demands  []Demand
 	Evidence []Evidence
@@ -123,89 +121,89 @@
 	return append(out, b[j:]...)
 }
 
-// Status is how one data hall stands, without its figures.
+// Status describes the state of one data hall without its counters.
 type Status struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
-	// Members is how many daemons its root counts on; Daemons of them have
+	// Members is the number of usable daemons according to the root; Daemons is how many of them have
 	// reported.
 	Members uint32
 	Daemons uint32
-	// Down is how many listed daemons the root does not count on.
+	// Down is the number of listed daemons that the root considers unusable.
 	Down uint32
-	// Complete tells that just the members have reported, each once.
+	// Complete is set if exactly the members have reported, each once.
 	Complete bool
-	// Oldest is the lowest table generation in force on those that reported.
+	// Oldest is the oldest table generation in force on the daemons that have reported.
 	Oldest uint64
-	// Round grows with every total that the hall's roots make.
+	// Round increases with every total of the hall, also when its root changes.
 	Round uint64
-	// AgeMS is how old the total is, in milliseconds.
+	// AgeMS is the age of the total in milliseconds.
 	AgeMS uint64
 }
 
-// Stale reports whether the status is too old to count.
+// Stale reports whether the total is too old to be used.
 func (s Status) Stale() bool { return s.AgeMS > uint64(StaleAfter.Milliseconds()) }
 
-// Hall is the total of one data hall, as its root tells the roots of others.
+// Hall is the total of one data hall, as its root sends it to the roots of the other halls.
 type Hall struct {
 	_      struct{} `cbor:",toarray"`
 	Status Status
 	Sums   Sums
 }
 
-// Totals are what a daemon learns from its parent: its own data hall's total,
-// that of all others whose total is fresh, and how every hall stands.
+// Totals are sent from parent to child: the total of the local data hall, the sum of all other halls whose
+// totals are not stale, and the state of every hall.
 type Totals struct {
 	_ struct{} `cbor:",toarray"`
-	// Own and Others have no evidence: it is all in Seen.
+	// Own and Others contain no evidence, which is all in Seen.
 	Own    Sums
 	Others Sums
-	// FreshOthers is how many data halls Others adds up.
+	// FreshOthers is the number of data halls included in Others.
 	FreshOthers uint32
-	// Seen is the evidence of all daemons that are heard of.
+	// Seen is the evidence of all daemons that are included.
 	Seen  []Evidence
 	Halls []Status
 }
 
-// Evidence is what all daemons that are heard of saw of a version.
+// Evidence returns the evidence on a version from all daemons that are included.
 func (t Totals) Evidence(key Key) Evidence { return Sums{Evidence: t.Seen}.EvidenceOf(key) }
 
-// StaleAfter is the age from which a total or a child's sum no longer counts.
+// StaleAfter is the age from which a total or the sum of a child is no longer used.
 const StaleAfter = 5 * time.Second
 
-// reported is a sum from a child with the time at which it came.
-type reported struct {
+// childSums are the sums of a child with the time of their arrival.
+type childSums struct {
 	sums Sums
 	at   time.Time
 }
 
-// known is a data hall's total with the time at which it was made.
-type known struct {
+// hallTotal is the total of a data hall with the time at which it was computed.
+type hallTotal struct {
 	hall Hall
 	at   time.Time
 }
 
-// Tree is what one daemon holds. It is owned by one goroutine.
+// Tree is the part of the aggregation tree that one daemon keeps. It must be used by one goroutine only.
 type Tree struct {
-	children map[string]reported
-	// halls are the totals that a root knows.
-	halls map[string]known
-	// totals are the latest, made here or by the parent, and at is when.
-	totals Totals
-	at     time.Time
+	children map[string]childSums
+	// halls holds the totals of the data halls, kept by root daemons.
+	halls map[string]hallTotal
+	// totals are the latest totals, computed here or received from the parent; totalsAt is when.
+	totals   Totals
+	totalsAt time.Time
 }
 
 // NewTree returns an empty tree.
 func NewTree() *Tree {
-	return &Tree{children: map[string]reported{}, halls: map[string]known{}}
+	return &Tree{children: map[string]childSums{}, halls: map[string]hallTotal{}}
 }
 
-// Child takes a child's sum.
+// Child stores the sums of a child.
 func (t *Tree) Child(id string, sums Sums, now time.Time) {
-	t.children[id] = reported{sums: sums, at: now}
+	t.children[id] = childSums{sums: sums, at: now}
 }
 
-// Sum is the daemon's own figures and those of its present children.
+// Sum returns the sum of the daemon's own counters and those of its current children.
 func (t *Tree) Sum(own Sums, children []string, now time.Time) Sums {
 	for id, r := range t.children {
 		if now.Sub(r.at) > StaleAfter || !slices.Contains(children, id) {
@@ -219,18 +217,18 @@
 	return total
 }
 
-// Root makes the total of the own data hall, because this daemon is the root
-// of its tree, and returns it for the roots of other halls.
+// Root computes the total of the local data hall on the root of its tree, and returns it for the roots of
+// the other halls.
 func (t *Tree) Root(h Hall, now time.Time) Hall {
 	name := h.Status.Name
-	// Roots change: a new one goes on above the rounds of the old one.
+	// A new root continues above the rounds of the previous one.
 	h.Status.Round = max(t.halls[name].hall.Status.Round+1, uint64(now.UnixMilli()))
-	t.halls[name] = known{hall: h, at: now}
-	t.totals, t.at = t.compose(name, now), now
+	t.halls[name] = hallTotal{hall: h, at: now}
+	t.totals, t.totalsAt = t.compose(name, now), now
 	return h
 }
 
-// compose makes the totals from what a root knows.
+// compose computes the totals from the data that a root has.
 func (t *Tree) compose(own string, now time.Time) Totals {
 	out := Totals{Own: t.halls[own].hall.Sums}
 	for name, k := range t.halls {
@@ -248,22 +246,21 @@
 	return out
 }
 
-// Learn takes a data hall's total from its root.
+// Learn stores the total of another data hall, received from its root.
 func (t *Tree) Learn(h Hall, now time.Time) {
 	name := h.Status.Name
-	if was, ok := t.halls[name]; ok && h.Status.Round <= was.hall.Status.Round {
+	if previous, ok := t.halls[name]; ok && h.Status.Round <= previous.hall.Status.Round {
 		return
 	}
-	t.halls[name] = known{hall: h, at: now.Add(-time.Duration(h.Status.AgeMS) * time.Millisecond)}
+	t.halls[name] = hallTotal{hall: h, at: now.Add(-time.Duration(h.Status.AgeMS) * time.Millisecond)}
 }
 
-// FromParent takes the totals from the parent.
-func (t *Tree) FromParent(totals Totals, now time.Time) { t.totals, t.at = totals, now }
+// FromParent stores the totals received from the parent.
+func (t *Tree) FromParent(totals Totals, now time.Time) { t.totals, t.totalsAt = totals, now }
 
-// Totals returns the latest totals, with the halls' ages as of now, and whether
-// they are fresh.
+// Totals returns the latest totals, with the ages of the halls as of now, and whether they are fresh.
 func (t *Tree) Totals(now time.Time) (Totals, bool) {
-	since := now.Sub(t.at)
+	since := now.Sub(t.totalsAt)
 	out := t.totals
 	out.Halls = slices.Clone(out.Halls)
 	for i := range out.Halls {
--- a/core/aggregation/aggregation_test.go
+++ b/core/aggregation/aggregation_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestSilentChildrenAndHallsNoLongerCount(t *testing.T) {
+func TestStaleChildrenAndHallsAreIgnored(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	tree := aggregation.NewTree()
 	tree.Child("b", aggregation.Sums{Daemons: 3}, now)
