--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -144,8 +144,8 @@
 // Stale reports whether the total is too old to be used.
 func (s Status) Stale() bool { return s.AgeMS > uint64(StaleAfter.Milliseconds()) }
 
-// Hall is the total of one data hall, as its root sends it to the roots of the other halls.
-type Hall struct {
+// HallTotal is the total of one data hall, as its root sends it to the roots of the other halls.
+type HallTotal struct {
 	_      struct{} `cbor:",toarray"`
 	Status Status
 	Sums   Sums
@@ -179,7 +179,7 @@
 
 // hallTotal is the total of a data hall with the time at which it was computed.
 type hallTotal struct {
-	hall Hall
+	hall HallTotal
 	at   time.Time
 }
 
@@ -219,7 +219,7 @@
 
 // Root computes the total of the local data hall on the root of its tree, and returns it for the roots of
 // the other halls.
-func (t *Tree) Root(h Hall, now time.Time) Hall {
+func (t *Tree) Root(h HallTotal, now time.Time) HallTotal {
 	name := h.Status.Name
 	// A new root continues above the rounds of the previous one.
 	h.Status.Round = max(t.halls[name].hall.Status.Round+1, uint64(now.UnixMilli()))
@@ -247,7 +247,7 @@
 }
 
 // Learn stores the total of another data hall, received from its root.
-func (t *Tree) Learn(h Hall, now time.Time) {
+func (t *Tree) Learn(h HallTotal, now time.Time) {
 	name := h.Status.Name
 	if previous, ok := t.halls[name]; ok && h.Status.Round <= previous.hall.Status.Round {
 		return
--- a/core/node/message.go
+++ b/core/node/message.go
@@ -62,7 +62,7 @@
 // HallReport carries the total of a data hall to the root daemons of the other halls.
 type HallReport struct {
 	_    struct{} `cbor:",toarray"`
-	Hall aggregation.Hall
+	Hall aggregation.HallTotal
 }
 
 // Copies asks another daemon to hold copies of bills. With Adopt the receiver takes the bills over
--- a/daemon/peer/codec_test.go
+++ b/daemon/peer/codec_test.go
@@ -32,7 +32,7 @@
 	node.Deliver{Document: replication.NewDocument(replication.Config, 9, []byte("table")), AgeMS: 8},
 	node.SubtreeSums{Sums: aggregation.Sums{Daemons: 2, Set: 5, Oldest: 1, Demands: []aggregation.Demand{{Key: 1, Requests: 2, Tokens: 3, InFlight: 4}}}},
 	node.TotalsReport{Totals: aggregation.Totals{FreshOthers: 1, Halls: []aggregation.Status{{Name: "h", Members: 3, Complete: true, Round: 4}}}},
-	node.HallReport{Hall: aggregation.Hall{Status: aggregation.Status{Name: "h", Members: 3}, Sums: aggregation.Sums{Evidence: []aggregation.Evidence{{Key: 1, Answers: 2, Bad: 1}}}}},
+	node.HallReport{Hall: aggregation.HallTotal{Status: aggregation.Status{Name: "h", Members: 3}, Sums: aggregation.Sums{Evidence: []aggregation.Evidence{{Key: 1, Answers: 2, Bad: 1}}}}},
 	node.Copies{Bills: []bill.Bill{{Key: "k", Organisation: "o", Tokens: 3, Cost: 4}}, Adopt: true},
 	node.CopiesHeld{Keys: []string{"k"}},
 	node.Release{Keys: []string{"k", "l"}},
