--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -121,8 +121,8 @@
 	return append(out, b[j:]...)
 }
 
-// Status describes the state of one data hall without its counters.
-type Status struct {
+// HallStatus describes the state of one data hall without its counters.
+type HallStatus struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
 	// Members is the number of usable daemons according to the root; Daemons is how many of them have
@@ -142,12 +142,12 @@
 }
 
 // Stale reports whether the total is too old to be used.
-func (s Status) Stale() bool { return s.AgeMS > uint64(StaleAfter.Milliseconds()) }
+func (s HallStatus) Stale() bool { return s.AgeMS > uint64(StaleAfter.Milliseconds()) }
 
 // HallTotal is the total of one data hall, as its root sends it to the roots of the other halls.
 type HallTotal struct {
 	_      struct{} `cbor:",toarray"`
-	Status Status
+	Status HallStatus
 	Sums   Sums
 }
 
@@ -162,7 +162,7 @@
 	FreshOthers uint32
 	// Seen is the evidence of all daemons that are included.
 	Seen  []Evidence
-	Halls []Status
+	Halls []HallStatus
 }
 
 // Evidence returns the evidence on a version from all daemons that are included.
@@ -240,7 +240,7 @@
 			out.FreshOthers++
 		}
 	}
-	slices.SortFunc(out.Halls, func(a, b Status) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out.Halls, func(a, b HallStatus) int { return cmp.Compare(a.Name, b.Name) })
 	out.Seen = out.Own.Add(out.Others).Evidence
 	out.Own.Evidence, out.Others.Evidence = nil, nil
 	return out
--- a/core/aggregation/aggregation_test.go
+++ b/core/aggregation/aggregation_test.go
@@ -52,16 +52,16 @@
 	if got := tree.Sum(own, []string{"b"}, now.Add(aggregation.StaleAfter+time.Second)).Daemons; got != 1 {
 		t.Errorf("with a silent child %d daemons, want 1", got)
 	}
-	other := aggregation.Status{Name: "other", Round: 2, AgeMS: 1000}
+	other := aggregation.HallStatus{Name: "other", Round: 2, AgeMS: 1000}
 	tree.Learn(aggregation.HallTotal{Status: other, Sums: aggregation.Sums{Daemons: 5}}, now)
-	tree.Root(aggregation.HallTotal{Status: aggregation.Status{Name: "own"}}, now)
+	tree.Root(aggregation.HallTotal{Status: aggregation.HallStatus{Name: "own"}}, now)
 	if totals, fresh := tree.Totals(now); !fresh || totals.FreshOthers != 1 || totals.Others.Daemons != 5 {
 		t.Errorf("got %+v, fresh %v", totals, fresh)
 	}
 	other.Round, other.AgeMS = 1, 0
 	tree.Learn(aggregation.HallTotal{Status: other}, now.Add(time.Second))
 	later := now.Add(aggregation.StaleAfter)
-	tree.Root(aggregation.HallTotal{Status: aggregation.Status{Name: "own"}}, later)
+	tree.Root(aggregation.HallTotal{Status: aggregation.HallStatus{Name: "own"}}, later)
 	if totals, _ := tree.Totals(later); totals.FreshOthers != 0 {
 		t.Error("an old round made a silent data hall fresh again")
 	}
