--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -54,9 +54,9 @@
 type Sums struct {
 	_       struct{} `cbor:",toarray"`
 	Daemons uint32
-	// Set is the sum of the hashes of the daemons' ids. It shows whether exactly the expected daemons are
+	// MemberChecksum is the sum of the hashes of the daemons' ids. It shows whether exactly the expected daemons are
 	// included, each of them once.
-	Set uint64
+	MemberChecksum uint64
 	// Oldest is the oldest table generation in force on any of them.
 	Oldest   uint64
 	Demands  []Demand
@@ -71,7 +71,7 @@
 	if o.Daemons == 0 {
 		return s
 	}
-	out := Sums{Daemons: s.Daemons + o.Daemons, Set: s.Set + o.Set, Oldest: min(s.Oldest, o.Oldest)}
+	out := Sums{Daemons: s.Daemons + o.Daemons, MemberChecksum: s.MemberChecksum + o.MemberChecksum, Oldest: min(s.Oldest, o.Oldest)}
 	out.Demands = merge(s.Demands, o.Demands, func(d Demand) Key { return d.Key }, func(a, b Demand) Demand {
 		return Demand{Key: a.Key, Requests: a.Requests + b.Requests, Tokens: a.Tokens + b.Tokens, InFlight: a.InFlight + b.InFlight}
 	})
