--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -57,10 +57,10 @@
 	// MemberChecksum is the sum of the hashes of the daemons' ids. It shows whether exactly the expected daemons are
 	// included, each of them once.
 	MemberChecksum uint64
-	// Oldest is the oldest table generation in force on any of them.
-	Oldest   uint64
-	Demands  []Demand
-	Evidence []Evidence
+	// OldestGeneration is the oldest table generation in force on any of them.
+	OldestGeneration uint64
+	Demands          []Demand
+	Evidence         []Evidence
 }
 
 // Add returns the sum of two sums.
@@ -71,7 +71,7 @@
 	if o.Daemons == 0 {
 		return s
 	}
-	out := Sums{Daemons: s.Daemons + o.Daemons, MemberChecksum: s.MemberChecksum + o.MemberChecksum, Oldest: min(s.Oldest, o.Oldest)}
+	out := Sums{Daemons: s.Daemons + o.Daemons, MemberChecksum: s.MemberChecksum + o.MemberChecksum, OldestGeneration: min(s.OldestGeneration, o.OldestGeneration)}
 	out.Demands = merge(s.Demands, o.Demands, func(d Demand) Key { return d.Key }, func(a, b Demand) Demand {
 		return Demand{Key: a.Key, Requests: a.Requests + b.Requests, Tokens: a.Tokens + b.Tokens, InFlight: a.InFlight + b.InFlight}
 	})
--- a/core/aggregation/aggregation_test.go
+++ b/core/aggregation/aggregation_test.go
@@ -14,7 +14,7 @@
 )
 
 func drawSums(t *rapid.T) aggregation.Sums {
-	s := aggregation.Sums{Daemons: 1, MemberChecksum: rapid.Uint64().Draw(t, "set"), Oldest: rapid.Uint64Range(1, 9).Draw(t, "oldest")}
+	s := aggregation.Sums{Daemons: 1, MemberChecksum: rapid.Uint64().Draw(t, "set"), OldestGeneration: rapid.Uint64Range(1, 9).Draw(t, "oldest")}
 	keys := rapid.SliceOfDistinct(rapid.Uint32Range(0, 6), func(k uint32) uint32 { return k }).Draw(t, "keys")
 	slices.Sort(keys)
 	for _, k := range keys {
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -278,7 +278,7 @@
 func (n *Node) aggregate(own aggregation.Sums, now time.Time) {
 	n.own = own
 	own.Daemons, own.MemberChecksum = 1, n.Group.Self().Hash()
-	own.Oldest = n.Store.Get(replication.Config).Number
+	own.OldestGeneration = n.Store.Get(replication.Config).Number
 	total := n.Tree.Sum(own, n.Group.Children(), now)
 	if parent, ok := n.Group.Parent(); ok {
 		n.send(parent, SubtreeSums{Sums: total})
@@ -286,7 +286,7 @@
 	}
 	hallTotal := n.Tree.Root(aggregation.HallTotal{Sums: total, Status: aggregation.HallStatus{
 		Name: n.self.Hall, Members: uint32(n.Group.Size()), Daemons: total.Daemons, Down: uint32(n.Group.Missing()),
-		Complete: total.MemberChecksum == n.Group.MemberChecksum(), Oldest: total.Oldest,
+		Complete: total.MemberChecksum == n.Group.MemberChecksum(), Oldest: total.OldestGeneration,
 	}}, now)
 	n.sendTotals(now)
 	for _, hall := range n.Group.Halls() {
--- a/daemon/peer/codec_test.go
+++ b/daemon/peer/codec_test.go
@@ -30,7 +30,7 @@
 	},
 	node.Fetch{Topic: replication.Config},
 	node.Deliver{Document: replication.NewDocument(replication.Config, 9, []byte("table")), AgeMS: 8},
-	node.SubtreeSums{Sums: aggregation.Sums{Daemons: 2, MemberChecksum: 5, Oldest: 1, Demands: []aggregation.Demand{{Key: 1, Requests: 2, Tokens: 3, InFlight: 4}}}},
+	node.SubtreeSums{Sums: aggregation.Sums{Daemons: 2, MemberChecksum: 5, OldestGeneration: 1, Demands: []aggregation.Demand{{Key: 1, Requests: 2, Tokens: 3, InFlight: 4}}}},
 	node.TotalsReport{Totals: aggregation.Totals{FreshOthers: 1, Halls: []aggregation.HallStatus{{Name: "h", Members: 3, Complete: true, Round: 4}}}},
 	node.HallReport{Hall: aggregation.HallTotal{Status: aggregation.HallStatus{Name: "h", Members: 3}, Sums: aggregation.Sums{Evidence: []aggregation.Evidence{{Key: 1, Answers: 2, Bad: 1}}}}},
 	node.Copies{Bills: []bill.Bill{{Key: "k", Organisation: "o", Tokens: 3, Cost: 4}}, Adopt: true},
