--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -133,8 +133,8 @@
 	Down uint32
 	// Complete is set if exactly the members have reported, each once.
 	Complete bool
-	// Oldest is the oldest table generation in force on the daemons that have reported.
-	Oldest uint64
+	// OldestGeneration is the oldest table generation in force on the daemons that have reported.
+	OldestGeneration uint64
 	// Round increases with every total of the hall, also when its root changes.
 	Round uint64
 	// AgeMS is the age of the total in milliseconds.
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -286,7 +286,7 @@
 	}
 	hallTotal := n.Tree.Root(aggregation.HallTotal{Sums: total, Status: aggregation.HallStatus{
 		Name: n.self.Hall, Members: uint32(n.Group.Size()), Daemons: total.Daemons, Down: uint32(n.Group.Missing()),
-		Complete: total.MemberChecksum == n.Group.MemberChecksum(), Oldest: total.OldestGeneration,
+		Complete: total.MemberChecksum == n.Group.MemberChecksum(), OldestGeneration: total.OldestGeneration,
 	}}, now)
 	n.sendTotals(now)
 	for _, hall := range n.Group.Halls() {
--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -176,7 +176,7 @@
 		seen[h.Name] = true
 		out = append(out, HallDump{
 			Name: h.Name, Members: h.Members, Down: h.Down, Daemons: h.Daemons, Complete: h.Complete,
-			Oldest: h.Oldest, AgeMS: h.AgeMS, Stale: h.Stale(),
+			Oldest: h.OldestGeneration, AgeMS: h.AgeMS, Stale: h.Stale(),
 		})
 	}
 	for _, name := range append(l.otherHalls(), l.Settings.Hall) {
--- a/daemon/peer/acts_test.go
+++ b/daemon/peer/acts_test.go
@@ -120,7 +120,7 @@
 			}
 			behind := 0
 			for other, m := range w.nodes {
-				if w.listed(other).Hall == h.Name && m.Store.Get(replication.Config).Number < h.Oldest {
+				if w.listed(other).Hall == h.Name && m.Store.Get(replication.Config).Number < h.OldestGeneration {
 					behind++
 				}
 			}
@@ -128,7 +128,7 @@
 			// started since, may be behind; the members are not.
 			started := w.startedSince(h.Name, h.AgeMS)
 			if behind > int(h.Down)+started {
-				t.Fatalf("%s says that generation %d is in force on all %d members of %s, but %d are behind (%d down, %d started since)", id, h.Oldest, h.Members, h.Name, behind, h.Down, started)
+				t.Fatalf("%s says that generation %d is in force on all %d members of %s, but %d are behind (%d down, %d started since)", id, h.OldestGeneration, h.Members, h.Name, behind, h.Down, started)
 			}
 		}
 	}
