--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -160,13 +160,13 @@
 	Others Sums
 	// FreshOthers is the number of data halls included in Others.
 	FreshOthers uint32
-	// Seen is the evidence of all daemons that are included.
-	Seen  []Evidence
-	Halls []HallStatus
+	// AllEvidence is the evidence of all daemons that are included.
+	AllEvidence []Evidence
+	Halls       []HallStatus
 }
 
 // Evidence returns the evidence on a version from all daemons that are included.
-func (t Totals) Evidence(key Key) Evidence { return Sums{Evidence: t.Seen}.EvidenceOf(key) }
+func (t Totals) Evidence(key Key) Evidence { return Sums{Evidence: t.AllEvidence}.EvidenceOf(key) }
 
 // StaleAfter is the age from which a total or the sum of a child is no longer used.
 const StaleAfter = 5 * time.Second
@@ -241,7 +241,7 @@
 		}
 	}
 	slices.SortFunc(out.Halls, func(a, b HallStatus) int { return cmp.Compare(a.Name, b.Name) })
-	out.Seen = out.Own.Add(out.Others).Evidence
+	out.AllEvidence = out.Own.Add(out.Others).Evidence
 	out.Own.Evidence, out.Others.Evidence = nil, nil
 	return out
 }
--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -133,7 +133,7 @@
 		Guarded: map[string]string{},
 	}
 	totals, _ := l.node.Tree.Totals(now)
-	d.Seen = totals.Seen
+	d.Seen = totals.AllEvidence
 	for topic := range replication.Topics {
 		doc := l.node.Store.Get(topic)
 		age := now.Sub(l.node.Store.ConfirmedAt(topic)).Milliseconds()
