--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -198,8 +198,8 @@
 	return &Tree{children: map[string]childSums{}, halls: map[string]hallTotal{}}
 }
 
-// Child stores the sums of a child.
-func (t *Tree) Child(id string, sums Sums, now time.Time) {
+// SetChild stores the sums of a child.
+func (t *Tree) SetChild(id string, sums Sums, now time.Time) {
 	t.children[id] = childSums{sums: sums, at: now}
 }
 
--- a/core/aggregation/aggregation_test.go
+++ b/core/aggregation/aggregation_test.go
@@ -44,7 +44,7 @@
 func TestStaleChildrenAndHallsAreIgnored(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	tree := aggregation.NewTree()
-	tree.Child("b", aggregation.Sums{Daemons: 3}, now)
+	tree.SetChild("b", aggregation.Sums{Daemons: 3}, now)
 	own := aggregation.Sums{Daemons: 1}
 	if got := tree.Sum(own, []string{"b"}, now).Daemons; got != 4 {
 		t.Errorf("%d daemons, want 4", got)
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -317,7 +317,7 @@
 	case Deliver:
 		n.handleDeliver(m, now)
 	case SubtreeSums:
-		n.Tree.Child(r.From, m.Sums, now)
+		n.Tree.SetChild(r.From, m.Sums, now)
 	case TotalsReport:
 		n.handleTotals(r.From, m, now)
 	case HallReport:
