--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -246,8 +246,8 @@
 	return out
 }
 
-// Learn stores the total of another data hall, received from its root.
-func (t *Tree) Learn(h HallTotal, now time.Time) {
+// SetHall stores the total of another data hall, received from its root.
+func (t *Tree) SetHall(h HallTotal, now time.Time) {
 	name := h.Status.Name
 	if previous, ok := t.halls[name]; ok && h.Status.Round <= previous.hall.Status.Round {
 		return
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -321,7 +321,7 @@
 	case TotalsReport:
 		n.handleTotals(r.From, m, now)
 	case HallReport:
-		n.Tree.Learn(m.Hall, now)
+		n.Tree.SetHall(m.Hall, now)
 	case Copies:
 		n.handleCopies(r.From, m, now)
 	case CopiesHeld:
