--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -255,8 +255,8 @@
 	t.halls[name] = hallTotal{hall: h, at: now.Add(-time.Duration(h.Status.AgeMS) * time.Millisecond)}
 }
 
-// FromParent stores the totals received from the parent.
-func (t *Tree) FromParent(totals Totals, now time.Time) { t.totals, t.totalsAt = totals, now }
+// SetTotals stores the totals received from the parent.
+func (t *Tree) SetTotals(totals Totals, now time.Time) { t.totals, t.totalsAt = totals, now }
 
 // Totals returns the latest totals, with the ages of the halls as of now, and whether they are fresh.
 func (t *Tree) Totals(now time.Time) (Totals, bool) {
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -400,7 +400,7 @@
 
 func (n *Node) handleTotals(from string, m TotalsReport, now time.Time) {
 	if parent, ok := n.Group.Parent(); ok && parent == from {
-		n.Tree.FromParent(m.Totals, now)
+		n.Tree.SetTotals(m.Totals, now)
 		n.sendTotals(now)
 	}
 }
