--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -217,9 +217,9 @@
 	return total
 }
 
-// Root computes the total of the local data hall on the root of its tree, and returns it for the roots of
+// ComposeTotal computes the total of the local data hall on the root of its tree, and returns it for the roots of
 // the other halls.
-func (t *Tree) Root(h HallTotal, now time.Time) HallTotal {
+func (t *Tree) ComposeTotal(h HallTotal, now time.Time) HallTotal {
 	name := h.Status.Name
 	// A new root continues above the rounds of the previous one.
 	h.Status.Round = max(t.halls[name].hall.Status.Round+1, uint64(now.UnixMilli()))
--- a/core/aggregation/aggregation_test.go
+++ b/core/aggregation/aggregation_test.go
@@ -54,14 +54,14 @@
 	}
 	other := aggregation.HallStatus{Name: "other", Round: 2, AgeMS: 1000}
 	tree.SetHall(aggregation.HallTotal{Status: other, Sums: aggregation.Sums{Daemons: 5}}, now)
-	tree.Root(aggregation.HallTotal{Status: aggregation.HallStatus{Name: "own"}}, now)
+	tree.ComposeTotal(aggregation.HallTotal{Status: aggregation.HallStatus{Name: "own"}}, now)
 	if totals, fresh := tree.Totals(now); !fresh || totals.FreshOthers != 1 || totals.Others.Daemons != 5 {
 		t.Errorf("got %+v, fresh %v", totals, fresh)
 	}
 	other.Round, other.AgeMS = 1, 0
 	tree.SetHall(aggregation.HallTotal{Status: other}, now.Add(time.Second))
 	later := now.Add(aggregation.StaleAfter)
-	tree.Root(aggregation.HallTotal{Status: aggregation.HallStatus{Name: "own"}}, later)
+	tree.ComposeTotal(aggregation.HallTotal{Status: aggregation.HallStatus{Name: "own"}}, later)
 	if totals, _ := tree.Totals(later); totals.FreshOthers != 0 {
 		t.Error("an old round made a silent data hall fresh again")
 	}
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -284,7 +284,7 @@
 		n.send(parent, SubtreeSums{Sums: total})
 		return
 	}
-	hallTotal := n.Tree.Root(aggregation.HallTotal{Sums: total, Status: aggregation.HallStatus{
+	hallTotal := n.Tree.ComposeTotal(aggregation.HallTotal{Sums: total, Status: aggregation.HallStatus{
 		Name: n.self.Hall, Members: uint32(n.Group.Size()), Daemons: total.Daemons, Down: uint32(n.Group.Missing()),
 		Complete: total.MemberChecksum == n.Group.MemberChecksum(), OldestGeneration: total.OldestGeneration,
 	}}, now)
