--- a/core/aggregation/aggregation.go
+++ b/core/aggregation/aggregation.go
@@ -155,7 +155,7 @@
 // totals are not stale, and the state of every hall.
 type Totals struct {
 	_ struct{} `cbor:",toarray"`
-	// Own and Others contain no evidence, which is all in Seen.
+	// Own and Others contain no evidence, which is all in AllEvidence.
 	Own    Sums
 	Others Sums
 	// FreshOthers is the number of data halls included in Others.
@@ -177,8 +177,8 @@
 	at   time.Time
 }
 
-// hallTotal is the total of a data hall with the time at which it was computed.
-type hallTotal struct {
+// timedTotal is the total of a data hall with the time at which it was computed.
+type timedTotal struct {
 	hall HallTotal
 	at   time.Time
 }
@@ -187,7 +187,7 @@
 type Tree struct {
 	children map[string]childSums
 	// halls holds the totals of the data halls, kept by root daemons.
-	halls map[string]hallTotal
+	halls map[string]timedTotal
 	// totals are the latest totals, computed here or received from the parent; totalsAt is when.
 	totals   Totals
 	totalsAt time.Time
@@ -195,7 +195,7 @@
 
 // NewTree returns an empty tree.
 func NewTree() *Tree {
-	return &Tree{children: map[string]childSums{}, halls: map[string]hallTotal{}}
+	return &Tree{children: map[string]childSums{}, halls: map[string]timedTotal{}}
 }
 
 // SetChild stores the sums of a child.
@@ -223,7 +223,7 @@
 	name := h.Status.Name
 	// A new root continues above the rounds of the previous one.
 	h.Status.Round = max(t.halls[name].hall.Status.Round+1, uint64(now.UnixMilli()))
-	t.halls[name] = hallTotal{hall: h, at: now}
+	t.halls[name] = timedTotal{hall: h, at: now}
 	t.totals, t.totalsAt = t.compose(name, now), now
 	return h
 }
@@ -252,7 +252,7 @@
 	if previous, ok := t.halls[name]; ok && h.Status.Round <= previous.hall.Status.Round {
 		return
 	}
-	t.halls[name] = hallTotal{hall: h, at: now.Add(-time.Duration(h.Status.AgeMS) * time.Millisecond)}
+	t.halls[name] = timedTotal{hall: h, at: now.Add(-time.Duration(h.Status.AgeMS) * time.Millisecond)}
 }
 
 // SetTotals stores the totals received from the parent.
