--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement decides which version an engine is to load or unload next,
-// so that each data hall has as many servers of each version as the table
-// says. It gives one order at a time, since weights are read from a store that
-// limits its rate, and never takes away a server that is still wanted.
+// Package placement decides which version an engine is to load or unload next, so that
+// each data hall has as many servers of each version as the table specifies. It issues
+// one order at a time, because weights are read from a store that limits its rate, and
+// never removes a server that is still needed.
 package placement
 
 import (
@@ -14,16 +14,18 @@
 // Engine is one model engine of a data hall.
 type Engine struct {
 	ID string
-	// Checks tells that the engine refuses orders with an old fence. One that
-	// does not is only ever told to load: that does no harm at any later time.
+	// ChecksFence reports that the engine refuses orders with an outdated fence. An
+	// engine that does not check is only ordered to load: a late load order does no
+	// harm.
 	Checks  bool
 	Leaving bool
-	// Slots is how many versions fit; 0 is unknown, and then nothing is ordered.
+	// Slots is how many versions fit; 0 is unknown, and the engine then receives no
+	// orders.
 	Slots int
-	// Loaded are the versions that it serves, Loading those under way.
+	// Loaded are the versions that the engine serves, Loading those that it is loading.
 	Loaded  []table.Ref
 	Loading []table.Ref
-	// InFlight is how many requests it has.
+	// InFlight is the number of requests in flight.
 	InFlight int
 }
 
@@ -33,7 +35,7 @@
 
 func (e Engine) free() bool { return len(e.Loaded)+len(e.Loading) < e.Slots }
 
-// Action is what an order tells an engine to do.
+// Action is the operation that an order requests.
 type Action string
 
 // The actions.
@@ -74,7 +76,7 @@
 	return unloadWithdrawn(t, engines)
 }
 
-// copies is how many engines that stay have a version.
+// copies returns how many engines that are not leaving have a version.
 func copies(engines []Engine, ref table.Ref) int {
 	n := 0
 	for _, e := range engines {
@@ -85,7 +87,7 @@
 	return n
 }
 
-// place is the least busy engine that has room for a version.
+// place returns the least loaded engine that has a free slot for a version.
 func place(engines []Engine, ref table.Ref) (string, bool) {
 	var best *Engine
 	for i, e := range engines {
@@ -102,8 +104,7 @@
 	return best.ID, true
 }
 
-// makeRoom unloads a version that is not wanted where it is, from an engine
-// that does not have ref yet.
+// makeRoom unloads a surplus version from an engine that does not have ref yet.
 func makeRoom(t *table.Table, engines []Engine, ref table.Ref) (Order, bool) {
 	for _, e := range engines {
 		if !e.Checks || e.Leaving || e.has(ref) || e.Slots == 0 {
@@ -118,8 +119,8 @@
 	return Order{}, false
 }
 
-// surplus reports whether a version has more servers than are wanted. Versions
-// that the table does not place are left alone, withdrawn ones are not wanted.
+// surplus reports whether a version has more servers than needed. Versions that the
+// table does not place are never surplus, withdrawn ones always are.
 func surplus(t *table.Table, engines []Engine, ref table.Ref) bool {
 	v, known := t.Version(ref)
 	switch {
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -12,10 +12,9 @@
 	"ladderridge.example/core/table"
 )
 
-// TestPlacementAgainstOracle carries orders out on any engines, with edits in
-// between: a version that is wanted never loses a server that it needs, engines
-// that do not check fences are only told to load, and in the end the table's
-// numbers are reached where there is room.
+// TestPlacementAgainstOracle executes the orders on random engines. A version never
+// loses a server that it needs, engines that do not check fences are only ordered to
+// load, and finally the numbers of the table are reached where there are free slots.
 func TestPlacementAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tab table.Table
@@ -41,15 +40,15 @@
 				checkReached(t, tab, engines)
 				return
 			}
-			obey(t, engines, o)
+			execute(t, engines, o)
 			after := counts(engines)
 			for _, v := range tab.Versions {
 				if v.Status != table.Withdrawn && after[v.Ref] < before[v.Ref] && after[v.Ref] < v.Copies {
-					t.Fatalf("%+v takes a server that %s needs", o, v.Ref)
+					t.Fatalf("%+v removes a server that %s needs", o, v.Ref)
 				}
 			}
 		}
-		t.Fatal("the orders never end")
+		t.Fatal("the orders do not end")
 	})
 }
 
@@ -63,7 +62,7 @@
 	return out
 }
 
-func obey(t *rapid.T, engines []placement.Engine, o placement.Order) {
+func execute(t *rapid.T, engines []placement.Engine, o placement.Order) {
 	i := slices.IndexFunc(engines, func(e placement.Engine) bool { return e.ID == o.Engine })
 	e := &engines[i]
 	if o.Action == placement.Load {
@@ -79,17 +78,16 @@
 	e.Loaded = slices.DeleteFunc(slices.Clone(e.Loaded), func(ref table.Ref) bool { return ref == o.Ref })
 }
 
-// checkReached checks that no wanted version lacks a server for which there is
-// a free slot.
+// checkReached checks that no version lacks a server for which there is a free slot.
 func checkReached(t *rapid.T, tab table.Table, engines []placement.Engine) {
-	have := counts(engines)
+	loaded := counts(engines)
 	for _, v := range tab.Versions {
-		if v.Status == table.Withdrawn || have[v.Ref] >= v.Copies {
+		if v.Status == table.Withdrawn || loaded[v.Ref] >= v.Copies {
 			continue
 		}
 		for _, e := range engines {
 			if len(e.Loaded) < e.Slots && !slices.Contains(e.Loaded, v.Ref) {
-				t.Fatalf("%s has %d of %d servers although %s has room", v.Ref, have[v.Ref], v.Copies, e.ID)
+				t.Fatalf("%s has %d of %d servers although %s has a free slot", v.Ref, loaded[v.Ref], v.Copies, e.ID)
 			}
 		}
 	}
