--- a/core/replication/replication.go
+++ b/core/replication/replication.go
@@ -1,11 +1,11 @@
-// Package replication hands whole, numbered documents, such as table generations,
-// from daemon to daemon. A daemon only ever moves forward to a higher number,
-// and keeps how long ago its document was known to be the newest.
+// Package replication copies whole, numbered documents, such as table generations,
+// between daemons. A daemon only ever moves to a higher number, and records how long
+// ago its document was known to be the newest.
 //
-// A table of the intended size is tens of kilobytes and changes a few hundred
-// times a day, so a document travels whole: a reader never sees half of an
-// edit. docs/design/02-table-generations.md weighs this against metadata for
-// each row.
+// A table of the intended size is tens of kilobytes and changes a few hundred times a
+// day. Documents are therefore transferred whole, so that a reader never sees half of
+// an edit. docs/design/02-table-generations.md compares this with metadata for each
+// row.
 package replication
 
 import (
@@ -18,7 +18,7 @@
 	"ladderridge.example/core/fault"
 )
 
-// Topic names a sort of document.
+// Topic is a kind of document.
 type Topic uint8
 
 // The topics.
@@ -29,7 +29,7 @@
 	VMs
 	// Quality is the quality of versions as rated.
 	Quality
-	// Topics is how many there are.
+	// TopicCount is the number of topics.
 	Topics
 )
 
@@ -41,12 +41,12 @@
 	return [...]string{"config", "vms", "quality"}[t]
 }
 
-// Kind says what sort of error the package met.
+// Kind is the kind of an error.
 type Kind string
 
 // The kinds of error.
 const (
-	// Corrupt is a document that does not fit its sum.
+	// Corrupt is a document whose checksum does not match.
 	Corrupt Kind = "corrupt document"
 	// Older is a document that is not newer than the one held.
 	Older Kind = "older document"
@@ -69,13 +69,13 @@
 	Data   []byte
 }
 
-// NewDocument makes a document with its sum.
+// NewDocument returns a document with its checksum.
 func NewDocument(topic Topic, number uint64, data []byte) Document {
 	return Document{Topic: topic, Number: number, Sum: xxhash.Sum64(data), Data: data}
 }
 
-// Offer says which document a daemon holds and how long ago, in milliseconds,
-// that was known to be the newest.
+// Offer announces the document that a daemon holds and how long ago, in milliseconds,
+// it was known to be the newest.
 type Offer struct {
 	_      struct{} `cbor:",toarray"`
 	Topic  Topic
@@ -84,91 +84,93 @@
 	AgeMS  uint64
 }
 
-// FetchTimeout is how long a fetch may take before another daemon is asked.
+// FetchTimeout is the time after which a fetch is tried from another daemon.
 const FetchTimeout = time.Second
 
-// held is one document with what is known about it.
-type held struct {
-	doc       Document
-	confirmed time.Time
-	fetching  time.Time
-	wanted    uint64
+// entry is the document of one topic, when it was last known to be the newest, and the
+// fetch in progress.
+type entry struct {
+	doc         Document
+	confirmed   time.Time
+	fetchStart  time.Time
+	fetchNumber uint64
 }
 
-// Store is what one daemon holds. It is owned by one goroutine.
+// Store holds the documents of one daemon. It is owned by one goroutine.
 type Store struct {
-	held [Topics]held
+	entries [Topics]entry
 }
 
 // Get returns the document of a topic; its number is 0 if there is none.
-func (s *Store) Get(topic Topic) Document { return s.held[topic].doc }
+func (s *Store) Get(topic Topic) Document { return s.entries[topic].doc }
 
-// Older has all that was confirmed be older by a time for which the clock stood.
+// AddAge adds a duration for which the clock was suspended to the age of all
+// confirmations.
 func (s *Store) Older(by time.Duration) {
-	for topic := range s.held {
-		h := &s.held[topic]
-		if !h.confirmed.IsZero() {
-			h.confirmed = h.confirmed.Add(-by)
+	for topic := range s.entries {
+		e := &s.entries[topic]
+		if !e.confirmed.IsZero() {
+			e.confirmed = e.confirmed.Add(-by)
 		}
 	}
 }
 
-// ConfirmedAt is when the document of a topic was last known to be the newest.
-func (s *Store) ConfirmedAt(topic Topic) time.Time { return s.held[topic].confirmed }
+// ConfirmedAt returns when the document of a topic was last known to be the newest.
+func (s *Store) ConfirmedAt(topic Topic) time.Time { return s.entries[topic].confirmed }
 
-// Offers returns what to tell other daemons.
+// Offers returns the offers to send to other daemons.
 func (s *Store) Offers(now time.Time) []Offer {
 	out := make([]Offer, 0, Topics)
 	for topic := range Topics {
-		h := &s.held[topic]
-		if h.doc.Number == 0 {
+		e := &s.entries[topic]
+		if e.doc.Number == 0 {
 			continue
 		}
-		age := uint64(max(0, now.Sub(h.confirmed).Milliseconds()))
-		out = append(out, Offer{Topic: topic, Number: h.doc.Number, Sum: h.doc.Sum, AgeMS: age})
+		age := uint64(max(0, now.Sub(e.confirmed).Milliseconds()))
+		out = append(out, Offer{Topic: topic, Number: e.doc.Number, Sum: e.doc.Sum, AgeMS: age})
 	}
 	return out
 }
 
-// Hear takes another daemon's offer and reports whether to fetch from it. Only
-// a trusted offer confirms the document held.
+// ReceiveOffer processes another daemon's offer and reports whether to fetch the
+// document from it. Only a trusted offer confirms the document held.
 func (s *Store) Hear(o Offer, trusted bool, now time.Time) bool {
 	if o.Topic >= Topics {
 		return false
 	}
-	h := &s.held[o.Topic]
+	e := &s.entries[o.Topic]
 	switch {
-	case o.Number == h.doc.Number && o.Sum == h.doc.Sum:
+	case o.Number == e.doc.Number && o.Sum == e.doc.Sum:
 		if trusted {
 			s.Confirm(o.Topic, o.Number, now.Add(-o.age()))
 		}
 		return false
-	case o.Number <= h.doc.Number:
+	case o.Number <= e.doc.Number:
 		return false
-	case o.Number <= h.wanted && now.Sub(h.fetching) < FetchTimeout:
+	case o.Number <= e.fetchNumber && now.Sub(e.fetchStart) < FetchTimeout:
 		return false
 	}
-	h.fetching, h.wanted = now, o.Number
+	e.fetchStart, e.fetchNumber = now, o.Number
 	return true
 }
 
-// maxAge bounds what an offer may claim as its age.
+// maxAge bounds the age that an offer may claim.
 const maxAge = 365 * 24 * time.Hour
 
 func (o Offer) age() time.Duration {
 	return time.Duration(min(o.AgeMS, uint64(maxAge.Milliseconds()))) * time.Millisecond
 }
 
-// Confirm notes that the document of that number was the newest at a time.
+// Confirm records that the document with the number was the newest at a time.
 func (s *Store) Confirm(topic Topic, number uint64, at time.Time) {
-	h := &s.held[topic]
-	if h.doc.Number == number && at.After(h.confirmed) {
-		h.confirmed = at
+	e := &s.entries[topic]
+	if e.doc.Number == number && at.After(e.confirmed) {
+		e.confirmed = at
 	}
 }
 
-// Accept takes a document. It fails if the document is corrupt or not newer
-// than the one held.
+// Accept stores a document. It fails if the document is corrupt or not newer than the
+// one held.
 func (s *Store) Accept(d Document, confirmed time.Time) error {
 	const op = "accept document"
 	if d.Topic >= Topics {
@@ -177,10 +179,10 @@
 	if xxhash.Sum64(d.Data) != d.Sum {
 		return &Error{Op: op, Kind: Corrupt, Err: errors.New(d.Topic.String())}
 	}
-	h := &s.held[d.Topic]
-	if d.Number <= h.doc.Number {
-		return &Error{Op: op, Kind: Older, Err: fmt.Errorf("%s %d, held %d", d.Topic, d.Number, h.doc.Number)}
+	e := &s.entries[d.Topic]
+	if d.Number <= e.doc.Number {
+		return &Error{Op: op, Kind: Older, Err: fmt.Errorf("%s %d, held %d", d.Topic, d.Number, e.doc.Number)}
 	}
-	h.doc, h.confirmed, h.fetching = d, confirmed, time.Time{}
+	e.doc, e.confirmed, e.fetchStart = d, confirmed, time.Time{}
 	return nil
 }
