--- a/core/prefixcache/cache.go
+++ b/core/prefixcache/cache.go
@@ -1,7 +1,6 @@
-// Package prefixcache remembers which prompts a model server has probably in its
-// memory, by what was sent there. Servers keep what they have read of a prompt
-// by its parts, each of which counts only behind those before it, and let go of
-// what was used longest ago.
+// Package prefixcache predicts which prompt prefixes a model server has cached, by the
+// requests that were sent to it. Servers cache a prompt by its parts, each of which is
+// usable only behind the same preceding parts, and evict the least recently used ones.
 package prefixcache
 
 import (
@@ -12,13 +11,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part is a part of a prompt, which other requests may share.
+// Part is a part of a prompt that other requests may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Tokens is the length of some parts of a prompt.
+// Tokens returns the length of some parts of a prompt.
 func Tokens(parts []Part) int {
 	sum := 0
 	for _, p := range parts {
@@ -28,49 +27,49 @@
 }
 
 const (
-	// limit is the prompt memory that a server is taken to have, in tokens: the least
-	// that model servers with one accelerator have.
-	limit = 200_000
-	// forgetAfter is how long a part that was not used again is taken to be there:
-	// other daemons send prompts to the same servers, unseen from here.
-	forgetAfter = time.Minute
+	// capacity is the assumed cache size of a server in tokens: the least that model
+	// servers with one accelerator have.
+	capacity = 200_000
+	// maxAge is how long a part is assumed to stay cached without being used again:
+	// other daemons send prompts to the same servers, which this daemon does not see.
+	maxAge = time.Minute
 )
 
-// Memory is what one server has probably read. It is safe for concurrent use.
+// Cache is the predicted prefix cache of one server. It is safe for concurrent use.
 type Memory struct {
 	mu sync.Mutex
 	// used is in tokens.
 	used    int
 	entries map[uint64]*list.Element
-	// order has the entries, the latest used first.
+	// order holds the entries, the most recently used first.
 	order *list.List
 }
 
-// entry is a part that the server has read and when it was last used.
+// entry is a cached part and when it was last used.
 type entry struct {
 	key key
 	at  time.Time
 }
 
-// NewMemory returns an empty memory.
+// NewCache returns an empty cache.
 func NewMemory() *Memory {
 	return &Memory{entries: map[uint64]*list.Element{}, order: list.New()}
 }
 
-// Prompt is what a model is to read: its parts, each named by what stands before it
-// as well. It is made once for a request and asked of many servers. It is never
-// changed.
+// Prompt is a prompt for a model: its parts, each identified together with the parts
+// before it. It is created once for a request and looked up for many servers. It is
+// immutable.
 type Prompt struct {
 	keys []key
 }
 
-// key names a part behind those before it, for one model.
+// key identifies a part together with the parts before it, for one model.
 type key struct {
 	hash   uint64
 	tokens int
 }
 
-// For returns the prompt that a model is to read.
+// NewPrompt returns the prompt for a model.
 func For(model string, parts []Part) Prompt {
 	p := Prompt{keys: make([]key, 0, len(parts))}
 	hash := xxhash.Sum64String(model)
@@ -84,7 +83,8 @@
 	return p
 }
 
-// Own is the length of the last part, which no other request shares, in tokens.
+// UniqueTokens returns the length of the last part, which no other request shares, in
+// tokens.
 func (p Prompt) Own() int {
 	if len(p.keys) == 0 {
 		return 0
@@ -92,46 +92,46 @@
 	return p.keys[len(p.keys)-1].tokens
 }
 
-// Missing is how many tokens of a prompt the server would have to read.
-func (m *Memory) Missing(p Prompt, now time.Time) int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	missing, known := 0, true
+// MissingTokens returns how many tokens of a prompt the server has to process.
+func (c *Memory) Missing(p Prompt, now time.Time) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	missing, cached := 0, true
 	for _, k := range p.keys {
-		known = known && m.has(k.hash, now)
-		if !known {
+		cached = cached && c.contains(k.hash, now)
+		if !cached {
 			missing += k.tokens
 		}
 	}
 	return missing
 }
 
-func (m *Memory) has(hash uint64, now time.Time) bool {
-	e, ok := m.entries[hash]
-	return ok && now.Sub(e.Value.(*entry).at) <= forgetAfter
+func (c *Memory) contains(hash uint64, now time.Time) bool {
+	e, ok := c.entries[hash]
+	return ok && now.Sub(e.Value.(*entry).at) <= maxAge
 }
 
-// Read notes that the server reads a prompt.
-func (m *Memory) Read(p Prompt, now time.Time) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// Add records that the server processes a prompt.
+func (c *Memory) Read(p Prompt, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, k := range p.keys {
-		if e, ok := m.entries[k.hash]; ok {
+		if e, ok := c.entries[k.hash]; ok {
 			e.Value.(*entry).at = now
-			m.order.MoveToFront(e)
+			c.order.MoveToFront(e)
 			continue
 		}
-		m.entries[k.hash] = m.order.PushFront(&entry{key: k, at: now})
-		m.used += k.tokens
+		c.entries[k.hash] = c.order.PushFront(&entry{key: k, at: now})
+		c.used += k.tokens
 	}
-	for m.used > limit && m.order.Len() > 0 {
-		m.drop(m.order.Back())
+	for c.used > capacity && c.order.Len() > 0 {
+		c.evict(c.order.Back())
 	}
 }
 
-// drop forgets an entry.
-func (m *Memory) drop(e *list.Element) {
-	old := m.order.Remove(e).(*entry)
-	delete(m.entries, old.key.hash)
-	m.used -= old.key.tokens
+// evict removes an entry.
+func (c *Memory) evict(e *list.Element) {
+	old := c.order.Remove(e).(*entry)
+	delete(c.entries, old.key.hash)
+	c.used -= old.key.tokens
 }
