--- a/core/latency/latency.go
+++ b/core/latency/latency.go
@@ -1,6 +1,6 @@
-// Package latency predicts how long the first part of an answer takes by how large
-// the request is, from the answers that came before. It tells slow servers and
-// slow versions from slow work, and how likely an answer is in time.
+// Package latency estimates the time to the first part of an answer by the size of the
+// request, from earlier answers. It separates slow servers and slow versions from large
+// requests, and estimates the probability that an answer arrives in time.
 package latency
 
 import (
@@ -9,84 +9,85 @@
 )
 
 const (
-	// weight is that of the newest answer in the recent means: they follow a
-	// change of load within some twenty answers.
-	weight = 0.05
-	// slopeWeight is that of the newest answer in how much longer larger
-	// requests take, which changes seldom and needs many answers to be told.
+	// meanWeight is the weight of the newest answer in the moving averages: they follow
+	// a change of load within about twenty answers.
+	meanWeight = 0.05
+	// slopeWeight is the weight of the newest answer in the slope of the latency over
+	// the request size, which changes seldom and needs many answers to estimate.
 	slopeWeight = 0.02
-	// known is how many answers make a pace known.
-	known = 10
-	// outlier is how many times the expected an answer counts at most, so that
-	// a very long one does not make the usual long.
-	outlier = 4
-	// halfLife is the time without an answer in which what is expected falls by
-	// half: what is passed over because it was busy is tried again.
+	// minAnswers is how many answers an estimate needs.
+	minAnswers = 10
+	// maxRatio bounds an answer's time as a multiple of the expected one, so that a
+	// single very long answer does not distort the estimate.
+	maxRatio = 4
+	// halfLife is the time without an answer in which the estimate falls by half, so
+	// that a server or model that was skipped because it was busy is tried again.
 	halfLife = 1500 * time.Millisecond
-	// floorPart is the part of the mean that is expected of the smallest request
-	// at least: some of the time does not depend on the size.
-	floorPart = 0.2
-	// firstSpread, leastSpread and mostSpread are of the logarithm of the time in
-	// terms of the expected one: 0.5 is a factor of 1.6 up or down.
-	firstSpread = 0.5
-	leastSpread = 0.25
-	mostSpread  = 1
+	// minFraction is the lowest estimate for the smallest request as a fraction of the
+	// mean: part of the latency does not depend on the size.
+	minFraction = 0.2
+	// initialSpread, minSpread and maxSpread are standard deviations of the logarithm
+	// of the ratio of the actual to the expected latency: 0.5 is a factor of 1.6 up or
+	// down.
+	initialSpread = 0.5
+	minSpread     = 0.25
+	maxSpread     = 1
 )
 
-// Estimate is the pace of one kind of answer. The zero value knows nothing. It is
-// a value.
+// Estimate is the latency estimate for one kind of answer. Its zero value is an
+// estimate without answers. It is immutable.
 type Estimate struct {
 	n    int
 	last time.Time
-	// size and took are recent means; took is in seconds.
-	size float64
-	took float64
-	// variance is that of the sizes, shared is how sizes and times vary
-	// together.
-	variance float64
-	shared   float64
-	// spread is the recent mean square of the logarithm of times in terms of the
-	// expected ones.
+	// meanSize and meanSeconds are moving averages of the request size and the latency.
+	meanSize    float64
+	meanSeconds float64
+	// variance is the variance of the sizes, covariance the covariance of sizes and
+	// latencies.
+	variance   float64
+	covariance float64
+	// spread is the moving average of the squared logarithm of the ratio of the actual
+	// to the expected latency.
 	spread float64
 }
 
-// Known reports whether enough answers came to predict others.
-func (e Estimate) Known() bool { return e.n >= known && e.took > 0 }
+// Known reports whether there were enough answers for an estimate.
+func (e Estimate) Known() bool { return e.n >= minAnswers && e.meanSeconds > 0 }
 
-// With returns the estimate with an answer to a request of a size, in any unit
-// that is kept to, which took a time.
+// With returns the estimate updated by an answer to a request of a size, in any unit
+// that is used consistently, with its latency.
 func (e Estimate) With(size float64, took time.Duration, now time.Time) Estimate {
 	seconds := took.Seconds()
 	if e.Known() {
 		expected := e.expected(size)
-		seconds = min(seconds, outlier*expected)
-		ratio := math.Log(max(seconds, expected/outlier) / expected)
-		e.spread += weight * (ratio*ratio - e.spread)
+		seconds = min(seconds, maxRatio*expected)
+		ratio := math.Log(max(seconds, expected/maxRatio) / expected)
+		e.spread += meanWeight * (ratio*ratio - e.spread)
 	} else {
-		e.spread = firstSpread * firstSpread
+		e.spread = initialSpread * initialSpread
 	}
 	e.n++
 	e.last = now
-	fast, slow := max(weight, 1/float64(e.n)), max(slopeWeight, 1/float64(e.n))
-	off := size - e.size
-	e.variance += slow * ((1-slow)*off*off - e.variance)
-	e.shared += slow * ((1-slow)*off*(seconds-e.took) - e.shared)
-	e.size += fast * off
-	e.took += fast * (seconds - e.took)
+	fast, slow := max(meanWeight, 1/float64(e.n)), max(slopeWeight, 1/float64(e.n))
+	deviation := size - e.meanSize
+	e.variance += slow * ((1-slow)*deviation*deviation - e.variance)
+	e.covariance += slow * ((1-slow)*deviation*(seconds-e.meanSeconds) - e.covariance)
+	e.meanSize += fast * deviation
+	e.meanSeconds += fast * (seconds - e.meanSeconds)
 	return e
 }
 
-// expected is what a request of a size takes, in seconds.
+// expected returns the estimated latency of a request of a size, in seconds.
 func (e Estimate) expected(size float64) float64 {
 	slope := 0.0
 	if e.variance > 0 {
-		slope = max(0, e.shared/e.variance)
+		slope = max(0, e.covariance/e.variance)
 	}
-	return max(floorPart*e.took, e.took+slope*(size-e.size))
+	return max(minFraction*e.meanSeconds, e.meanSeconds+slope*(size-e.meanSize))
 }
 
-// Usual is what an answer to a request of a size may be expected to take now, or
-// 0 if that is not known yet.
+// Typical returns the estimated latency of a request of a size now, or 0 if it is not
+// known yet.
 func (e Estimate) Usual(size float64, now time.Time) time.Duration {
 	if !e.Known() {
 		return 0
@@ -95,16 +96,16 @@
 	return time.Duration(e.expected(size) * math.Exp2(-float64(idle)/float64(halfLife)) * float64(time.Second))
 }
 
-// Lately is what an answer to a request of a size would have taken when the last one
-// came, or 0 if that is not known yet.
+// Recent returns the estimated latency of a request of a size as of the last answer, or
+// 0 if it is not known yet.
 func (e Estimate) Lately(size float64) time.Duration { return e.Usual(size, e.last) }
 
-// Mean is what answers take now whatever their size, or 0 if that is not known
-// yet.
-func (e Estimate) Mean(now time.Time) time.Duration { return e.Usual(e.size, now) }
-
-// Relative is how long an answer took in terms of the expected, or 0 if that is
+// Mean returns the estimated latency now for requests of average size, or 0 if it is
 // not known yet.
+func (e Estimate) Mean(now time.Time) time.Duration { return e.Usual(e.meanSize, now) }
+
+// Relative returns the ratio of an answer's latency to the estimate, or 0 if the
+// estimate is not known yet.
 func (e Estimate) Relative(size float64, took time.Duration) float64 {
 	if !e.Known() {
 		return 0
@@ -112,17 +113,17 @@
 	return took.Seconds() / e.expected(size)
 }
 
-// Within is the probability that an answer to a request of a size comes within a
-// time; 1 if nothing is known.
+// ProbabilityWithin returns the probability that a request of a size is answered within
+// a time; 1 if nothing is known.
 func (e Estimate) Within(size float64, left time.Duration, now time.Time) float64 {
-	usual := e.Usual(size, now)
+	typical := e.Usual(size, now)
 	switch {
 	case left <= 0:
 		return 0
-	case usual <= 0:
+	case typical <= 0:
 		return 1
 	}
-	spread := min(mostSpread, max(leastSpread, math.Sqrt(e.spread)))
-	// Times are spread evenly by factors (log-normal).
-	return 0.5 * math.Erfc(-math.Log(float64(left)/float64(usual))/(spread*math.Sqrt2))
+	spread := min(maxSpread, max(minSpread, math.Sqrt(e.spread)))
+	// Latencies are log-normally distributed.
+	return 0.5 * math.Erfc(-math.Log(float64(left)/float64(typical))/(spread*math.Sqrt2))
 }
--- a/core/latency/latency_test.go
+++ b/core/latency/latency_test.go
@@ -10,8 +10,8 @@
 
 var now = time.Unix(1000, 0)
 
-// learn gives an estimate answers that take base and each for every unit of
-// their size, which is up to 10, times a factor around 1.
+// learn returns an estimate from n answers with a latency of base plus each per unit of
+// their size, which is up to 10, times a noise factor around 1.
 func learn(n int, base, each time.Duration, noise float64) latency.Estimate {
 	r := rand.New(rand.NewPCG(1, 1))
 	var e latency.Estimate
@@ -31,14 +31,14 @@
 	for _, size := range []float64{1, 4, 9} {
 		want := 100*time.Millisecond + time.Duration(size*float64(200*time.Millisecond))
 		if got := e.Usual(size, now); !near(got, want) {
-			t.Errorf("size %v: expected %v, takes %v", size, got, want)
+			t.Errorf("size %v: estimate %v, actual latency %v", size, got, want)
 		}
 	}
 	if r := e.Relative(9, 1900*time.Millisecond); r < 0.75 || r > 1.25 {
-		t.Errorf("a large request that took what it should counts %v times the usual", r)
+		t.Errorf("a large request with its expected latency has a relative latency of %v", r)
 	}
 	if r := e.Relative(1, 1900*time.Millisecond); r < 4 {
-		t.Errorf("a small request that took as long counts only %v times the usual", r)
+		t.Errorf("a small request with the latency of a large one has a relative latency of only %v", r)
 	}
 }
 
@@ -48,55 +48,55 @@
 	for _, size := range []float64{1, 4, 7, 9, 12, 30} {
 		p := e.Within(size, 1600*time.Millisecond, now)
 		if p >= last && p < 0.999 {
-			t.Errorf("size %v is in time with %v, a smaller one with %v", size, p, last)
+			t.Errorf("size %v is in time with a probability of %v, a smaller one with %v", size, p, last)
 		}
 		last = p
 	}
 	if last > 0.01 {
-		t.Errorf("what takes four times the time left is in time with %v", last)
+		t.Errorf("a request that takes four times the time left is in time with a probability of %v", last)
 	}
 	if p := e.Within(1, 0, now); p != 0 {
-		t.Errorf("with no time left: %v", p)
+		t.Errorf("with no time left the probability is %v", p)
 	}
 	if p := e.Within(1, 1600*time.Millisecond, now); p < 0.99 {
-		t.Errorf("a small request is in time with only %v", p)
+		t.Errorf("a small request is in time with a probability of only %v", p)
 	}
 }
 
-func TestSizesThatDoNotMatterChangeNothing(t *testing.T) {
+func TestIrrelevantSizesDoNotChangeEstimate(t *testing.T) {
 	e := learn(400, 100*time.Millisecond, 0, 0.4)
 	if got := e.Usual(10, now); !near(got, 100*time.Millisecond) {
-		t.Errorf("expected %v", got)
+		t.Errorf("estimate %v", got)
 	}
 	same := latency.Estimate{}
 	for range 20 {
 		same = same.With(0, 50*time.Millisecond, now)
 	}
 	if got := same.Usual(0, now); !near(got, 50*time.Millisecond) {
-		t.Errorf("of sizes that are all the same: expected %v", got)
+		t.Errorf("with equal sizes: estimate %v", got)
 	}
 }
 
-func TestUnknownPaceSaysSo(t *testing.T) {
+func TestEstimateNeedsTenAnswers(t *testing.T) {
 	e := learn(9, 100*time.Millisecond, 0, 0)
 	if e.Usual(1, now) != 0 || e.Relative(1, time.Second) != 0 || e.Within(1, time.Millisecond, now) != 1 {
-		t.Error("nine answers make a pace known")
+		t.Error("an estimate is known after nine answers")
 	}
 	if !e.With(1, 100*time.Millisecond, now).Known() {
-		t.Error("ten answers do not")
+		t.Error("an estimate is not known after ten answers")
 	}
 }
 
-func TestExpectationFallsWithoutAnswers(t *testing.T) {
+func TestEstimateFallsWithoutAnswers(t *testing.T) {
 	e := learn(100, time.Second, 0, 0)
 	if got := e.Usual(1, now.Add(3*time.Second)); !near(got, 250*time.Millisecond) {
 		t.Errorf("after two half-lives: %v", got)
 	}
 }
 
-func TestOneVeryLongAnswerDoesNotMakeTheUsualLong(t *testing.T) {
+func TestOutlierDoesNotDistortEstimate(t *testing.T) {
 	e := learn(100, 100*time.Millisecond, 0, 0).With(1, time.Hour, now)
 	if got := e.Usual(1, now); got > 150*time.Millisecond {
-		t.Errorf("expected %v", got)
+		t.Errorf("estimate %v", got)
 	}
 }
--- a/core/latency/reference.go
+++ b/core/latency/reference.go
@@ -5,85 +5,86 @@
 	"time"
 )
 
-// Features are what is known of a request beforehand, and of its server, that
-// its time depends on.
+// Features are the properties of a request and its server that are known beforehand and
+// affect the latency.
 type Features struct {
-	// Own is how much of the prompt no other request shares, in any unit that is
-	// kept to: the server has to read it.
+	// Unique is the length of the prompt's part that no other request shares, in any
+	// unit that is used consistently: the server has to process it.
 	Own float64
-	// Shared is how much of the rest this daemon has not sent to the server: it may
-	// have to be read, or another daemon's request has had it read.
+	// Uncached is the length of the shared part that this daemon has not sent to the
+	// server. The server may have to process it, or have it cached from another
+	// daemon's request.
 	Shared float64
 	// Load is how many requests the server has; 0 is unknown.
 	Load float64
 }
 
-// terms is how many figures an expected time is made of: one of its own and one
-// for each feature.
+// terms is the number of coefficients of the model: the intercept and one for each
+// feature.
 const terms = 4
 
-// loadTerm is where the load stands among the terms.
+// loadTerm is the index of the load among the terms.
 const loadTerm = 3
 
-// vector has the features as they enter: a factor more of each makes the time a
-// factor longer.
+// vector returns the terms of the log-linear model: an increase of a feature by a
+// factor increases the latency by a factor.
 func (f Features) vector() [terms]float64 {
 	return [terms]float64{1, math.Log1p(f.Own), math.Log1p(f.Shared), math.Log1p(f.Load)}
 }
 
 const (
-	// referenceWeight is how much an answer's weight falls with each one that comes
-	// after it: some hundred answers count.
-	referenceWeight = 0.99
-	// referenceKnown is how much weight of answers makes a reference known.
-	referenceKnown = 8
-	// ridge is how many answers it takes for a feature to be believed to matter.
+	// decay is the factor by which an answer's weight falls with each later one: about
+	// a hundred answers count.
+	decay = 0.99
+	// minWeight is the total weight of answers that a reference needs.
+	minWeight = 8
+	// ridge is the regularization of the features' coefficients, in answers.
 	ridge = 1
-	// mostBelow is how far below the usual load a load counts, as a logarithm: 2.7
-	// times less.
-	mostBelow = 1
-	// shortest is the shortest time that counts: below it clocks and scheduling
-	// matter more than the work.
-	shortest = time.Millisecond
+	// maxBelowMean bounds how far below the mean load a load counts, as a natural
+	// logarithm: a factor of 2.7.
+	maxBelowMean = 1
+	// minLatency is the shortest latency that counts: below it clocks and scheduling
+	// matter more than the request.
+	minLatency = time.Millisecond
 )
 
-// Reference is what answers take by their features (least squares of the
-// logarithm of times, with older answers weighing less). Others are compared with
-// it. The zero value knows nothing. It is a value.
+// Reference predicts the latency of answers from their features, by least squares of
+// the logarithm of the latency with exponentially decaying weights. Others are compared
+// with it. Its zero value is a reference without answers. It is immutable.
 type Reference struct {
-	// products are the sums of products of the features with each other, times those
-	// of the features with the logarithm of the time. The first product is the weight
-	// of the answers.
+	// products are the weighted sums of the products of the terms with each other,
+	// times those of the terms with the logarithm of the latency. The first product is
+	// the total weight of the answers.
 	products [terms][terms]float64
 	times    [terms]float64
 }
 
-// With returns the reference with another answer.
+// With returns the reference updated by another answer.
 func (r Reference) With(f Features, took time.Duration) Reference {
-	x, y := f.vector(), logTime(took)
+	x, y := f.vector(), logLatency(took)
 	for i := range terms {
 		for k := range terms {
-			r.products[i][k] = r.products[i][k]*referenceWeight + x[i]*x[k]
+			r.products[i][k] = r.products[i][k]*decay + x[i]*x[k]
 		}
-		r.times[i] = r.times[i]*referenceWeight + x[i]*y
+		r.times[i] = r.times[i]*decay + x[i]*y
 	}
 	return r
 }
 
-func logTime(took time.Duration) float64 { return math.Log(max(took, shortest).Seconds()) }
+func logLatency(took time.Duration) float64 { return math.Log(max(took, minLatency).Seconds()) }
 
-// Relative is how long an answer took in terms of what the like takes, or 0 if
-// that is not known yet.
+// Relative returns the ratio of an answer's latency to the prediction, or 0 if the
+// prediction is not known yet.
 func (r Reference) Relative(f Features, took time.Duration) float64 {
 	if !r.known() {
 		return 0
 	}
-	return math.Exp(logTime(took) - r.logExpected(f))
+	return math.Exp(logLatency(took) - r.logExpected(f))
 }
 
-func (r Reference) known() bool { return r.products[0][0] >= referenceKnown }
+func (r Reference) known() bool { return r.products[0][0] >= minWeight }
 
-// Expected is what the like takes, in seconds, or 0 if that is not known yet.
+// Expected returns the predicted latency in seconds, or 0 if it is not known yet.
 func (r Reference) Expected(f Features) float64 {
 	if !r.known() {
 		return 0
@@ -92,24 +93,23 @@
 }
 
 func (r Reference) logExpected(f Features) float64 {
-	expected, factors := 0.0, r.factors()
-	for i, x := range r.within(f.vector()) {
-		expected += factors[i] * x
+	expected, coefficients := 0.0, r.coefficients()
+	for i, x := range r.clamped(f.vector()) {
+		expected += coefficients[i] * x
 	}
 	return expected
 }
 
-// within returns the features with a load that is not far below those that the
-// reference has seen: what servers take while they are busy does not tell what they
-// take while they are not.
-func (r Reference) within(x [terms]float64) [terms]float64 {
-	x[loadTerm] = max(x[loadTerm], r.products[0][loadTerm]/r.products[0][0]-mostBelow)
+// clamped returns the terms with a load that is not far below the loads that the
+// reference has seen: latencies under load do not predict those without load.
+func (r Reference) clamped(x [terms]float64) [terms]float64 {
+	x[loadTerm] = max(x[loadTerm], r.products[0][loadTerm]/r.products[0][0]-maxBelowMean)
 	return x
 }
 
-// factors solves the normal equations by elimination. The diagonal is never zero
-// thanks to the ridge.
-func (r Reference) factors() [terms]float64 {
+// coefficients solves the normal equations by elimination. The ridge keeps the diagonal
+// from being zero.
+func (r Reference) coefficients() [terms]float64 {
 	a, b := r.products, r.times
 	for i := 1; i < terms; i++ {
 		a[i][i] += ridge
