--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -17,8 +17,8 @@
 	// ChecksFence reports that the engine refuses orders with an outdated fence. An
 	// engine that does not check is only ordered to load: a late load order does no
 	// harm.
-	Checks  bool
-	Leaving bool
+	ChecksFence bool
+	Leaving     bool
 	// Slots is how many versions fit; 0 is unknown, and the engine then receives no
 	// orders.
 	Slots int
@@ -107,7 +107,7 @@
 // makeRoom unloads a surplus version from an engine that does not have ref yet.
 func makeRoom(t *table.Table, engines []Engine, ref table.Ref) (Order, bool) {
 	for _, e := range engines {
-		if !e.Checks || e.Leaving || e.has(ref) || e.Slots == 0 {
+		if !e.ChecksFence || e.Leaving || e.has(ref) || e.Slots == 0 {
 			continue
 		}
 		for _, loaded := range e.Loaded {
@@ -135,7 +135,7 @@
 // unloadWithdrawn unloads withdrawn versions.
 func unloadWithdrawn(t *table.Table, engines []Engine) (Order, bool) {
 	for _, e := range engines {
-		if !e.Checks || e.Leaving {
+		if !e.ChecksFence || e.Leaving {
 			continue
 		}
 		for _, ref := range e.Loaded {
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -27,7 +27,7 @@
 		}
 		var engines []placement.Engine
 		for i := range rapid.IntRange(1, 5).Draw(t, "engines") {
-			e := placement.Engine{ID: fmt.Sprint("e", i), Checks: rapid.Bool().Draw(t, "checks"), Slots: rapid.IntRange(1, 3).Draw(t, "slots")}
+			e := placement.Engine{ID: fmt.Sprint("e", i), ChecksFence: rapid.Bool().Draw(t, "checks"), Slots: rapid.IntRange(1, 3).Draw(t, "slots")}
 			for _, v := range tab.Versions[:rapid.IntRange(0, min(e.Slots, len(tab.Versions))).Draw(t, "loaded")] {
 				e.Loaded = append(e.Loaded, v.Ref)
 			}
@@ -72,7 +72,7 @@
 		e.Loaded = append(slices.Clone(e.Loaded), o.Ref)
 		return
 	}
-	if !e.Checks {
+	if !e.ChecksFence {
 		t.Fatalf("%+v goes to an engine that does not check fences", o)
 	}
 	e.Loaded = slices.DeleteFunc(slices.Clone(e.Loaded), func(ref table.Ref) bool { return ref == o.Ref })
--- a/daemon/control/placer.go
+++ b/daemon/control/placer.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		out = append(out, placement.Engine{
-			ID: b.vm.ID, Checks: b.vm.ChecksFence, Slots: b.slots, Loaded: b.loaded, Loading: b.loading, InFlight: b.reported,
+			ID: b.vm.ID, ChecksFence: b.vm.ChecksFence, Slots: b.slots, Loaded: b.loaded, Loading: b.loading, InFlight: b.reported,
 			Leaving: b.goes(told) || now.Before(b.ejected),
 		})
 	}
