--- a/core/node/node.go
+++ b/core/node/node.go
@@ -338,7 +338,7 @@
 	}
 	trusted := !n.recentlyResumed(now) || (!m.WantsReply && m.Turn > n.resumedTurn)
 	for _, o := range m.Offers {
-		if n.Store.Hear(o, trusted, now) {
+		if n.Store.ReceiveOffer(o, trusted, now) {
 			n.send(from, Fetch{Topic: o.Topic})
 		}
 	}
--- a/core/replication/replication.go
+++ b/core/replication/replication.go
@@ -134,7 +134,7 @@
 
 // ReceiveOffer processes another daemon's offer and reports whether to fetch the
 // document from it. Only a trusted offer confirms the document held.
-func (s *Store) Hear(o Offer, trusted bool, now time.Time) bool {
+func (s *Store) ReceiveOffer(o Offer, trusted bool, now time.Time) bool {
 	if o.Topic >= Topics {
 		return false
 	}
