--- a/core/node/node.go
+++ b/core/node/node.go
@@ -119,7 +119,7 @@
 	switch e := e.(type) {
 	case Suspended:
 		n.resumedAt, n.resumedTurn = now, n.turn
-		n.Store.Older(e.For)
+		n.Store.AddAge(e.For)
 	case Tick:
 		n.tick(e, now)
 	case Flush:
--- a/core/replication/replication.go
+++ b/core/replication/replication.go
@@ -106,7 +106,7 @@
 
 // AddAge adds a duration for which the clock was suspended to the age of all
 // confirmations.
-func (s *Store) Older(by time.Duration) {
+func (s *Store) AddAge(by time.Duration) {
 	for topic := range s.entries {
 		e := &s.entries[topic]
 		if !e.confirmed.IsZero() {
