--- a/core/node/node.go
+++ b/core/node/node.go
@@ -79,7 +79,7 @@
 	halls   int
 	own     aggregation.Sums
 	turn    uint64
-	reads   [replication.Topics]readState
+	reads   [replication.TopicCount]readState
 	leaving map[string]time.Time
 	// copyHolders maps the key of each bill to the daemon that has its copy.
 	copyHolders map[string]holder
@@ -181,7 +181,7 @@
 	n.adopt(now)
 	n.resendCopies(now)
 	n.flush(now)
-	for topic := range replication.Topics {
+	for topic := range replication.TopicCount {
 		n.maybeRead(topic, now)
 	}
 	for id, at := range n.leaving {
@@ -357,7 +357,7 @@
 }
 
 func (n *Node) handleFetch(from string, m Fetch, now time.Time) {
-	if m.Topic >= replication.Topics {
+	if m.Topic >= replication.TopicCount {
 		return
 	}
 	doc := n.Store.Get(m.Topic)
--- a/core/replication/replication.go
+++ b/core/replication/replication.go
@@ -30,12 +30,12 @@
 	// Quality is the quality of versions as rated.
 	Quality
 	// TopicCount is the number of topics.
-	Topics
+	TopicCount
 )
 
 // String names the topic.
 func (t Topic) String() string {
-	if t >= Topics {
+	if t >= TopicCount {
 		return "unknown"
 	}
 	return [...]string{"config", "vms", "quality"}[t]
@@ -98,7 +98,7 @@
 
 // Store holds the documents of one daemon. It is owned by one goroutine.
 type Store struct {
-	entries [Topics]entry
+	entries [TopicCount]entry
 }
 
 // Get returns the document of a topic; its number is 0 if there is none.
@@ -120,8 +120,8 @@
 
 // Offers returns the offers to send to other daemons.
 func (s *Store) Offers(now time.Time) []Offer {
-	out := make([]Offer, 0, Topics)
-	for topic := range Topics {
+	out := make([]Offer, 0, TopicCount)
+	for topic := range TopicCount {
 		e := &s.entries[topic]
 		if e.doc.Number == 0 {
 			continue
@@ -135,7 +135,7 @@
 // ReceiveOffer processes another daemon's offer and reports whether to fetch the
 // document from it. Only a trusted offer confirms the document held.
 func (s *Store) ReceiveOffer(o Offer, trusted bool, now time.Time) bool {
-	if o.Topic >= Topics {
+	if o.Topic >= TopicCount {
 		return false
 	}
 	e := &s.entries[o.Topic]
@@ -173,7 +173,7 @@
 // one held.
 func (s *Store) Accept(d Document, confirmed time.Time) error {
 	const op = "accept document"
-	if d.Topic >= Topics {
+	if d.Topic >= TopicCount {
 		return &Error{Op: op, Kind: UnknownTopic}
 	}
 	if xxhash.Sum64(d.Data) != d.Sum {
--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -134,7 +134,7 @@
 	}
 	totals, _ := l.node.Tree.Totals(now)
 	d.Seen = totals.AllEvidence
-	for topic := range replication.Topics {
+	for topic := range replication.TopicCount {
 		doc := l.node.Store.Get(topic)
 		age := now.Sub(l.node.Store.ConfirmedAt(topic)).Milliseconds()
 		d.Documents = append(d.Documents, DocumentDump{Topic: topic.String(), Number: doc.Number, Bytes: len(doc.Data), AgeMS: age})
