--- a/core/fleet/state.go
+++ b/core/fleet/state.go
@@ -12,7 +12,7 @@
 // safe for concurrent use.
 type ServerState struct {
 	// PrefixCache predicts which prompts the server has cached.
-	PrefixCache *prefixcache.Memory
+	PrefixCache *prefixcache.Cache
 	// Notices holds what the server has announced about itself in its answers.
 	Notices *notice.Tracker
 
--- a/core/prefixcache/cache.go
+++ b/core/prefixcache/cache.go
@@ -36,7 +36,7 @@
 )
 
 // Cache is the predicted prefix cache of one server. It is safe for concurrent use.
-type Memory struct {
+type Cache struct {
 	mu sync.Mutex
 	// used is in tokens.
 	used    int
@@ -52,8 +52,8 @@
 }
 
 // NewCache returns an empty cache.
-func NewMemory() *Memory {
-	return &Memory{entries: map[uint64]*list.Element{}, order: list.New()}
+func NewMemory() *Cache {
+	return &Cache{entries: map[uint64]*list.Element{}, order: list.New()}
 }
 
 // Prompt is a prompt for a model: its parts, each identified together with the parts
@@ -93,7 +93,7 @@
 }
 
 // MissingTokens returns how many tokens of a prompt the server has to process.
-func (c *Memory) Missing(p Prompt, now time.Time) int {
+func (c *Cache) Missing(p Prompt, now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	missing, cached := 0, true
@@ -106,13 +106,13 @@
 	return missing
 }
 
-func (c *Memory) contains(hash uint64, now time.Time) bool {
+func (c *Cache) contains(hash uint64, now time.Time) bool {
 	e, ok := c.entries[hash]
 	return ok && now.Sub(e.Value.(*entry).at) <= maxAge
 }
 
 // Add records that the server processes a prompt.
-func (c *Memory) Read(p Prompt, now time.Time) {
+func (c *Cache) Read(p Prompt, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range p.keys {
@@ -130,7 +130,7 @@
 }
 
 // evict removes an entry.
-func (c *Memory) evict(e *list.Element) {
+func (c *Cache) evict(e *list.Element) {
 	old := c.order.Remove(e).(*entry)
 	delete(c.entries, old.key.hash)
 	c.used -= old.key.tokens
--- a/core/prefixcache/cache_test.go
+++ b/core/prefixcache/cache_test.go
@@ -14,7 +14,7 @@
 	own    = prefixcache.Part{ID: "own", Tokens: 100}
 )
 
-func missing(t *testing.T, c *prefixcache.Memory, want int, parts ...prefixcache.Part) {
+func missing(t *testing.T, c *prefixcache.Cache, want int, parts ...prefixcache.Part) {
 	t.Helper()
 	if n := c.Missing(prefixcache.For("small", parts), now); n != want {
 		t.Errorf("%d tokens of %v are not cached, want %d", n, parts, want)
