--- a/core/fleet/state.go
+++ b/core/fleet/state.go
@@ -65,7 +65,7 @@
 // NewServerState returns the state of a server that has answered nothing yet. All
 // servers of a data hall share one HallState.
 func NewServerState(hall *HallState) *ServerState {
-	return &ServerState{PrefixCache: prefixcache.NewMemory(), Notices: &notice.Tracker{}, slowness: 1, hall: hall}
+	return &ServerState{PrefixCache: prefixcache.NewCache(), Notices: &notice.Tracker{}, slowness: 1, hall: hall}
 }
 
 // InFlight returns the number of this daemon's requests in flight at the server.
--- a/core/prefixcache/cache.go
+++ b/core/prefixcache/cache.go
@@ -52,7 +52,7 @@
 }
 
 // NewCache returns an empty cache.
-func NewMemory() *Cache {
+func NewCache() *Cache {
 	return &Cache{entries: map[uint64]*list.Element{}, order: list.New()}
 }
 
--- a/core/prefixcache/cache_test.go
+++ b/core/prefixcache/cache_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestPrefixIsCachedOnceProcessed(t *testing.T) {
-	c := prefixcache.NewMemory()
+	c := prefixcache.NewCache()
 	missing(t, c, 6100, policy, own)
 	c.Read(prefixcache.For("small", []prefixcache.Part{policy, own}), now)
 	missing(t, c, 0, policy, own)
@@ -35,7 +35,7 @@
 }
 
 func TestLeastRecentlyUsedPartIsEvicted(t *testing.T) {
-	c := prefixcache.NewMemory()
+	c := prefixcache.NewCache()
 	// The rest of the cache of 200,000 tokens is as long as policy, form and own.
 	filler := prefixcache.Part{ID: "filler", Tokens: 200_000 - 6600}
 	c.Read(prefixcache.For("small", []prefixcache.Part{policy}), now)
@@ -48,7 +48,7 @@
 }
 
 func TestUnusedPartExpires(t *testing.T) {
-	c := prefixcache.NewMemory()
+	c := prefixcache.NewCache()
 	c.Read(prefixcache.For("small", []prefixcache.Part{policy}), now.Add(-2*time.Minute))
 	missing(t, c, 6000, policy)
 }
