--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -18,7 +18,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			servers := pool(n)
 			parts := []prefixcache.Part{{ID: "policy", Tokens: 12000}, {ID: "own", Tokens: 1000}}
-			prompt := prefixcache.For("small", parts)
+			prompt := prefixcache.NewPrompt("small", parts)
 			for i, s := range servers {
 				if i%3 == 0 {
 					s.State.PrefixCache.Read(prompt, now)
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -299,7 +299,7 @@
 	servers := pool(6)
 	parts := []prefixcache.Part{{ID: "policy", Tokens: 12000}, {ID: "own", Tokens: 1000}}
 	want := func(model string, blockCost float64) fleet.Criteria {
-		return fleet.Criteria{Affinity: 42, Prompt: prefixcache.For(model, parts), BlockCost: blockCost}
+		return fleet.Criteria{Affinity: 42, Prompt: prefixcache.NewPrompt(model, parts), BlockCost: blockCost}
 	}
 	home := choose(t, servers, want("small", 1))
 	home.State.Begin(5)
@@ -321,7 +321,7 @@
 			other = s
 		}
 	}
-	other.State.PrefixCache.Read(prefixcache.For("small", parts), now)
+	other.State.PrefixCache.Read(prefixcache.NewPrompt("small", parts), now)
 	other.State.Begin(2)
 	if s := choose(t, servers, want("small", 1)); s != other {
 		t.Errorf("%s was chosen, but %s has the prompt cached", s.ID, other.ID)
--- a/core/fleet/remote_test.go
+++ b/core/fleet/remote_test.go
@@ -30,7 +30,7 @@
 
 // sharedPrompt returns the criteria of a request whose prompt is shared with others.
 func sharedPrompt() fleet.Criteria {
-	prompt := prefixcache.For("small", []prefixcache.Part{{ID: "policy", Tokens: 3 * fleet.BlockTokens}, {ID: "own", Tokens: 500}})
+	prompt := prefixcache.NewPrompt("small", []prefixcache.Part{{ID: "policy", Tokens: 3 * fleet.BlockTokens}, {ID: "own", Tokens: 500}})
 	return fleet.Criteria{Service: "s", Affinity: 42, Prompt: prompt, BlockCost: 1}
 }
 
--- a/core/prefixcache/cache.go
+++ b/core/prefixcache/cache.go
@@ -70,7 +70,7 @@
 }
 
 // NewPrompt returns the prompt for a model.
-func For(model string, parts []Part) Prompt {
+func NewPrompt(model string, parts []Part) Prompt {
 	p := Prompt{keys: make([]key, 0, len(parts))}
 	hash := xxhash.Sum64String(model)
 	for _, part := range parts {
--- a/core/prefixcache/cache_test.go
+++ b/core/prefixcache/cache_test.go
@@ -16,7 +16,7 @@
 
 func missing(t *testing.T, c *prefixcache.Cache, want int, parts ...prefixcache.Part) {
 	t.Helper()
-	if n := c.Missing(prefixcache.For("small", parts), now); n != want {
+	if n := c.Missing(prefixcache.NewPrompt("small", parts), now); n != want {
 		t.Errorf("%d tokens of %v are not cached, want %d", n, parts, want)
 	}
 }
@@ -24,12 +24,12 @@
 func TestPrefixIsCachedOnceProcessed(t *testing.T) {
 	c := prefixcache.NewCache()
 	missing(t, c, 6100, policy, own)
-	c.Read(prefixcache.For("small", []prefixcache.Part{policy, own}), now)
+	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{policy, own}), now)
 	missing(t, c, 0, policy, own)
 	missing(t, c, 500, policy, form)
 	// A part is cached only behind the parts that preceded it.
 	missing(t, c, 6500, form, policy)
-	if n := c.Missing(prefixcache.For("large", []prefixcache.Part{policy, own}), now); n != 6100 {
+	if n := c.Missing(prefixcache.NewPrompt("large", []prefixcache.Part{policy, own}), now); n != 6100 {
 		t.Errorf("%d tokens are not cached for another model, want 6100", n)
 	}
 }
@@ -38,17 +38,17 @@
 	c := prefixcache.NewCache()
 	// The rest of the cache of 200,000 tokens is as long as policy, form and own.
 	filler := prefixcache.Part{ID: "filler", Tokens: 200_000 - 6600}
-	c.Read(prefixcache.For("small", []prefixcache.Part{policy}), now)
-	c.Read(prefixcache.For("small", []prefixcache.Part{form}), now)
-	c.Read(prefixcache.For("small", []prefixcache.Part{filler}), now)
-	c.Read(prefixcache.For("small", []prefixcache.Part{policy}), now)
-	c.Read(prefixcache.For("small", []prefixcache.Part{own, own}), now)
+	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{policy}), now)
+	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{form}), now)
+	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{filler}), now)
+	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{policy}), now)
+	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{own, own}), now)
 	missing(t, c, 0, policy)
 	missing(t, c, 500, form)
 }
 
 func TestUnusedPartExpires(t *testing.T) {
 	c := prefixcache.NewCache()
-	c.Read(prefixcache.For("small", []prefixcache.Part{policy}), now.Add(-2*time.Minute))
+	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{policy}), now.Add(-2*time.Minute))
 	missing(t, c, 6000, policy)
 }
--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -113,7 +113,7 @@
 func (s *simulation) send(key int) {
 	d := s.daemons[s.rng.IntN(len(s.daemons))]
 	parts := []prefixcache.Part{{ID: strconv.Itoa(key), Tokens: sharedPart}, {ID: fmt.Sprint(key, "-", len(s.waits)), Tokens: uniquePart}}
-	prompt := prefixcache.For("m", parts)
+	prompt := prefixcache.NewPrompt("m", parts)
 	chosen, _ := d.list.Choose(fleet.Criteria{Service: "llm", Hall: "h", Affinity: uint64(key) + 1, Prompt: prompt, BlockCost: 1}, s.now)
 	e := s.servers[slices.IndexFunc(s.servers, func(e *modelServer) bool { return e.id == chosen.ID })]
 	processing := blockTime
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -64,7 +64,7 @@
 // request, or else one that has.
 func (j *job) choose(now time.Time) (*fleet.Server, bool) {
 	j.look()
-	j.prompt, j.piece = prefixcache.For(j.model(), j.request.Prompt), j.pieceWork()
+	j.prompt, j.piece = prefixcache.NewPrompt(j.model(), j.request.Prompt), j.pieceWork()
 	if len(j.failed) > 0 {
 		if s, ok := j.chooseBut(slices.Concat(j.avoid, j.failed), now); ok {
 			return s, true
