--- a/core/fleet/bench_test.go
+++ b/core/fleet/bench_test.go
@@ -21,7 +21,7 @@
 			prompt := prefixcache.NewPrompt("small", parts)
 			for i, s := range servers {
 				if i%3 == 0 {
-					s.State.PrefixCache.Read(prompt, now)
+					s.State.PrefixCache.Add(prompt, now)
 				}
 			}
 			list := fleet.NewList(servers)
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -321,7 +321,7 @@
 			other = s
 		}
 	}
-	other.State.PrefixCache.Read(prefixcache.NewPrompt("small", parts), now)
+	other.State.PrefixCache.Add(prefixcache.NewPrompt("small", parts), now)
 	other.State.Begin(2)
 	if s := choose(t, servers, want("small", 1)); s != other {
 		t.Errorf("%s was chosen, but %s has the prompt cached", s.ID, other.ID)
--- a/core/prefixcache/cache.go
+++ b/core/prefixcache/cache.go
@@ -112,7 +112,7 @@
 }
 
 // Add records that the server processes a prompt.
-func (c *Cache) Read(p Prompt, now time.Time) {
+func (c *Cache) Add(p Prompt, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range p.keys {
--- a/core/prefixcache/cache_test.go
+++ b/core/prefixcache/cache_test.go
@@ -24,7 +24,7 @@
 func TestPrefixIsCachedOnceProcessed(t *testing.T) {
 	c := prefixcache.NewCache()
 	missing(t, c, 6100, policy, own)
-	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{policy, own}), now)
+	c.Add(prefixcache.NewPrompt("small", []prefixcache.Part{policy, own}), now)
 	missing(t, c, 0, policy, own)
 	missing(t, c, 500, policy, form)
 	// A part is cached only behind the parts that preceded it.
@@ -38,17 +38,17 @@
 	c := prefixcache.NewCache()
 	// The rest of the cache of 200,000 tokens is as long as policy, form and own.
 	filler := prefixcache.Part{ID: "filler", Tokens: 200_000 - 6600}
-	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{policy}), now)
-	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{form}), now)
-	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{filler}), now)
-	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{policy}), now)
-	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{own, own}), now)
+	c.Add(prefixcache.NewPrompt("small", []prefixcache.Part{policy}), now)
+	c.Add(prefixcache.NewPrompt("small", []prefixcache.Part{form}), now)
+	c.Add(prefixcache.NewPrompt("small", []prefixcache.Part{filler}), now)
+	c.Add(prefixcache.NewPrompt("small", []prefixcache.Part{policy}), now)
+	c.Add(prefixcache.NewPrompt("small", []prefixcache.Part{own, own}), now)
 	missing(t, c, 0, policy)
 	missing(t, c, 500, form)
 }
 
 func TestUnusedPartExpires(t *testing.T) {
 	c := prefixcache.NewCache()
-	c.Read(prefixcache.NewPrompt("small", []prefixcache.Part{policy}), now.Add(-2*time.Minute))
+	c.Add(prefixcache.NewPrompt("small", []prefixcache.Part{policy}), now.Add(-2*time.Minute))
 	missing(t, c, 6000, policy)
 }
--- a/core/serverload/herd_test.go
+++ b/core/serverload/herd_test.go
@@ -124,7 +124,7 @@
 	}
 	e.freeAt = slices.MaxFunc([]time.Time{e.freeAt, s.now}, time.Time.Compare).Add(processing)
 	s.waits = append(s.waits, e.freeAt.Sub(s.now))
-	chosen.State.PrefixCache.Read(prompt, s.now)
+	chosen.State.PrefixCache.Add(prompt, s.now)
 	chosen.State.Begin(2)
 	s.inFlight = append(s.inFlight, &request{state: chosen.State, id: e.id, endsAt: e.freeAt.Add(answerTime)})
 }
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -145,7 +145,7 @@
 	a.prompt = j.prompt
 	a.shared = pieces(s.State.PrefixCache.Missing(a.prompt, a.sent) - a.prompt.Own())
 	a.weight = 1 + j.piece*pieces(a.prompt.Own())
-	s.State.PrefixCache.Read(a.prompt, a.sent)
+	s.State.PrefixCache.Add(a.prompt, a.sent)
 	s.State.Begin(a.weight)
 	a.reply, a.err = j.engine.Channels.Send(ctx, j.compose(a))
 	if timer.stop() {
