--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -167,7 +167,7 @@
 			// Every server has to process at least the request's own part.
 			return
 		}
-		c += r.criteria.BlockCost * float64(s.State.PrefixCache.Missing(r.criteria.Prompt, r.now)) / BlockTokens
+		c += r.criteria.BlockCost * float64(s.State.PrefixCache.MissingTokens(r.criteria.Prompt, r.now)) / BlockTokens
 	}
 	if c < r.cost || (c == r.cost && hash > r.hash) {
 		r.best, r.cost, r.hash = s, c, hash
--- a/core/prefixcache/cache.go
+++ b/core/prefixcache/cache.go
@@ -93,7 +93,7 @@
 }
 
 // MissingTokens returns how many tokens of a prompt the server has to process.
-func (c *Cache) Missing(p Prompt, now time.Time) int {
+func (c *Cache) MissingTokens(p Prompt, now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	missing, cached := 0, true
--- a/core/prefixcache/cache_test.go
+++ b/core/prefixcache/cache_test.go
@@ -16,7 +16,7 @@
 
 func missing(t *testing.T, c *prefixcache.Cache, want int, parts ...prefixcache.Part) {
 	t.Helper()
-	if n := c.Missing(prefixcache.NewPrompt("small", parts), now); n != want {
+	if n := c.MissingTokens(prefixcache.NewPrompt("small", parts), now); n != want {
 		t.Errorf("%d tokens of %v are not cached, want %d", n, parts, want)
 	}
 }
@@ -29,7 +29,7 @@
 	missing(t, c, 500, policy, form)
 	// A part is cached only behind the parts that preceded it.
 	missing(t, c, 6500, form, policy)
-	if n := c.Missing(prefixcache.NewPrompt("large", []prefixcache.Part{policy, own}), now); n != 6100 {
+	if n := c.MissingTokens(prefixcache.NewPrompt("large", []prefixcache.Part{policy, own}), now); n != 6100 {
 		t.Errorf("%d tokens are not cached for another model, want 6100", n)
 	}
 }
