--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -151,7 +151,7 @@
 }
 
 func newSelector(w Criteria, now time.Time) selector {
-	return selector{criteria: w, now: now, ownCost: w.BlockCost * float64(w.Prompt.Own()) / BlockTokens, cost: math.Inf(1)}
+	return selector{criteria: w, now: now, ownCost: w.BlockCost * float64(w.Prompt.UniqueTokens()) / BlockTokens, cost: math.Inf(1)}
 }
 
 // consider compares one more server with the best so far.
--- a/core/prefixcache/cache.go
+++ b/core/prefixcache/cache.go
@@ -85,7 +85,7 @@
 
 // UniqueTokens returns the length of the last part, which no other request shares, in
 // tokens.
-func (p Prompt) Own() int {
+func (p Prompt) UniqueTokens() int {
 	if len(p.keys) == 0 {
 		return 0
 	}
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -143,8 +143,8 @@
 		j.engine.Knowledge.Ran(j.service, j.request.session(), s.Version)
 	}
 	a.prompt = j.prompt
-	a.shared = pieces(s.State.PrefixCache.MissingTokens(a.prompt, a.sent) - a.prompt.Own())
-	a.weight = 1 + j.piece*pieces(a.prompt.Own())
+	a.shared = pieces(s.State.PrefixCache.MissingTokens(a.prompt, a.sent) - a.prompt.UniqueTokens())
+	a.weight = 1 + j.piece*pieces(a.prompt.UniqueTokens())
 	s.State.PrefixCache.Add(a.prompt, a.sent)
 	s.State.Begin(a.weight)
 	a.reply, a.err = j.engine.Channels.Send(ctx, j.compose(a))
