--- a/core/latency/latency.go
+++ b/core/latency/latency.go
@@ -88,7 +88,7 @@
 
 // Typical returns the estimated latency of a request of a size now, or 0 if it is not
 // known yet.
-func (e Estimate) Usual(size float64, now time.Time) time.Duration {
+func (e Estimate) Typical(size float64, now time.Time) time.Duration {
 	if !e.Known() {
 		return 0
 	}
@@ -98,11 +98,11 @@
 
 // Recent returns the estimated latency of a request of a size as of the last answer, or
 // 0 if it is not known yet.
-func (e Estimate) Lately(size float64) time.Duration { return e.Usual(size, e.last) }
+func (e Estimate) Lately(size float64) time.Duration { return e.Typical(size, e.last) }
 
 // Mean returns the estimated latency now for requests of average size, or 0 if it is
 // not known yet.
-func (e Estimate) Mean(now time.Time) time.Duration { return e.Usual(e.meanSize, now) }
+func (e Estimate) Mean(now time.Time) time.Duration { return e.Typical(e.meanSize, now) }
 
 // Relative returns the ratio of an answer's latency to the estimate, or 0 if the
 // estimate is not known yet.
@@ -116,7 +116,7 @@
 // ProbabilityWithin returns the probability that a request of a size is answered within
 // a time; 1 if nothing is known.
 func (e Estimate) Within(size float64, left time.Duration, now time.Time) float64 {
-	typical := e.Usual(size, now)
+	typical := e.Typical(size, now)
 	switch {
 	case left <= 0:
 		return 0
--- a/core/latency/latency_test.go
+++ b/core/latency/latency_test.go
@@ -30,7 +30,7 @@
 	e := learn(400, 100*time.Millisecond, 200*time.Millisecond, 0.4)
 	for _, size := range []float64{1, 4, 9} {
 		want := 100*time.Millisecond + time.Duration(size*float64(200*time.Millisecond))
-		if got := e.Usual(size, now); !near(got, want) {
+		if got := e.Typical(size, now); !near(got, want) {
 			t.Errorf("size %v: estimate %v, actual latency %v", size, got, want)
 		}
 	}
@@ -65,21 +65,21 @@
 
 func TestIrrelevantSizesDoNotChangeEstimate(t *testing.T) {
 	e := learn(400, 100*time.Millisecond, 0, 0.4)
-	if got := e.Usual(10, now); !near(got, 100*time.Millisecond) {
+	if got := e.Typical(10, now); !near(got, 100*time.Millisecond) {
 		t.Errorf("estimate %v", got)
 	}
 	same := latency.Estimate{}
 	for range 20 {
 		same = same.With(0, 50*time.Millisecond, now)
 	}
-	if got := same.Usual(0, now); !near(got, 50*time.Millisecond) {
+	if got := same.Typical(0, now); !near(got, 50*time.Millisecond) {
 		t.Errorf("with equal sizes: estimate %v", got)
 	}
 }
 
 func TestEstimateNeedsTenAnswers(t *testing.T) {
 	e := learn(9, 100*time.Millisecond, 0, 0)
-	if e.Usual(1, now) != 0 || e.Relative(1, time.Second) != 0 || e.Within(1, time.Millisecond, now) != 1 {
+	if e.Typical(1, now) != 0 || e.Relative(1, time.Second) != 0 || e.Within(1, time.Millisecond, now) != 1 {
 		t.Error("an estimate is known after nine answers")
 	}
 	if !e.With(1, 100*time.Millisecond, now).Known() {
@@ -89,14 +89,14 @@
 
 func TestEstimateFallsWithoutAnswers(t *testing.T) {
 	e := learn(100, time.Second, 0, 0)
-	if got := e.Usual(1, now.Add(3*time.Second)); !near(got, 250*time.Millisecond) {
+	if got := e.Typical(1, now.Add(3*time.Second)); !near(got, 250*time.Millisecond) {
 		t.Errorf("after two half-lives: %v", got)
 	}
 }
 
 func TestOutlierDoesNotDistortEstimate(t *testing.T) {
 	e := learn(100, 100*time.Millisecond, 0, 0).With(1, time.Hour, now)
-	if got := e.Usual(1, now); got > 150*time.Millisecond {
+	if got := e.Typical(1, now); got > 150*time.Millisecond {
 		t.Errorf("estimate %v", got)
 	}
 }
--- a/daemon/proxy/stream.go
+++ b/daemon/proxy/stream.go
@@ -121,7 +121,7 @@
 // usual is what the first part of an answer of the present model may be expected
 // to take, or 0 if that is not known.
 func (j *job) usual(now time.Time) time.Duration {
-	return j.engine.paces.of(j.kind(j.model())).Usual(j.request.size(), now)
+	return j.engine.paces.of(j.kind(j.model())).Typical(j.request.size(), now)
 }
 
 // passEvents passes events on until the stream's proper end.
