--- a/core/latency/latency.go
+++ b/core/latency/latency.go
@@ -98,7 +98,7 @@
 
 // Recent returns the estimated latency of a request of a size as of the last answer, or
 // 0 if it is not known yet.
-func (e Estimate) Lately(size float64) time.Duration { return e.Typical(size, e.last) }
+func (e Estimate) Recent(size float64) time.Duration { return e.Typical(size, e.last) }
 
 // Mean returns the estimated latency now for requests of average size, or 0 if it is
 // not known yet.
--- a/daemon/proxy/patience.go
+++ b/daemon/proxy/patience.go
@@ -82,6 +82,6 @@
 func (j *job) longest() time.Duration {
 	now, size := time.Now(), j.request.size()
 	pace := j.engine.paces.of(j.kind(j.model()))
-	e := retry.ExpectedLatency{Now: pace.Typical(size, now), Recent: pace.Lately(size)}
+	e := retry.ExpectedLatency{Now: pace.Typical(size, now), Recent: pace.Recent(size)}
 	return retry.AttemptTimeout(e, j.route.LatencyObjective, j.end.Sub(now))
 }
