--- a/core/latency/latency.go
+++ b/core/latency/latency.go
@@ -115,7 +115,7 @@
 
 // ProbabilityWithin returns the probability that a request of a size is answered within
 // a time; 1 if nothing is known.
-func (e Estimate) Within(size float64, left time.Duration, now time.Time) float64 {
+func (e Estimate) ProbabilityWithin(size float64, left time.Duration, now time.Time) float64 {
 	typical := e.Typical(size, now)
 	switch {
 	case left <= 0:
--- a/core/latency/latency_test.go
+++ b/core/latency/latency_test.go
@@ -46,7 +46,7 @@
 	e := learn(400, 100*time.Millisecond, 200*time.Millisecond, 0.4)
 	last := 1.1
 	for _, size := range []float64{1, 4, 7, 9, 12, 30} {
-		p := e.Within(size, 1600*time.Millisecond, now)
+		p := e.ProbabilityWithin(size, 1600*time.Millisecond, now)
 		if p >= last && p < 0.999 {
 			t.Errorf("size %v is in time with a probability of %v, a smaller one with %v", size, p, last)
 		}
@@ -55,10 +55,10 @@
 	if last > 0.01 {
 		t.Errorf("a request that takes four times the time left is in time with a probability of %v", last)
 	}
-	if p := e.Within(1, 0, now); p != 0 {
+	if p := e.ProbabilityWithin(1, 0, now); p != 0 {
 		t.Errorf("with no time left the probability is %v", p)
 	}
-	if p := e.Within(1, 1600*time.Millisecond, now); p < 0.99 {
+	if p := e.ProbabilityWithin(1, 1600*time.Millisecond, now); p < 0.99 {
 		t.Errorf("a small request is in time with a probability of only %v", p)
 	}
 }
@@ -79,7 +79,7 @@
 
 func TestEstimateNeedsTenAnswers(t *testing.T) {
 	e := learn(9, 100*time.Millisecond, 0, 0)
-	if e.Typical(1, now) != 0 || e.Relative(1, time.Second) != 0 || e.Within(1, time.Millisecond, now) != 1 {
+	if e.Typical(1, now) != 0 || e.Relative(1, time.Second) != 0 || e.ProbabilityWithin(1, time.Millisecond, now) != 1 {
 		t.Error("an estimate is known after nine answers")
 	}
 	if !e.With(1, 100*time.Millisecond, now).Known() {
--- a/daemon/proxy/stream.go
+++ b/daemon/proxy/stream.go
@@ -98,7 +98,7 @@
 func (j *job) load(a *attempt, now time.Time) cascade.Load {
 	objective := j.route.LatencyObjective
 	larger := j.engine.paces.of(j.kind(j.route.Cascade[j.step.Next().Index]))
-	l := cascade.Load{InTime: larger.Within(j.request.size(), j.request.Arrived.Add(objective).Sub(now), now)}
+	l := cascade.Load{InTime: larger.ProbabilityWithin(j.request.size(), j.request.Arrived.Add(objective).Sub(now), now)}
 	if objective > 0 {
 		usual := j.engine.paces.of(j.kind(j.model())).Mean(now)
 		l.WaitShare = cascade.WaitShare(now.Sub(a.sent), usual, objective)
