--- a/core/latency/reference.go
+++ b/core/latency/reference.go
@@ -10,7 +10,7 @@
 type Features struct {
 	// Unique is the length of the prompt's part that no other request shares, in any
 	// unit that is used consistently: the server has to process it.
-	Own float64
+	Unique float64
 	// Uncached is the length of the shared part that this daemon has not sent to the
 	// server. The server may have to process it, or have it cached from another
 	// daemon's request.
@@ -29,7 +29,7 @@
 // vector returns the terms of the log-linear model: an increase of a feature by a
 // factor increases the latency by a factor.
 func (f Features) vector() [terms]float64 {
-	return [terms]float64{1, math.Log1p(f.Own), math.Log1p(f.Shared), math.Log1p(f.Load)}
+	return [terms]float64{1, math.Log1p(f.Unique), math.Log1p(f.Shared), math.Log1p(f.Load)}
 }
 
 const (
--- a/core/latency/reference_test.go
+++ b/core/latency/reference_test.go
@@ -12,7 +12,7 @@
 // actual returns a server's latency: it grows with the length of the prompt and with
 // the load.
 func actual(f latency.Features) time.Duration {
-	return time.Duration(float64(20*time.Millisecond) * (1 + f.Own) * (1 + f.Load))
+	return time.Duration(float64(20*time.Millisecond) * (1 + f.Unique) * (1 + f.Load))
 }
 
 func TestReferenceSeparatesSlownessFromLoadAndPromptLength(t *testing.T) {
@@ -22,10 +22,10 @@
 		t.Error("a reference without answers returns a relative latency")
 	}
 	for range 300 {
-		f := latency.Features{Own: 8 * rng.Float64(), Load: float64(2 + rng.IntN(16))}
+		f := latency.Features{Unique: 8 * rng.Float64(), Load: float64(2 + rng.IntN(16))}
 		r = r.With(f, time.Duration(float64(actual(f))*math.Exp(0.3*rng.NormFloat64())))
 	}
-	for _, f := range []latency.Features{{Own: 0, Load: 4}, {Own: 8, Load: 4}, {Own: 0, Load: 16}, {Own: 4, Load: 8}} {
+	for _, f := range []latency.Features{{Unique: 0, Load: 4}, {Unique: 8, Load: 4}, {Unique: 0, Load: 16}, {Unique: 4, Load: 8}} {
 		if relative := r.Relative(f, actual(f)); relative < 0.6 || relative > 1.6 {
 			t.Errorf("%+v: the typical latency has a relative latency of %v", f, relative)
 		}
@@ -42,11 +42,11 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	var r latency.Reference
 	for range 300 {
-		f := latency.Features{Own: 8 * rng.Float64(), Shared: 8 * float64(rng.IntN(2)), Load: 4}
-		reads := f.Own + f.Shared/4
+		f := latency.Features{Unique: 8 * rng.Float64(), Shared: 8 * float64(rng.IntN(2)), Load: 4}
+		reads := f.Unique + f.Shared/4
 		r = r.With(f, time.Duration(float64(20*time.Millisecond)*(1+reads)))
 	}
-	known, unknown := r.Expected(latency.Features{Own: 2, Load: 4}), r.Expected(latency.Features{Own: 2, Shared: 8, Load: 4})
+	known, unknown := r.Expected(latency.Features{Unique: 2, Load: 4}), r.Expected(latency.Features{Unique: 2, Shared: 8, Load: 4})
 	if unknown < 1.2*known || unknown > 2.5*known {
 		t.Errorf("%.3f s with cached shared parts, %.3f s without", known, unknown)
 	}
--- a/daemon/proxy/pace.go
+++ b/daemon/proxy/pace.go
@@ -30,7 +30,7 @@
 }
 
 // typical are the features by which models are compared.
-var typical = latency.Features{Own: 4, Load: 4}
+var typical = latency.Features{Unique: 4, Load: 4}
 
 // factor is how many times longer one reference takes than another, 1 if that is not
 // known.
--- a/daemon/proxy/stream.go
+++ b/daemon/proxy/stream.go
@@ -110,7 +110,7 @@
 // delays is how long a larger model's run holds up the requests that are at the
 // server, together, in terms of an objective.
 func (j *job) delays(a *attempt, objective time.Duration) float64 {
-	run := latency.Features{Own: pieces(a.prompt.UniqueTokens()), Load: 1}
+	run := latency.Features{Unique: pieces(a.prompt.UniqueTokens()), Load: 1}
 	larger := j.service + "/" + j.route.Cascade[j.step.Next().Index]
 	return a.features().Load * j.engine.settled.of(larger).Expected(run) / objective.Seconds()
 }
