--- a/core/latency/reference.go
+++ b/core/latency/reference.go
@@ -14,7 +14,7 @@
 	// Uncached is the length of the shared part that this daemon has not sent to the
 	// server. The server may have to process it, or have it cached from another
 	// daemon's request.
-	Shared float64
+	Uncached float64
 	// Load is how many requests the server has; 0 is unknown.
 	Load float64
 }
@@ -29,7 +29,7 @@
 // vector returns the terms of the log-linear model: an increase of a feature by a
 // factor increases the latency by a factor.
 func (f Features) vector() [terms]float64 {
-	return [terms]float64{1, math.Log1p(f.Unique), math.Log1p(f.Shared), math.Log1p(f.Load)}
+	return [terms]float64{1, math.Log1p(f.Unique), math.Log1p(f.Uncached), math.Log1p(f.Load)}
 }
 
 const (
--- a/core/latency/reference_test.go
+++ b/core/latency/reference_test.go
@@ -42,11 +42,11 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	var r latency.Reference
 	for range 300 {
-		f := latency.Features{Unique: 8 * rng.Float64(), Shared: 8 * float64(rng.IntN(2)), Load: 4}
-		reads := f.Unique + f.Shared/4
+		f := latency.Features{Unique: 8 * rng.Float64(), Uncached: 8 * float64(rng.IntN(2)), Load: 4}
+		reads := f.Unique + f.Uncached/4
 		r = r.With(f, time.Duration(float64(20*time.Millisecond)*(1+reads)))
 	}
-	known, unknown := r.Expected(latency.Features{Unique: 2, Load: 4}), r.Expected(latency.Features{Unique: 2, Shared: 8, Load: 4})
+	known, unknown := r.Expected(latency.Features{Unique: 2, Load: 4}), r.Expected(latency.Features{Unique: 2, Uncached: 8, Load: 4})
 	if unknown < 1.2*known || unknown > 2.5*known {
 		t.Errorf("%.3f s with cached shared parts, %.3f s without", known, unknown)
 	}
--- a/daemon/proxy/observe.go
+++ b/daemon/proxy/observe.go
@@ -57,7 +57,7 @@
 
 // features are what an attempt's time depends on.
 func (a *attempt) features() latency.Features {
-	return latency.Features{Unique: pieces(a.prompt.UniqueTokens()), Shared: a.shared, Load: float64(a.server.State.Requests())}
+	return latency.Features{Unique: pieces(a.prompt.UniqueTokens()), Uncached: a.shared, Load: float64(a.server.State.Requests())}
 }
 
 // pieces is how many pieces a server reads some tokens in.
