--- a/core/latency/reference.go
+++ b/core/latency/reference.go
@@ -38,7 +38,7 @@
 	decay = 0.99
 	// minWeight is the total weight of answers that a reference needs.
 	minWeight = 8
-	// ridge is the regularization of the features' coefficients, in answers.
+	// ridge is the regularisation of the features' coefficients, in answers.
 	ridge = 1
 	// maxBelowMean bounds how far below the mean load a load counts, as a natural
 	// logarithm: a factor of 2.7.
