--- a/daemon/storesync/drive.go
+++ b/daemon/storesync/drive.go
@@ -12,42 +12,42 @@
 
 // The rhythm of roll-outs.
 const (
-	// evidenceEvery is the time between two messages about what was seen: a bad
+	// evidenceInterval is the time between two messages about what was seen: a bad
 	// version may see requests for some seconds after it is known to be bad.
-	evidenceEvery = 700 * time.Millisecond
-	// turnWait is how long a daemon waits for each one before it in turn to
+	evidenceInterval = 700 * time.Millisecond
+	// writeTurnDelay is how long a daemon waits for each one before it in turn to
 	// write a state.
-	turnWait = 350 * time.Millisecond
+	writeTurnDelay = 350 * time.Millisecond
 	// writeTimeout bounds a write, and the pause after one that failed.
 	writeTimeout = 900 * time.Millisecond
-	// toldFor is how long what another daemon or hall has under way counts after it
+	// reportTTL is how long what another daemon or hall has under way counts after it
 	// was last told. What it has seen counts as long as the order.
-	toldFor = 2 * time.Second
-	// doubtStands is how long a doubt must have stood to take a version back: in twice the time
+	reportTTL = 2 * time.Second
+	// minSuspicionAge is how long a doubt must have stood to take a version back: in twice the time
 	// between two messages all daemons have told what they have seen. Daemons that had just
 	// started took good versions back by the few answers that they had heard of, in 3 of 12
 	// plays beside stops in turn.
-	doubtStands = 2 * evidenceEvery
-	// likelyReaders is how many daemons of another hall are told what this one
+	minSuspicionAge = 2 * evidenceInterval
+	// readersPerHall is how many daemons of another hall are told what this one
 	// has seen.
-	likelyReaders = 2
-	// bystanderWait is how long a daemon that does not read leaves the writing
+	readersPerHall = 2
+	// nonReaderWriteDelay is how long a daemon that does not read leaves the writing
 	// of states to those that do; urgentWait is that for a version that is bad,
 	// long enough for a reader to hear of it and write.
-	bystanderWait = 3 * time.Second
-	urgentWait    = 700 * time.Millisecond
-	// provenAnswers is how many answers of a version daemons must have seen
+	nonReaderWriteDelay = 3 * time.Second
+	rollbackWriteDelay  = 700 * time.Millisecond
+	// minAnswersToComplete is how many answers of a version daemons must have seen
 	// before it may be completed, which cannot be taken back: as many as tell a
 	// bad one for sure. provenAfter is how long a daemon must have known the
 	// order if fewer come.
-	provenAnswers = 30
-	provenAfter   = 3 * time.Second
+	minAnswersToComplete = 30
+	maxWaitForAnswers    = 3 * time.Second
 )
 
 // Observe takes what an answer says of a version in roll-out.
 func (k *Keeper) Observe(f Fact) {
 	if k.rollouts.open.Load() {
-		k.tell(observed{fact: f})
+		k.enqueue(observation{fact: f})
 	}
 }
 
@@ -56,25 +56,25 @@
 	if !k.rollouts.open.Load() {
 		return
 	}
-	k.rollouts.forget(now)
+	k.rollouts.expireReports(now)
 	own := k.oldInFlight(now)
 	for service, r := range k.rollouts.byService {
 		if r.State == canary.Running {
-			k.drive(ctx, service, r, own, now)
+			k.advanceRollout(ctx, service, r, own, now)
 		}
 	}
 	if k.rollouts.sentAt.IsZero() {
 		// Daemons that hear of an order together do not all speak at once.
-		k.rollouts.sentAt = now.Add(-time.Duration(k.random.Int64N(int64(evidenceEvery))))
+		k.rollouts.sentAt = now.Add(-time.Duration(k.random.Int64N(int64(evidenceInterval))))
 	}
-	if now.Sub(k.rollouts.sentAt) >= evidenceEvery {
-		k.tellEvidence(own, now)
+	if now.Sub(k.rollouts.sentAt) >= evidenceInterval {
+		k.sendEvidence(own, now)
 	}
 }
 
-// tellEvidence tells what was seen: to the daemon that reads for this one, or,
+// sendEvidence tells what was seen: to the daemon that reads for this one, or,
 // from one that reads, what its hall has seen to the readers of other halls.
-func (k *Keeper) tellEvidence(own map[string]int, now time.Time) {
+func (k *Keeper) sendEvidence(own map[string]int, now time.Time) {
 	k.rollouts.sentAt = now
 	if reader, ok := k.readers.reader(); ok && !k.reading.Load() {
 		k.Peers.Send(reader.ID, reader.Addr, k.rollouts.message(k.Self.Start, "", k.rollouts.own, own))
@@ -98,7 +98,7 @@
 	var out []Member
 	for _, of := range halls {
 		slices.SortFunc(of, rank)
-		out = append(out, of[:min(likelyReaders, len(of))]...)
+		out = append(out, of[:min(readersPerHall, len(of))]...)
 	}
 	return out
 }
@@ -141,51 +141,51 @@
 	return out
 }
 
-// drive takes the next step of an order, if it is this daemon's turn. Whether what was
+// advanceRollout takes the next step of an order, if it is this daemon's turn. Whether what was
 // seen is enough to complete a version is for those to say whose turn it is: the others
 // know little more than what they have seen themselves.
-func (k *Keeper) drive(ctx context.Context, service string, r canary.Rollout, own map[string]int, now time.Time) {
+func (k *Keeper) advanceRollout(ctx context.Context, service string, r canary.Rollout, own map[string]int, now time.Time) {
 	version := r.Order.Version
 	if !r.Started {
-		p := canary.Progress{State: canary.Running, Version: version, SinceMS: k.storeSince(service, now), Order: r.Order.Number, InitialShare: k.firstShare(r.Order)}
-		k.writeInTurn(ctx, service, p, "", k.rollouts.seenAt[service], now)
+		p := canary.Progress{State: canary.Running, Version: version, SinceMS: k.storeSince(service, now), Order: r.Order.Number, InitialShare: k.initialShare(r.Order)}
+		k.writeInTurn(ctx, service, p, "", k.rollouts.knownSince[service], now)
 		return
 	}
 	seen := k.rollouts.evidence(service)
-	verdict := k.judge(seen, r, own, now)
+	verdict := k.evaluate(seen, r, own, now)
 	next := canary.Progress{Version: version, SinceMS: k.storeSince(service, now), Order: r.Order.Number, InitialShare: r.InitialShare}
 	switch {
 	case k.rollouts.withdrawn[versionName(service, version)]:
 		next.State = canary.RolledBack
-	case !k.proven(service, seen, now):
+	case !k.enoughEvidence(service, seen, now):
 		return
-	case r.Share(now) >= 1 && canary.ReadyToComplete(now.Sub(r.Since), r.Order.Within) && (canary.NearDeadline(now.Sub(r.Since), r.Order.Within) || k.nothingOld(service, own)):
+	case r.Share(now) >= 1 && canary.ReadyToComplete(now.Sub(r.Since), r.Order.Within) && (canary.NearDeadline(now.Sub(r.Since), r.Order.Within) || k.oldVersionIdle(service, own)):
 		next.State = canary.Completed
 	default:
 		return
 	}
 	if next.State == canary.Completed && verdict.Suspicion != "" {
-		if now.Sub(k.due(service, next.State, now)) < k.turnAfter(next.State) {
+		if now.Sub(k.dueSince(service, next.State, now)) < k.writeDelay(next.State) {
 			return
 		}
 		k.withdraw(r, "not known to be good: "+verdict.Suspicion, own, now)
 		next.State = canary.RolledBack
 	}
-	k.writeInTurn(ctx, service, next, verdict.Summary, k.due(service, next.State, now), now)
+	k.writeInTurn(ctx, service, next, verdict.Summary, k.dueSince(service, next.State, now), now)
 }
 
-// due is since when a state of an order is to be written.
-func (k *Keeper) due(service string, state canary.State, now time.Time) time.Time {
+// dueSince is since when a state of an order is to be written.
+func (k *Keeper) dueSince(service string, state canary.State, now time.Time) time.Time {
 	name := service + state.String()
-	if _, ok := k.rollouts.seenAt[name]; !ok {
-		k.rollouts.seenAt[name] = now
+	if _, ok := k.rollouts.knownSince[name]; !ok {
+		k.rollouts.knownSince[name] = now
 	}
-	return k.rollouts.seenAt[name]
+	return k.rollouts.knownSince[name]
 }
 
-// firstShare is the share of the sessions that a new version begins with, by how
+// initialShare is the share of the sessions that a new version begins with, by how
 // many requests are expected in the order's time.
-func (k *Keeper) firstShare(o canary.Order) float64 {
+func (k *Keeper) initialShare(o canary.Order) float64 {
 	requests := 0.0
 	if k.Rate != nil {
 		requests = k.Rate(o.Service) * float64(max(1, k.view.Load().Daemons)) * o.Within.Seconds()
@@ -193,63 +193,63 @@
 	return k.Exposure.InitialShare(requests, o.Within)
 }
 
-// judge weighs what all daemons have seen of a version, and stops its use if it is
+// evaluate weighs what all daemons have seen of a version, and stops its use if it is
 // bad.
-func (k *Keeper) judge(seen canary.Evidence, r canary.Rollout, own map[string]int, now time.Time) canary.Verdict {
+func (k *Keeper) evaluate(seen canary.Evidence, r canary.Rollout, own map[string]int, now time.Time) canary.Verdict {
 	service, version := r.Order.Service, r.Order.Version
 	verdict := seen.Judge()
-	k.noteDoubt(r, verdict, now)
+	k.recordSuspicion(r, verdict, now)
 	for _, id := range verdict.Ejected {
-		if !slices.Contains(k.rollouts.aside[service], id) {
-			k.rollouts.aside[service] = append(slices.Clone(k.rollouts.aside[service]), id)
+		if !slices.Contains(k.rollouts.ejected[service], id) {
+			k.rollouts.ejected[service] = append(slices.Clone(k.rollouts.ejected[service]), id)
 			k.Log.Warn().Str("service", service).Str("version", version).Str("server", id).Dur("age", now.Sub(r.Since)).Msg("rollout: a server of the version looks bad: others are asked")
 		}
 	}
 	switch {
 	case verdict.Rejection != "":
 		k.withdraw(r, verdict.Rejection, own, now)
-	case (verdict.ErrorBudgetSpent || k.tried(r, seen, now)) && k.reading.Load() && k.proven(service, seen, now):
+	case (verdict.ErrorBudgetSpent || k.trialSufficient(r, seen, now)) && k.reading.Load() && k.enoughEvidence(service, seen, now):
 		k.withdraw(r, "not known to be good: "+verdict.Suspicion, own, now)
 	}
 	return verdict
 }
 
-// tried reports whether a version has been tried for so long, or so often, that a doubt which
+// trialSufficient reports whether a version has been trialSufficient for so long, or so often, that a doubt which
 // stands is enough to stop its use.
-func (k *Keeper) tried(r canary.Rollout, seen canary.Evidence, now time.Time) bool {
-	stands := k.rollouts.doubts[r.Order.Service].stoodFor(now) >= doubtStands
+func (k *Keeper) trialSufficient(r canary.Rollout, seen canary.Evidence, now time.Time) bool {
+	stands := k.rollouts.suspicions[r.Order.Service].age(now) >= minSuspicionAge
 	return stands && (r.TrialElapsed(now) || seen.SampleSufficient())
 }
 
-// seenEvery is the time between two lines of a reader about what was seen of a version.
-const seenEvery = time.Second
+// summaryLogInterval is the time between two lines of a reader about what was seen of a version.
+const summaryLogInterval = time.Second
 
-// noteDoubt notes since when there is a doubt, and has a reader log what was seen so far: a
+// recordSuspicion notes since when there is a doubt, and has a reader log what was seen so far: a
 // decision that comes late is traced by when there was enough for it.
-func (k *Keeper) noteDoubt(r canary.Rollout, v canary.Verdict, now time.Time) {
+func (k *Keeper) recordSuspicion(r canary.Rollout, v canary.Verdict, now time.Time) {
 	service := r.Order.Service
-	s := k.rollouts.doubts[service]
+	s := k.rollouts.suspicions[service]
 	if v.Suspicion == "" {
 		s.since = time.Time{}
 	} else if s.since.IsZero() {
 		s.since = now
 	}
-	if k.reading.Load() && now.Sub(s.loggedAt) >= seenEvery {
+	if k.reading.Load() && now.Sub(s.loggedAt) >= summaryLogInterval {
 		s.loggedAt = now
-		k.Log.Info().Str("service", service).Str("version", r.Order.Version).Dur("age", now.Sub(r.Since)).Dur("doubt_for", s.stoodFor(now)).Bool("tried", r.TrialElapsed(now)).Str("seen", v.Summary).Msg("rollout: seen so far")
+		k.Log.Info().Str("service", service).Str("version", r.Order.Version).Dur("age", now.Sub(r.Since)).Dur("doubt_for", s.age(now)).Bool("tried", r.TrialElapsed(now)).Str("seen", v.Summary).Msg("rollout: seen so far")
 	}
-	k.rollouts.doubts[service] = s
+	k.rollouts.suspicions[service] = s
 }
 
-// doubt is since when there is a doubt of a version in roll-out.
-type doubt struct {
+// suspicion is since when there is a suspicion of a version in roll-out.
+type suspicion struct {
 	// since is zero without a doubt, loggedAt when what was seen was last logged.
 	since    time.Time
 	loggedAt time.Time
 }
 
-// stoodFor is how long there has been a doubt.
-func (s doubt) stoodFor(now time.Time) time.Duration {
+// age is how long there has been a doubt.
+func (s suspicion) age(now time.Time) time.Duration {
 	if s.since.IsZero() {
 		return 0
 	}
@@ -262,15 +262,15 @@
 	if !k.rollouts.withdraw(service, version) {
 		return
 	}
-	k.Log.Warn().Str("service", service).Str("version", version).Str("why", why).Dur("age", now.Sub(r.Since)).Dur("doubt_for", k.rollouts.doubts[service].stoodFor(now)).Msg("rollout: the version is bad: it gets nothing more")
-	k.tellEvidence(own, now)
-	k.tellWithdrawn(now)
+	k.Log.Warn().Str("service", service).Str("version", version).Str("why", why).Dur("age", now.Sub(r.Since)).Dur("doubt_for", k.rollouts.suspicions[service].age(now)).Msg("rollout: the version is bad: it gets nothing more")
+	k.sendEvidence(own, now)
+	k.sendWithdrawn(now)
 }
 
-// proven reports whether enough was seen of a version since this process knows
+// enoughEvidence reports whether enough was seen of a version since this process knows
 // the order: with all daemons started anew nobody remembers what was before.
-func (k *Keeper) proven(service string, seen canary.Evidence, now time.Time) bool {
-	return seen.Answers() >= provenAnswers || now.Sub(k.rollouts.seenAt[service]) >= provenAfter
+func (k *Keeper) enoughEvidence(service string, seen canary.Evidence, now time.Time) bool {
+	return seen.Answers() >= minAnswersToComplete || now.Sub(k.rollouts.knownSince[service]) >= maxWaitForAnswers
 }
 
 // storeSince is when the order was first seen, by the store's clock.
@@ -280,9 +280,9 @@
 	return clock - min(age, clock)
 }
 
-// nothingOld reports whether no daemon is known to have a request under way on
+// oldVersionIdle reports whether no daemon is known to have a request under way on
 // the old version.
-func (k *Keeper) nothingOld(service string, own map[string]int) bool {
+func (k *Keeper) oldVersionIdle(service string, own map[string]int) bool {
 	n, ok := k.rollouts.allOldInFlight(own)[service]
 	return ok && n == 0
 }
@@ -290,10 +290,10 @@
 // writeInTurn writes a state when it is this daemon's turn: the others follow
 // one after the other, so that usually only one writes. The log tells what it rests on.
 func (k *Keeper) writeInTurn(ctx context.Context, service string, p canary.Progress, seen string, due, now time.Time) {
-	if began, busy := k.rollouts.busy[service]; busy && now.Sub(began) < 2*writeTimeout {
+	if began, busy := k.rollouts.writing[service]; busy && now.Sub(began) < 2*writeTimeout {
 		return
 	}
-	if now.Sub(due) < k.turnAfter(p.State) {
+	if now.Sub(due) < k.writeDelay(p.State) {
 		return
 	}
 	row, err := k.Decoder.WriteProgress(service, p)
@@ -301,7 +301,7 @@
 		k.Log.Error().Err(err).Str("service", service).Msg("rollout: the state cannot be encoded")
 		return
 	}
-	k.rollouts.busy[service] = now
+	k.rollouts.writing[service] = now
 	t := k.topics[gossip.Progress]
 	was := revision.New(t.version.Era, 0)
 	if known, there := t.rows[row.Key]; there {
@@ -313,13 +313,13 @@
 		defer cancel()
 		k.Calls.Add(1)
 		err := k.Store.Write(ctx, gossip.Progress, row.Key, row.Data, was)
-		k.deliver(ctx, wrote{service: service, err: err})
+		k.deliver(ctx, writeDone{service: service, err: err})
 	}()
 }
 
-// turnAfter is how long this daemon leaves the writing of a state to others: the
+// writeDelay is how long this daemon leaves the writing of a state to others: the
 // readers of the halls take turns, and other daemons come after them.
-func (k *Keeper) turnAfter(state canary.State) time.Duration {
+func (k *Keeper) writeDelay(state canary.State) time.Duration {
 	halls := []string{k.Self.Hall}
 	for _, m := range k.others() {
 		if !slices.Contains(halls, m.Hall) {
@@ -327,23 +327,23 @@
 		}
 	}
 	slices.Sort(halls)
-	wait := time.Duration(slices.Index(halls, k.Self.Hall)) * turnWait
+	wait := time.Duration(slices.Index(halls, k.Self.Hall)) * writeTurnDelay
 	switch {
 	case k.reading.Load():
 	case state == canary.RolledBack:
-		wait += urgentWait
+		wait += rollbackWriteDelay
 	default:
-		wait += bystanderWait
+		wait += nonReaderWriteDelay
 	}
 	return wait
 }
 
-// wrote notes the outcome of a write. Whatever it was, the topic tells what
+// handleWriteDone notes the outcome of a write. Whatever it was, the topic tells what
 // stands: a lost answer may have been a success.
-func (k *Keeper) wrote(e wrote) {
+func (k *Keeper) handleWriteDone(e writeDone) {
 	if e.err != nil {
 		k.Log.Warn().Str("service", e.service).Err(e.err).Msg("rollout: the state may not have been written")
 		return
 	}
-	delete(k.rollouts.busy, e.service)
+	delete(k.rollouts.writing, e.service)
 }
--- a/daemon/storesync/era.go
+++ b/daemon/storesync/era.go
@@ -16,33 +16,33 @@
 // operator and the servers wrote is written again, at once or a moment later; what daemons wrote
 // is theirs to write again. Until then a daemon goes by what it knew, which is newer.
 
-// rewrittenWithin is how long a row that the store has lost is held, if nobody writes it again.
-const rewrittenWithin = 5 * time.Second
+// rewriteTimeout is how long a row that the store has lost is held, if nobody writes it again.
+const rewriteTimeout = 5 * time.Second
 
-// supersede remembers what a row is that is about to change or to go.
-func (t *topicState) supersede(key string, now time.Time) {
+// recordOldContent remembers what a row is that is about to change or to go.
+func (t *topicState) recordOldContent(key string, now time.Time) {
 	was, ok := t.rows[key]
 	if !ok {
 		return
 	}
-	kept := slices.DeleteFunc(t.before[key], func(c content) bool { return now.Sub(c.at) > copyAge })
-	if len(kept) >= mostBefore {
+	kept := slices.DeleteFunc(t.oldContents[key], func(c content) bool { return now.Sub(c.at) > maxCopyAge })
+	if len(kept) >= maxOldContents {
 		kept = slices.Delete(kept, 0, 1)
 	}
-	t.before[key] = append(kept, content{number: was.Version.Number, sum: was.Sum(), at: now})
+	t.oldContents[key] = append(kept, content{number: was.Version.Number, sum: was.Sum(), at: now})
 }
 
-// forget forgets what rows were that no copy can have.
-func (t *topicState) forget(now time.Time) {
-	maps.DeleteFunc(t.before, func(_ string, was []content) bool {
-		return !slices.ContainsFunc(was, func(c content) bool { return now.Sub(c.at) <= copyAge })
+// dropOldContents forgets what rows were that no copy can have.
+func (t *topicState) dropOldContents(now time.Time) {
+	maps.DeleteFunc(t.oldContents, func(_ string, was []content) bool {
+		return !slices.ContainsFunc(was, func(c content) bool { return now.Sub(c.at) <= maxCopyAge })
 	})
 }
 
-// superseded reports whether a row was known as it is, and has changed or gone since.
-func (t *topicState) superseded(row gossip.Row) bool {
+// isOldContent reports whether a row was known as it is, and has changed or gone since.
+func (t *topicState) isOldContent(row gossip.Row) bool {
 	sum := row.Sum()
-	return slices.ContainsFunc(t.before[row.Key], func(c content) bool { return c.number == row.Version.Number && c.sum == sum })
+	return slices.ContainsFunc(t.oldContents[row.Key], func(c content) bool { return c.number == row.Version.Number && c.sum == sum })
 }
 
 // reconcile returns all rows as they are known once the store, which may have returned from a
@@ -50,7 +50,7 @@
 // version that the store has, and so is one that the copy lacks.
 func (t *topicState) reconcile(rows []gossip.Row, version revision.Revision, now time.Time) []gossip.Row {
 	returns := t.known && version.Era > t.version.Era
-	if t.returnedAt.IsZero() || now.Sub(t.returnedAt) > copyAge && len(t.held) == 0 {
+	if t.restoredAt.IsZero() || now.Sub(t.restoredAt) > maxCopyAge && len(t.held) == 0 {
 		return rows
 	}
 	out := make([]gossip.Row, 0, len(rows))
@@ -59,7 +59,7 @@
 		there[row.Key] = true
 		was, known := t.rows[row.Key]
 		switch {
-		case known && was.Sum() == row.Sum() || !t.superseded(row):
+		case known && was.Sum() == row.Sum() || !t.isOldContent(row):
 			delete(t.held, row.Key)
 		case known:
 			row.Data = was.Data
@@ -80,20 +80,20 @@
 	return out
 }
 
-// noteHeld notes that another daemon holds rows that the store has lost.
-func (t *topicState) noteHeld(known gossip.Update, now time.Time) {
+// noteHeldByPeer notes that another daemon holds rows that the store has lost.
+func (t *topicState) noteHeldByPeer(known gossip.Update, now time.Time) {
 	if known.LostRows > 0 {
-		t.returnedAt = now
+		t.restoredAt = now
 	}
 }
 
-// takeHeld takes what another daemon of the same era holds that the store has lost, if this one has
+// mergeHeld takes what another daemon of the same era holds that the store has lost, if this one has
 // read it from the copy. What the store has taken since the other one read it stands.
-func (t *topicState) takeHeld(known gossip.Update, now time.Time) (gone []string, newer bool) {
+func (t *topicState) mergeHeld(known gossip.Update, now time.Time) (gone []string, newer bool) {
 	if known.Version.Era != t.version.Era || known.LostRows <= uint64(len(t.held)) || !known.Complete && known.Base != t.sum {
 		return nil, false
 	}
-	t.returnedAt = now
+	t.restoredAt = now
 	var lost []gossip.Row
 	for _, row := range known.Rows {
 		was, has := t.rows[row.Key]
@@ -101,7 +101,7 @@
 			lost = append(lost, row)
 		}
 	}
-	removed := slices.DeleteFunc(t.lacks(known), func(key string) bool { return t.rows[key].Version.After(known.Version) })
+	removed := slices.DeleteFunc(t.keysMissingAt(known), func(key string) bool { return t.rows[key].Version.After(known.Version) })
 	gone = t.set(lost, removed, now)
 	for _, row := range lost {
 		t.hold(row.Key, now)
@@ -109,8 +109,8 @@
 	return gone, len(lost)+len(removed) > 0
 }
 
-// lacks are the keys of rows that another daemon does not have.
-func (t *topicState) lacks(known gossip.Update) []string {
+// keysMissingAt are the keys of rows that another daemon does not have.
+func (t *topicState) keysMissingAt(known gossip.Update) []string {
 	if !known.Complete {
 		return slices.DeleteFunc(slices.Clone(known.Removed), func(key string) bool { _, has := t.rows[key]; return !has })
 	}
@@ -133,27 +133,27 @@
 	}
 }
 
-// overdue are the keys of rows that the store lacks and nobody has written again in time.
-func (t *topicState) overdue(now time.Time) []string {
+// expiredHeld are the keys of rows that the store lacks and nobody has written again in time.
+func (t *topicState) expiredHeld(now time.Time) []string {
 	var out []string
 	for key, since := range t.held {
-		if t.rows[key].Version.Number == 0 && now.Sub(since) > rewrittenWithin {
+		if t.rows[key].Version.Number == 0 && now.Sub(since) > rewriteTimeout {
 			out = append(out, key)
 		}
 	}
 	return out
 }
 
-// noteEra notes that the store has returned from a copy, if a topic's new version shows it.
-func (k *Keeper) noteEra(topic gossip.Topic, version revision.Revision, now time.Time) {
+// checkEra notes that the store has returned from a copy, if a topic's new version shows it.
+func (k *Keeper) checkEra(topic gossip.Topic, version revision.Revision, now time.Time) {
 	t := k.topics[topic]
 	if !t.known || version.Era <= t.version.Era {
 		return
 	}
-	t.returnedAt = now
+	t.restoredAt = now
 	k.Log.Warn().Str("topic", string(topic)).Stringer("version", version).Stringer("was", t.version).Msg("knowledge: the store has returned from a copy: what it has lost is held until it is written again")
 	k.Returns.Add(1)
-	if topic == gossip.Members && now.Sub(k.startedAt) < copyAge {
+	if topic == gossip.Members && now.Sub(k.startedAt) < maxCopyAge {
 		// The copy may be older than this daemon's entry.
 		select {
 		case k.republish <- struct{}{}:
@@ -162,16 +162,16 @@
 	}
 }
 
-// afterReturn does what is due while the store lacks what it had.
-func (k *Keeper) afterReturn(ctx context.Context, now time.Time) {
+// handleRestore does what is due while the store lacks what it had.
+func (k *Keeper) handleRestore(ctx context.Context, now time.Time) {
 	for topic, t := range k.topics {
-		t.forget(now)
+		t.dropOldContents(now)
 		if topic == gossip.Progress {
 			continue
 		}
-		if keys := t.overdue(now); len(keys) > 0 {
+		if keys := t.expiredHeld(now); len(keys) > 0 {
 			k.Log.Warn().Str("topic", string(topic)).Strs("keys", keys).Msg("knowledge: rows that the store has lost were not written again: they are gone")
-			k.learned(topic, t.set(nil, keys, now), true, now)
+			k.applyTopicChange(topic, t.set(nil, keys, now), true, now)
 		}
 	}
 	progress := k.topics[gossip.Progress]
@@ -205,21 +205,21 @@
 	}
 }
 
-// staysLeaving reports whether a server leaves by an entry of it. What it has said holds in a
+// isLeaving reports whether a server leaves by an entry of it. What it has said holds in a
 // later era, too, in which an entry may be older than that.
-func (k *Keeper) staysLeaving(s fleet.Server, row revision.Revision) bool {
+func (k *Keeper) isLeaving(s fleet.Server, row revision.Revision) bool {
 	i := s.Incarnation()
-	era, left := k.left[i]
+	era, left := k.leaving[i]
 	switch {
 	case s.Leaving:
-		k.left[i] = row.Era
+		k.leaving[i] = row.Era
 	case left && row.Era <= era:
-		delete(k.left, i)
+		delete(k.leaving, i)
 	case left:
 		return true
 	}
-	if len(k.left) > mostUnlisted {
-		maps.DeleteFunc(k.left, func(i fleet.Incarnation, _ uint64) bool { return k.loads[i] == nil })
+	if len(k.leaving) > maxUnlisted {
+		maps.DeleteFunc(k.leaving, func(i fleet.Incarnation, _ uint64) bool { return k.loads[i] == nil })
 	}
 	return s.Leaving
 }
--- a/daemon/storesync/export_test.go
+++ b/daemon/storesync/export_test.go
@@ -22,8 +22,8 @@
 // Change takes one changed row from the store.
 func (t *Table) Change(row gossip.Row) {
 	now := time.Now()
-	t.keeper.topics[gossip.Servers].change(Page{Rows: []gossip.Row{row}, Version: row.Version}, now, now)
-	t.keeper.serversChanged(now)
+	t.keeper.topics[gossip.Servers].applyPage(Page{Rows: []gossip.Row{row}, Version: row.Version}, now, now)
+	t.keeper.applyServerChanges(now)
 }
 
 // Told takes one changed row from another daemon.
@@ -33,5 +33,5 @@
 	old := topic.rows[row.Key]
 	sum := topic.sum - gossip.Sum([]gossip.Row{old}) + gossip.Sum([]gossip.Row{row})
 	topic.apply(gossip.Update{Topic: gossip.Servers, Version: row.Version, Sum: sum, Base: topic.sum, Rows: []gossip.Row{row}}, now, now)
-	t.keeper.serversChanged(now)
+	t.keeper.applyServerChanges(now)
 }
--- a/daemon/storesync/follow.go
+++ b/daemon/storesync/follow.go
@@ -13,61 +13,61 @@
 
 // The rhythm of calls to the store.
 const (
-	// holdPart is the part of the time in which a configuration must be in
+	// holdDivisor is the part of the time in which a configuration must be in
 	// force, as a divisor, for which the store holds a call about it that has
 	// nothing to tell. What a reader knows is then at most two calls old; a
 	// daemon that sees it grow older has time left to read for itself.
-	holdPart = 4
-	// standardInForce is that time if the settings name none.
-	standardInForce = 2 * time.Second
-	// followLong is how long it holds the other calls: what they tell need
+	holdDivisor = 4
+	// defaultInForce is that time if the settings name none.
+	defaultInForce = 2 * time.Second
+	// longPollWait is how long it holds the other calls: what they tell need
 	// not be confirmed, and a failure of the first one ends them.
-	followLong = 6 * time.Second
+	longPollWait = 6 * time.Second
 	// callTimeout is what is added to that before a call counts as lost.
 	callTimeout = 900 * time.Millisecond
-	// pauseFloor and pauseCeiling bound the pause after a failed call, which
+	// minBackoff and pauseCeiling bound the pause after a failed call, which
 	// doubles. It is drawn between a half of it and the whole.
-	pauseFloor   = 150 * time.Millisecond
-	pauseCeiling = time.Second
-	// bystanderFloor and bystanderCeiling bound it where others of the hall try again
+	minBackoff = 150 * time.Millisecond
+	maxBackoff = time.Second
+	// minPassiveBackoff and bystanderCeiling bound it where others of the hall try again
 	// soon.
-	bystanderFloor   = 2 * time.Second
-	bystanderCeiling = 4 * time.Second
-	// gather is the pause after an answer with changes, so that more of them
+	minPassiveBackoff = 2 * time.Second
+	maxPassiveBackoff = 4 * time.Second
+	// batchDelay is the pause after an answer with changes, so that more of them
 	// come with the next one: when many servers start, each would cost a call.
 	// Of servers and daemons it may be longer than of the configuration: a server
 	// that leaves must be known within two seconds, which leaves time for an
 	// answer and the news of it to be lost.
-	gather     = 150 * time.Millisecond
-	gatherLong = 400 * time.Millisecond
+	batchDelay     = 150 * time.Millisecond
+	longBatchDelay = 400 * time.Millisecond
 	// membersDelay is how long after its start a daemon reads the list of daemons.
 	// When many start at once their entries are there by then, with the keys
 	// without which they cannot speak to each other.
 	membersDelay = 300 * time.Millisecond
-	// settle is the pause after all rows were read, in which this daemon finds
+	// settleDelay is the pause after all rows were read, in which this daemon finds
 	// out whether another one is there to follow them.
-	settle = 2*tickEvery + 50*time.Millisecond
+	settleDelay = 2*tickInterval + 50*time.Millisecond
 )
 
-// hold is how long the store holds a call about the configuration.
-func (k *Keeper) hold() time.Duration {
+// pollWait is how long the store holds a call about the configuration.
+func (k *Keeper) pollWait() time.Duration {
 	if k.InForceWithin <= 0 {
-		return standardInForce / holdPart
+		return defaultInForce / holdDivisor
 	}
-	return k.InForceWithin / holdPart
+	return k.InForceWithin / holdDivisor
 }
 
 // follower keeps one topic up to date from the store.
 type follower struct {
 	topic gossip.Topic
-	// hold is how long the store holds a call, gather how long changes are
+	// pollWait is how long the store holds a call, gather how long changes are
 	// gathered after one.
-	hold   time.Duration
-	gather time.Duration
+	pollWait   time.Duration
+	batchDelay time.Duration
 	// delay is how long after the start the first call is made.
 	delay time.Duration
-	// wanted reports whether the topic is to be followed now.
-	wanted func() bool
+	// enabled reports whether the topic is to be followed now.
+	enabled func() bool
 
 	mu     sync.Mutex
 	cancel context.CancelFunc
@@ -107,27 +107,27 @@
 	var after revision.Revision
 	known := false
 	random := k.draws(string(f.topic))
-	pause, hold := pauseFloor, f.hold
+	pause, hold := minBackoff, f.pollWait
 	clock.Wait(ctx, f.delay)
 	// The first time the list of daemons comes later than the other rows.
-	pauseAfterAll := settle + membersDelay - f.delay
+	pauseAfterAll := settleDelay + membersDelay - f.delay
 	for ctx.Err() == nil {
-		if !f.wanted() {
+		if !f.enabled() {
 			known = false
-			clock.Wait(ctx, tickEvery)
+			clock.Wait(ctx, tickInterval)
 			continue
 		}
-		if k.leavesReading.Load() && (known || f.topic != gossip.Members) {
-			clock.Wait(ctx, tickEvery)
+		if k.deferReading.Load() && (known || f.topic != gossip.Members) {
+			clock.Wait(ctx, tickInterval)
 			continue
 		}
-		if f.topic != gossip.Operator && k.away.Load() {
+		if f.topic != gossip.Operator && k.storeUnavailable.Load() {
 			hold = time.Millisecond
-			clock.Wait(ctx, tickEvery/2)
+			clock.Wait(ctx, tickInterval/2)
 			continue
 		}
 		at, stood := time.Now(), k.StoodStill.Now()
-		page, whole, err := k.call(ctx, f, known, after, hold)
+		page, whole, err := k.fetch(ctx, f, known, after, hold)
 		if ctx.Err() != nil {
 			return
 		}
@@ -135,40 +135,40 @@
 			hold = time.Millisecond
 			continue
 		}
-		k.deliver(ctx, paged{topic: f.topic, page: page, whole: whole, at: at, stood: stood, err: err})
+		k.deliver(ctx, storeAnswer{topic: f.topic, page: page, full: whole, at: at, suspendedTotal: stood, err: err})
 		if err != nil {
-			known = known && !mustReadAll(err)
-			pause = k.rest(ctx, pause, random)
+			known = known && !needsFullRead(err)
+			pause = k.backOff(ctx, pause, random)
 			// The next answer is wanted at once: it tells that the store is back.
 			hold = time.Millisecond
 			continue
 		}
-		known, after, pause, hold = true, page.Version, pauseFloor, f.hold
+		known, after, pause, hold = true, page.Version, minBackoff, f.pollWait
 		switch {
 		case whole:
 			clock.Wait(ctx, pauseAfterAll)
-			pauseAfterAll = settle
+			pauseAfterAll = settleDelay
 		case len(page.Rows)+len(page.Removed) > 0:
-			clock.Wait(ctx, f.gather)
+			clock.Wait(ctx, f.batchDelay)
 		}
 	}
 }
 
-// mustReadAll reports whether what has changed is only safely known from all rows.
-func mustReadAll(err error) bool { return isKind(err, HistoryLost) || isKind(err, EraChanged) }
+// needsFullRead reports whether what has changed is only safely known from all rows.
+func needsFullRead(err error) bool { return isKind(err, HistoryLost) || isKind(err, EraChanged) }
 
-// rest waits after a failed call and returns the next pause.
-func (k *Keeper) rest(ctx context.Context, pause time.Duration, random *rand.Rand) time.Duration {
-	ceiling := pauseCeiling
-	if k.bystander.Load() {
-		pause, ceiling = max(pause, bystanderFloor), bystanderCeiling
+// backOff waits after a failed call and returns the next pause.
+func (k *Keeper) backOff(ctx context.Context, pause time.Duration, random *rand.Rand) time.Duration {
+	ceiling := maxBackoff
+	if k.passive.Load() {
+		pause, ceiling = max(pause, minPassiveBackoff), maxPassiveBackoff
 	}
 	clock.Wait(ctx, pause/2+time.Duration(random.Int64N(int64(pause/2))))
 	return min(2*pause, ceiling)
 }
 
-// call reads all rows of a topic if none are known, and otherwise follows it.
-func (k *Keeper) call(ctx context.Context, f *follower, known bool, after revision.Revision, hold time.Duration) (Page, bool, error) {
+// fetch reads all rows of a topic if none are known, and otherwise follows it.
+func (k *Keeper) fetch(ctx context.Context, f *follower, known bool, after revision.Revision, hold time.Duration) (Page, bool, error) {
 	k.Calls.Add(1)
 	if !known {
 		ctx, cancel := f.begin(ctx, callTimeout)
--- a/daemon/storesync/halls.go
+++ b/daemon/storesync/halls.go
@@ -16,48 +16,48 @@
 // row stands nothing is sent to the hall's servers, neither a first attempt nor a
 // repeat, a larger model's run or a stream that is taken up; what runs there goes on.
 
-// empty takes which data halls are emptied now.
-func (k *Keeper) empty(halls map[string]bool, now time.Time) {
+// updateDrained takes which data halls are emptied now.
+func (k *Keeper) updateDrained(halls map[string]bool, now time.Time) {
 	next := map[string]time.Time{}
 	for hall := range halls {
-		since, was := k.emptied[hall]
+		since, was := k.drained[hall]
 		if !was {
 			since = now
 			k.Log.Info().Str("hall", hall).Bool("known", k.halls[hall] != nil).Msg("knowledge: a data hall is emptied: its servers get nothing more")
 		}
 		next[hall] = since
 	}
-	for hall, since := range k.emptied {
+	for hall, since := range k.drained {
 		if _, still := next[hall]; !still {
 			k.Log.Info().Str("hall", hall).Dur("after", now.Sub(since)).Msg("knowledge: a data hall is taken back: its servers count as cold")
-			k.returned[hall] = now
+			k.undrainedAt[hall] = now
 		}
 	}
-	if maps.Equal(next, k.emptied) {
+	if maps.Equal(next, k.drained) {
 		return
 	}
-	k.emptied = next
+	k.drained = next
 	v := *k.view.Load()
 	v.Emptied = next
 	if v.Servers != nil {
 		v.Servers = v.Servers.WithDrained(halls)
 	}
 	k.view.Store(&v)
-	k.chill(now)
+	k.updateColdLimits(now)
 }
 
-// emptiedHalls are the names of the halls that are emptied.
-func (k *Keeper) emptiedHalls() map[string]bool {
-	out := make(map[string]bool, len(k.emptied))
-	for hall := range k.emptied {
+// drainedHalls are the names of the halls that are emptied.
+func (k *Keeper) drainedHalls() map[string]bool {
+	out := make(map[string]bool, len(k.drained))
+	for hall := range k.drained {
 		out[hall] = true
 	}
 	return out
 }
 
-// noteCold notes what a newer entry of a server says of its being cold. The entry may be
+// recordCold notes what a newer entry of a server says of its being cold. The entry may be
 // a moment old: the time counts from now, which is later than it is meant.
-func (k *Keeper) noteCold(s *fleet.Server, row revision.Revision, now time.Time) {
+func (k *Keeper) recordCold(s *fleet.Server, row revision.Revision, now time.Time) {
 	if !row.After(k.coldRows[s.Incarnation()]) {
 		return
 	}
@@ -71,18 +71,18 @@
 	}
 }
 
-// chill says of each server until when it is cold and what this daemon may send to it.
-func (k *Keeper) chill(now time.Time) {
+// updateColdLimits says of each server until when it is cold and what this daemon may send to it.
+func (k *Keeper) updateColdLimits(now time.Time) {
 	v := k.view.Load()
 	maps.DeleteFunc(k.coldUntil, func(_ fleet.Incarnation, until time.Time) bool { return now.After(until) })
-	if v.Servers == nil || v.Map == nil || (len(k.coldUntil) == 0 && len(k.returned) == 0) {
+	if v.Servers == nil || v.Map == nil || (len(k.coldUntil) == 0 && len(k.undrainedAt) == 0) {
 		return
 	}
 	var daemons []string
 	for _, s := range v.Servers.All() {
 		service := v.Map.Service(s.Service)
 		until := k.coldUntil[s.Incarnation()]
-		if back, ok := k.returned[s.Hall]; ok && service.ColdFor > 0 {
+		if back, ok := k.undrainedAt[s.Hall]; ok && service.ColdFor > 0 {
 			until = latest(until, back.Add(routemap.ClampColdTime(service.ColdFor)))
 		}
 		if service.ColdRate == 0 || !now.Before(until) {
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -27,13 +27,13 @@
 
 // The rhythm of the keeper.
 const (
-	// tickEvery is the time between two looks at what is due.
-	tickEvery = 100 * time.Millisecond
-	// askPeers is how many daemons are asked then.
-	askPeers = 3
-	// lapseWait is how long a server may take to be listed again after the
+	// tickInterval is the time between two looks at what is due.
+	tickInterval = 100 * time.Millisecond
+	// peersPerQuery is how many daemons are asked then.
+	peersPerQuery = 3
+	// relistTimeout is how long a server may take to be listed again after the
 	// store was away; the platform's pages give about two seconds.
-	lapseWait = 2000 * time.Millisecond
+	relistTimeout = 2000 * time.Millisecond
 	// eventBacklog bounds the keeper's inbox.
 	eventBacklog = 4096
 )
@@ -108,8 +108,8 @@
 	// store may lack states of roll-outs.
 	republish    chan struct{}
 	progressLost atomic.Bool
-	// left are the servers that leave by their entries, by the era of the store that said so.
-	left map[fleet.Incarnation]uint64
+	// leaving are the servers that leave by their entries, by the era of the store that said so.
+	leaving map[fleet.Incarnation]uint64
 
 	view    atomic.Pointer[View]
 	members atomic.Pointer[map[string]Member]
@@ -118,147 +118,147 @@
 
 	// reading tells that this daemon reads the store, away that the store does
 	// not answer it.
-	reading atomic.Bool
-	away    atomic.Bool
-	// bystander tells that others of the hall try the store again and again while it
+	reading          atomic.Bool
+	storeUnavailable atomic.Bool
+	// passive tells that others of the hall try the store again and again while it
 	// does not answer.
-	bystander atomic.Bool
-	// answeredAt is the start of the last call about the operator's topic that the
+	passive atomic.Bool
+	// storeAnsweredAt is the start of the last call about the operator's topic that the
 	// store answered.
-	answeredAt time.Time
+	storeAnsweredAt time.Time
 	// source is a daemon that last told something new enough while this one had
 	// nobody to read for it, or "".
 	source string
-	// leavesReading tells that at the first start all but the list of daemons is left
+	// deferReading tells that at the first start all but the list of daemons is left
 	// to the hall's reader, until startedAt is firstStartPatience ago.
-	leavesReading atomic.Bool
-	startedAt     time.Time
-	readers       *readers
-	followers     []*follower
-	// listeners are the daemons that this one reads for, by when they last
+	deferReading atomic.Bool
+	startedAt    time.Time
+	readers      *readers
+	followers    []*follower
+	// subscribers are the daemons that this one reads for, by when they last
 	// asked.
-	listeners map[string]time.Time
-	topics    map[gossip.Topic]*topicState
-	// toldSums are the sums of the topics at the last news.
-	toldSums map[gossip.Topic]uint64
-	loads    map[fleet.Incarnation]*fleet.ServerState
+	subscribers map[string]time.Time
+	topics      map[gossip.Topic]*topicState
+	// announcedSums are the sums of the topics at the last news.
+	announcedSums map[gossip.Topic]uint64
+	loads         map[fleet.Incarnation]*fleet.ServerState
 	// entries are the servers' rows as they were decoded, by key; atAddress is how many of the
 	// listed servers have an address.
 	entries   map[string]serverEntry
 	atAddress map[string]int
-	// hidden tells that servers are left out at whose address a later one has begun: they come
+	// hasSuperseded tells that servers are left out at whose address a later one has begun: they come
 	// back when that one goes.
-	hidden bool
+	hasSuperseded bool
 	// unlisted are the notices of servers that are not listed any more.
 	unlisted map[fleet.Incarnation]unlisted
 	halls    map[string]*fleet.HallState
-	// emptied are the data halls that are emptied, by since when this daemon knows;
+	// drained are the data halls that are drained, by since when this daemon knows;
 	// returned are those that were, by when they were taken back.
-	emptied  map[string]time.Time
-	returned map[string]time.Time
-	// stood is how long the VM had stood still at the last look, wokeAt when it last began
+	drained     map[string]time.Time
+	undrainedAt map[string]time.Time
+	// suspendedTotal is how long the VM had suspendedTotal still at the last look, wokeAt when it last began
 	// to run again.
-	stood  time.Duration
-	wokeAt time.Time
+	suspendedTotal time.Duration
+	resumedAt      time.Time
 	// starts are the latest known starts of servers, by id.
 	starts map[string]int64
 	// coldUntil is until when servers are cold by their own word, coldRows the
 	// versions of the entries that said so.
-	coldUntil map[fleet.Incarnation]time.Time
-	coldRows  map[fleet.Incarnation]revision.Revision
-	lapsed    map[string]time.Time
-	firstSeen map[string]time.Time
-	asked     map[uint64]time.Time
-	nonce     uint64
-	random    *rand.Rand
-	askedAt   time.Time
-	// askedBack is when a daemon was last asked that holds more than this one.
-	askedBack time.Time
-	rollouts  *rollouts
-	sessions  *sessions
-	limits    *limits
-	// board is what is known of the work at servers, workAskedAt when this daemon last
+	coldUntil       map[fleet.Incarnation]time.Time
+	coldRows        map[fleet.Incarnation]revision.Revision
+	lapsed          map[string]time.Time
+	firstSeen       map[string]time.Time
+	pendingRequests map[uint64]time.Time
+	nonce           uint64
+	random          *rand.Rand
+	peersQueriedAt  time.Time
+	// heldQueriedAt is when a daemon was last asked that holds more than this one.
+	heldQueriedAt time.Time
+	rollouts      *rollouts
+	sessions      *sessions
+	limits        *limits
+	// serverLoad is what is known of the work at servers, workAskedAt when this daemon last
 	// told its own with a question, workAbroadAt when other halls were last told of this
 	// one's.
-	board        *serverload.Tracker
-	workAskedAt  time.Time
-	workAbroadAt time.Time
-	// usageAt is when other readers were last told of usage.
-	usageAt time.Time
+	serverLoad      *serverload.Tracker
+	loadReportedAt  time.Time
+	loadBroadcastAt time.Time
+	// usageSentAt is when other readers were last told of usage.
+	usageSentAt time.Time
 	// hallSessions and awaySessions are sessions heard of since the last
 	// message about them, of this hall and of others.
-	hallSessions []uint64
-	awaySessions []uint64
-	sessionsAt   time.Time
-	// ledger has the crash counts of requests, crashNews what is to be told of them,
+	hallSessions   []uint64
+	remoteSessions []uint64
+	sessionsSentAt time.Time
+	// registry has the crash counts of requests, crashNews what is to be told of them,
 	// ownCrashes what this daemon has seen lately, crashReader whom it told last; confine
 	// are the requests in quarantine.
-	ledger      *quarantine.Registry
-	crashNews   []crashNews
-	ownCrashes  []quarantine.Crash
-	crashReader string
-	confine     map[quarantine.Fingerprint]confined
-	// bad are rows that did not decode, by key, so that each is logged once.
-	bad map[string]uint64
+	registry       *quarantine.Registry
+	pendingCrashes []crashReport
+	ownCrashes     []quarantine.Crash
+	crashReader    string
+	quarantineRows map[quarantine.Fingerprint]quarantineRow
+	// malformedSums are rows that did not decode, by key, so that each is logged once.
+	malformedSums map[string]uint64
 }
 
 // event is something for the keeper's goroutine.
 type event interface{ event() }
 
-// paged is an answer of the store.
-type paged struct {
+// storeAnswer is an answer of the store.
+type storeAnswer struct {
 	topic gossip.Topic
 	page  Page
-	whole bool
+	full  bool
 	at    time.Time
-	// stood is how long the VM had stood still then.
-	stood time.Duration
-	err   error
+	// suspendedTotal is how long the VM had suspendedTotal still then.
+	suspendedTotal time.Duration
+	err            error
 }
 
-// heard is a message of another daemon.
-type heard struct {
+// peerMessage is a message of another daemon.
+type peerMessage struct {
 	from    string
 	message any
 }
 
-// observed is an answer of a version that may be in roll-out.
-type observed struct{ fact Fact }
+// observation is an answer of a version that may be in roll-out.
+type observation struct{ fact Fact }
 
-// wrote is the outcome of writing the state of a roll-out.
-type wrote struct {
+// writeDone is the outcome of writing the state of a roll-out.
+type writeDone struct {
 	service string
 	err     error
 }
 
-func (paged) event()    {}
-func (heard) event()    {}
-func (observed) event() {}
-func (wrote) event()    {}
+func (storeAnswer) event() {}
+func (peerMessage) event() {}
+func (observation) event() {}
+func (writeDone) event()   {}
 
 // New returns a keeper that knows nothing.
 func New() *Keeper {
 	k := &Keeper{
-		events: make(chan event, eventBacklog), republish: make(chan struct{}, 1), left: map[fleet.Incarnation]uint64{},
+		events: make(chan event, eventBacklog), republish: make(chan struct{}, 1), leaving: map[fleet.Incarnation]uint64{},
 		topics: map[gossip.Topic]*topicState{}, loads: map[fleet.Incarnation]*fleet.ServerState{}, unlisted: map[fleet.Incarnation]unlisted{}, halls: map[string]*fleet.HallState{},
-		emptied: map[string]time.Time{}, returned: map[string]time.Time{}, coldUntil: map[fleet.Incarnation]time.Time{}, coldRows: map[fleet.Incarnation]revision.Revision{}, lapsed: map[string]time.Time{},
-		firstSeen: map[string]time.Time{}, asked: map[uint64]time.Time{}, listeners: map[string]time.Time{}, toldSums: map[gossip.Topic]uint64{}, readers: newReaders(),
-		bad: map[string]uint64{}, rollouts: newRollouts(), sessions: newSessions(), board: serverload.NewTracker(), limits: newLimits(),
-		entries: map[string]serverEntry{}, starts: map[string]int64{}, ledger: quarantine.NewRegistry(), confine: map[quarantine.Fingerprint]confined{},
+		drained: map[string]time.Time{}, undrainedAt: map[string]time.Time{}, coldUntil: map[fleet.Incarnation]time.Time{}, coldRows: map[fleet.Incarnation]revision.Revision{}, lapsed: map[string]time.Time{},
+		firstSeen: map[string]time.Time{}, pendingRequests: map[uint64]time.Time{}, subscribers: map[string]time.Time{}, announcedSums: map[gossip.Topic]uint64{}, readers: newReaders(),
+		malformedSums: map[string]uint64{}, rollouts: newRollouts(), sessions: newSessions(), serverLoad: serverload.NewTracker(), limits: newLimits(),
+		entries: map[string]serverEntry{}, starts: map[string]int64{}, registry: quarantine.NewRegistry(), quarantineRows: map[quarantine.Fingerprint]quarantineRow{},
 	}
 	for _, t := range []gossip.Topic{gossip.Operator, gossip.Servers, gossip.Progress, gossip.Members} {
 		k.topics[t] = newTopicState()
 	}
-	k.topics[gossip.Servers].takeFresh()
-	k.view.Store(&View{sessions: k.sessions, Quarantine: k.ledger})
+	k.topics[gossip.Servers].takeDirty()
+	k.view.Store(&View{sessions: k.sessions, Quarantine: k.registry})
 	k.members.Store(&map[string]Member{})
 	k.reading.Store(true)
 	// The first one is about the configuration; Run sets its hold.
 	k.followers = []*follower{
-		{topic: gossip.Operator, gather: gather, wanted: k.reading.Load},
-		{topic: gossip.Servers, hold: followLong, gather: gatherLong, wanted: k.reading.Load},
-		{topic: gossip.Members, hold: followLong, gather: gatherLong, delay: membersDelay, wanted: k.reading.Load},
-		{topic: gossip.Progress, hold: followLong, gather: gather, wanted: func() bool { return k.reading.Load() && (k.rollouts.open.Load() || k.progressLost.Load()) }},
+		{topic: gossip.Operator, batchDelay: batchDelay, enabled: k.reading.Load},
+		{topic: gossip.Servers, pollWait: longPollWait, batchDelay: longBatchDelay, enabled: k.reading.Load},
+		{topic: gossip.Members, pollWait: longPollWait, batchDelay: longBatchDelay, delay: membersDelay, enabled: k.reading.Load},
+		{topic: gossip.Progress, pollWait: longPollWait, batchDelay: batchDelay, enabled: func() bool { return k.reading.Load() && (k.rollouts.open.Load() || k.progressLost.Load()) }},
 	}
 	k.run = func(ctx context.Context) error { return k.loop(ctx) }
 	return k
@@ -271,11 +271,13 @@
 func (k *Keeper) Reads() bool { return k.reading.Load() }
 
 // Received takes a message of another daemon.
-func (k *Keeper) Received(from string, message any) { k.tell(heard{from: from, message: message}) }
+func (k *Keeper) Received(from string, message any) {
+	k.enqueue(peerMessage{from: from, message: message})
+}
 
-// tell hands an event to the keeper's goroutine; with a full inbox it is lost,
+// enqueue hands an event to the keeper's goroutine; with a full inbox it is lost,
 // and what it said will be said again.
-func (k *Keeper) tell(e event) {
+func (k *Keeper) enqueue(e event) {
 	select {
 	case k.events <- e:
 	default:
@@ -292,23 +294,23 @@
 	if k.Seed == 0 {
 		k.Seed = rand.Uint64()
 	}
-	k.stood = k.StoodStill.Now()
+	k.suspendedTotal = k.StoodStill.Now()
 	v := *k.view.Load()
-	v.Regions, v.StoodStill, v.Stood = k.Regions, k.StoodStill, k.stood
+	v.Regions, v.StoodStill, v.Stood = k.Regions, k.StoodStill, k.suspendedTotal
 	k.view.Store(&v)
 	k.random = k.draws("keeper")
 	k.nonce = k.random.Uint64()
-	k.readers.self, k.readers.usefulAge = k.Self, 2*k.hold()+usefulSlack
-	k.followers[0].hold = k.hold()
+	k.readers.self, k.readers.maxUsableAge = k.Self, 2*k.pollWait()+usableAgeSlack
+	k.followers[0].pollWait = k.pollWait()
 	k.startedAt = time.Now()
-	k.leavesReading.Store(k.FirstStart)
+	k.deferReading.Store(k.FirstStart)
 	for _, f := range k.followers {
 		go k.follow(ctx, f)
 	}
-	go k.publish(ctx)
+	go k.publishMember(ctx)
 	// Daemons that start together do not speak at the same moments.
-	clock.Wait(ctx, time.Duration(k.random.Int64N(int64(tickEvery))))
-	tick := clock.NewTicker(tickEvery)
+	clock.Wait(ctx, time.Duration(k.random.Int64N(int64(tickInterval))))
+	tick := clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -328,20 +330,20 @@
 }
 
 func (k *Keeper) handle(e event) {
-	k.noteStandstill(time.Now())
+	k.detectSuspension(time.Now())
 	switch e := e.(type) {
-	case paged:
-		k.paged(e, time.Now())
-	case heard:
-		k.heard(e, time.Now())
-	case observed:
+	case storeAnswer:
+		k.handleStoreAnswer(e, time.Now())
+	case peerMessage:
+		k.handlePeerMessage(e, time.Now())
+	case observation:
 		k.rollouts.observe(e.fact, time.Now())
-	case wrote:
-		k.wrote(e)
-	case crashed:
-		k.crashed(e, time.Now())
-	case limitHeard:
-		k.limitHeard(e)
+	case writeDone:
+		k.handleWriteDone(e)
+	case crashesObserved:
+		k.handleCrashes(e, time.Now())
+	case limitObserved:
+		k.handleLimitObserved(e)
 	}
 }
 
@@ -353,41 +355,41 @@
 	}
 }
 
-// paged takes an answer of the store.
-func (k *Keeper) paged(e paged, now time.Time) {
+// handleStoreAnswer takes an answer of the store.
+func (k *Keeper) handleStoreAnswer(e storeAnswer, now time.Time) {
 	// An answer is as old as its question, whatever the VM did meanwhile.
-	e.at = e.at.Add(e.stood - k.StoodStill.Now())
+	e.at = e.at.Add(e.suspendedTotal - k.StoodStill.Now())
 	t := k.topics[e.topic]
 	if e.err != nil {
-		k.failed(e, t, now)
+		k.handleStoreError(e, t, now)
 		return
 	}
 	if e.topic == gossip.Operator {
-		k.away.Store(false)
-		k.answeredAt = e.at
-		if k.readers.met && now.Sub(t.confirmed) > k.readers.usefulAge {
-			k.tellFound()
+		k.storeUnavailable.Store(false)
+		k.storeAnsweredAt = e.at
+		if k.readers.hadReader && now.Sub(t.confirmed) > k.readers.maxUsableAge {
+			k.announceStoreFound()
 		}
 	}
-	if !t.away.IsZero() {
+	if !t.unavailableSince.IsZero() {
 		k.Regained.Add(1)
-		k.Log.Info().Str("topic", string(e.topic)).Dur("away", now.Sub(t.away)).Stringer("version", e.page.Version).Msg("knowledge: the store answers again")
-		t.away, t.returned = time.Time{}, now
+		k.Log.Info().Str("topic", string(e.topic)).Dur("away", now.Sub(t.unavailableSince)).Stringer("version", e.page.Version).Msg("knowledge: the store answers again")
+		t.unavailableSince, t.recoveredAt = time.Time{}, now
 	}
 	k.rollouts.clock(e.page.ClockMS, now)
 	var gone []string
 	var newer bool
-	k.noteEra(e.topic, e.page.Version, now)
-	if e.whole {
+	k.checkEra(e.topic, e.page.Version, now)
+	if e.full {
 		gone, newer = t.replace(e.page.Rows, e.page.Version, e.at, now)
 	} else {
-		gone, newer = t.change(e.page, e.at, now)
+		gone, newer = t.applyPage(e.page, e.at, now)
 	}
-	k.learned(e.topic, gone, newer, now)
+	k.applyTopicChange(e.topic, gone, newer, now)
 }
 
-// failed notes a call to the store that came to nothing.
-func (k *Keeper) failed(e paged, t *topicState, now time.Time) {
+// handleStoreError notes a call to the store that came to nothing.
+func (k *Keeper) handleStoreError(e storeAnswer, t *topicState, now time.Time) {
 	if isKind(e.err, EraChanged) {
 		k.Log.Info().Str("topic", string(e.topic)).Stringer("version", t.version).Err(e.err).Msg("knowledge: the store is in another era: all rows are read again")
 		return
@@ -399,8 +401,8 @@
 	if e.topic == gossip.Operator {
 		k.interruptOthers(now)
 	}
-	if t.away.IsZero() {
-		t.away = now
+	if t.unavailableSince.IsZero() {
+		t.unavailableSince = now
 		k.Lost.Add(1)
 		k.Log.Warn().Str("topic", string(e.topic)).Err(e.err).Stringer("version", t.version).Dur("age", now.Sub(t.confirmed)).Msg("knowledge: the store does not answer")
 	}
@@ -409,48 +411,48 @@
 // interruptOthers ends the calls about all but the operator's topic, which alone
 // is tried until the store answers again.
 func (k *Keeper) interruptOthers(now time.Time) {
-	k.away.Store(true)
+	k.storeUnavailable.Store(true)
 	for _, f := range k.followers {
 		if f.topic == gossip.Operator {
 			continue
 		}
 		f.interrupt()
-		if t := k.topics[f.topic]; t.away.IsZero() {
-			t.away = now
+		if t := k.topics[f.topic]; t.unavailableSince.IsZero() {
+			t.unavailableSince = now
 		}
 	}
 }
 
-// learned works out what changed rows mean.
-func (k *Keeper) learned(topic gossip.Topic, gone []string, newer bool, now time.Time) {
+// applyTopicChange works out what changed rows mean.
+func (k *Keeper) applyTopicChange(topic gossip.Topic, gone []string, newer bool, now time.Time) {
 	if topic == gossip.Servers {
-		k.lapse(gone, now)
+		k.recordLapsed(gone, now)
 	}
 	if !newer {
-		k.refresh()
+		k.publishView()
 		return
 	}
 	switch topic {
 	case gossip.Operator:
 		k.readOperator(now)
 	case gossip.Servers:
-		k.serversChanged(now)
+		k.applyServerChanges(now)
 	case gossip.Progress:
 		k.readProgress(now)
 	case gossip.Members:
 		k.readMembers(now)
-		k.chill(now)
+		k.updateColdLimits(now)
 	}
-	k.refresh()
+	k.publishView()
 }
 
-// lapse notes servers whose entries are gone. While the store was away entries
-// lapse of servers that live: they have a while from its return to come back.
-func (k *Keeper) lapse(gone []string, now time.Time) {
+// recordLapsed notes servers whose entries are gone. While the store was away entries
+// recordLapsed of servers that live: they have a while from its return to come back.
+func (k *Keeper) recordLapsed(gone []string, now time.Time) {
 	t := k.topics[gossip.Servers]
-	until := t.returned.Add(lapseWait)
-	if !t.away.IsZero() {
-		until = now.Add(lapseWait)
+	until := t.recoveredAt.Add(relistTimeout)
+	if !t.unavailableSince.IsZero() {
+		until = now.Add(relistTimeout)
 	}
 	for _, id := range gone {
 		if now.Before(until) {
@@ -459,37 +461,37 @@
 	}
 }
 
-// refresh publishes a view with the present state.
-func (k *Keeper) refresh() {
+// publishView publishes a view with the present state.
+func (k *Keeper) publishView() {
 	v := *k.view.Load()
 	v.ConfigAt = k.topics[gossip.Operator].confirmed
 	v.ServersAt = k.topics[gossip.Servers].confirmed
 	v.Daemons = k.daemons()
-	v.Stood, v.WokeAt = k.stood, k.wokeAt
-	v.rollouts, v.withdrawn, v.aside, v.firstSeen = k.rollouts.snapshot(), k.rollouts.withdrawnCopy(), maps.Clone(k.rollouts.aside), k.firstSeen
+	v.Stood, v.WokeAt = k.suspendedTotal, k.resumedAt
+	v.rollouts, v.withdrawn, v.ejected, v.firstSeen = k.rollouts.snapshot(), k.rollouts.withdrawnCopy(), maps.Clone(k.rollouts.ejected), k.firstSeen
 	k.view.Store(&v)
 }
 
 // tick does what is due.
 func (k *Keeper) tick(ctx context.Context, now time.Time) {
-	k.noteStandstill(now)
+	k.detectSuspension(now)
 	for id, until := range k.lapsed {
 		if now.After(until) {
 			delete(k.lapsed, id)
 			k.readServers(now)
 		}
 	}
-	k.askReader(now)
-	k.endPatience(now)
-	k.askAround(now)
-	k.tellNews(now)
-	k.tellSessions(now)
-	k.tellCrashes(now)
-	k.tellLimits(now)
+	k.queryReader(now)
+	k.endFirstStart(now)
+	k.queryPeers(now)
+	k.sendUpdates(now)
+	k.sendSessions(now)
+	k.sendCrashes(now)
+	k.sendLimits(now)
 	k.writeQuarantines(ctx, now)
-	k.shareWork(now)
-	k.shareUsage(now)
+	k.sendLoad(now)
+	k.sendUsage(now)
 	k.driveRollouts(ctx, now)
-	k.afterReturn(ctx, now)
-	k.refresh()
+	k.handleRestore(ctx, now)
+	k.publishView()
 }
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -20,39 +20,39 @@
 // they know. Readers tell other halls what has changed.
 
 const (
-	// limitsAtOnce bounds the limits of one message: those that were heard last.
-	limitsAtOnce = 256
-	// endedFor is for how long the end of a limit is told.
-	endedFor = 10 * time.Minute
-	// limitsEvery is the time between two messages to other halls while limits stand that
+	// maxLimitsPerMessage bounds the limits of one message: those that were heard last.
+	maxLimitsPerMessage = 256
+	// endedLimitTTL is for how long the end of a limit is told.
+	endedLimitTTL = 10 * time.Minute
+	// limitsInterval is the time between two messages to other halls while limits stand that
 	// have not changed.
-	limitsEvery = 5 * time.Second
+	limitsInterval = 5 * time.Second
 )
 
 // limits are the servers that have named a limit. They belong to the keeper's goroutine.
 type limits struct {
 	known map[fleet.Incarnation]*fleet.Server
-	// news tells that a limit has changed that others have not been told of, differs that the
+	// changed tells that a limit has changed that others have not been told of, differs that the
 	// reader knows other limits.
-	news    bool
-	differs bool
-	// toldAt is when other halls were told last.
-	toldAt time.Time
+	changed       bool
+	readerDiffers bool
+	// sentAt is when other halls were told last.
+	sentAt time.Time
 }
 
 func newLimits() *limits { return &limits{known: map[fleet.Incarnation]*fleet.Server{}} }
 
-// limitHeard is a server whose limit a request of this daemon has heard to change.
-type limitHeard struct{ server *fleet.Server }
+// limitObserved is a server whose limit a request of this daemon has heard to change.
+type limitObserved struct{ server *fleet.Server }
 
-func (limitHeard) event() {}
+func (limitObserved) event() {}
 
 // LimitHeard has the other daemons told what a server says of its limit.
-func (k *Keeper) LimitHeard(s *fleet.Server) { k.tell(limitHeard{server: s}) }
+func (k *Keeper) LimitHeard(s *fleet.Server) { k.enqueue(limitObserved{server: s}) }
 
-func (k *Keeper) limitHeard(e limitHeard) {
+func (k *Keeper) handleLimitObserved(e limitObserved) {
 	k.limits.known[e.server.Incarnation()] = e.server
-	k.limits.news = true
+	k.limits.changed = true
 }
 
 // sharers are the daemons that share limits: none while their list is not known.
@@ -78,28 +78,28 @@
 	}
 }
 
-// listLimits takes the servers that are listed now: a limit stays with the start of a server
+// relistLimits takes the servers that are listed now: a limit stays with the start of a server
 // that named it.
-func (k *Keeper) listLimits(servers []*fleet.Server, now time.Time) {
+func (k *Keeper) relistLimits(servers []*fleet.Server, now time.Time) {
 	maps.DeleteFunc(k.limits.known, func(i fleet.Incarnation, _ *fleet.Server) bool { return k.loads[i] == nil })
 	for _, s := range servers {
-		k.listLimit(s, now)
+		k.relistLimit(s, now)
 	}
 }
 
-// listLimitsOf does so for a few servers that have changed.
-func (k *Keeper) listLimitsOf(c serverChanges, now time.Time) {
+// relistChangedLimits does so for a few servers that have changed.
+func (k *Keeper) relistChangedLimits(c serverChanges, now time.Time) {
 	for _, s := range c.removed {
 		if k.loads[s.Incarnation()] == nil {
 			delete(k.limits.known, s.Incarnation())
 		}
 	}
 	for _, s := range c.added {
-		k.listLimit(s, now)
+		k.relistLimit(s, now)
 	}
 }
 
-func (k *Keeper) listLimit(s *fleet.Server, now time.Time) {
+func (k *Keeper) relistLimit(s *fleet.Server, now time.Time) {
 	if s.State.Notices.State().Limit.ReceivedAt.IsZero() {
 		return
 	}
@@ -126,48 +126,48 @@
 	var out []gossip.Limit
 	for _, s := range l.known {
 		is := s.State.Notices.State().Limit
-		if is.ReceivedAt.IsZero() || is.Rate == 0 && now.Sub(is.ReceivedAt) > endedFor {
+		if is.ReceivedAt.IsZero() || is.Rate == 0 && now.Sub(is.ReceivedAt) > endedLimitTTL {
 			continue
 		}
 		out = append(out, gossip.Limit{ID: s.ID, Born: s.Born, Rate: is.Rate, RequestedMS: ageMS(now, is.RequestedAt), ReceivedMS: ageMS(now, is.ReceivedAt)})
 	}
 	slices.SortFunc(out, func(a, b gossip.Limit) int { return int(a.ReceivedMS) - int(b.ReceivedMS) })
-	return out[:min(len(out), limitsAtOnce)]
+	return out[:min(len(out), maxLimitsPerMessage)]
 }
 
 func ageMS(now, at time.Time) uint64 { return uint64(max(0, now.Sub(at).Milliseconds())) }
 
-// askLimits puts limits into a question.
-func (k *Keeper) askLimits(ask *gossip.Request, now time.Time) {
+// addLimits puts limits into a question.
+func (k *Keeper) addLimits(ask *gossip.Request, now time.Time) {
 	ask.LimitSum = k.limits.sum()
-	if k.limits.differs || k.limits.news && !k.reading.Load() {
+	if k.limits.readerDiffers || k.limits.changed && !k.reading.Load() {
 		ask.Limits = k.limits.list(now)
 	}
 }
 
-// askedLimits takes the limits of a question, and returns those for the answer.
-func (k *Keeper) askedLimits(from string, m gossip.Request, now time.Time) []gossip.Limit {
-	k.hearLimits(from, m.Limits, now)
+// handleRequestLimits takes the limits of a question, and returns those for the answer.
+func (k *Keeper) handleRequestLimits(from string, m gossip.Request, now time.Time) []gossip.Limit {
+	k.mergeLimits(from, m.Limits, now)
 	if k.limits.sum() == m.LimitSum {
 		return nil
 	}
 	return k.limits.list(now)
 }
 
-// toldLimits takes the limits that another daemon tells.
-func (k *Keeper) toldLimits(from string, m gossip.Response, now time.Time) {
-	k.hearLimits(from, m.Limits, now)
+// handleResponseLimits takes the limits that another daemon tells.
+func (k *Keeper) handleResponseLimits(from string, m gossip.Response, now time.Time) {
+	k.mergeLimits(from, m.Limits, now)
 	if m.Nonce == 0 {
 		return
 	}
-	k.limits.differs = k.limits.sum() != m.LimitSum
-	if !k.reading.Load() && !k.limits.differs {
-		k.limits.news = false
+	k.limits.readerDiffers = k.limits.sum() != m.LimitSum
+	if !k.reading.Load() && !k.limits.readerDiffers {
+		k.limits.changed = false
 	}
 }
 
-// hearLimits takes limits that another daemon has heard.
-func (k *Keeper) hearLimits(from string, told []gossip.Limit, now time.Time) {
+// mergeLimits takes limits that another daemon has heard.
+func (k *Keeper) mergeLimits(from string, told []gossip.Limit, now time.Time) {
 	for _, l := range told {
 		e, ok := k.entries[l.ID]
 		if !ok || e.server == nil || e.server.Born != l.Born || math.IsNaN(l.Rate) || l.Rate < 0 {
@@ -175,11 +175,11 @@
 		}
 		s := e.server
 		word := notice.Limit{Rate: l.Rate, Lifted: l.Rate == 0}
-		was, is := s.State.Notices.ObserveLimit(word, before(now, l.RequestedMS), before(now, l.ReceivedMS), from)
+		was, is := s.State.Notices.ObserveLimit(word, msBefore(now, l.RequestedMS), msBefore(now, l.ReceivedMS), from)
 		if is.Rate == was.Rate {
 			continue
 		}
-		k.limits.known[s.Incarnation()], k.limits.news = s, true
+		k.limits.known[s.Incarnation()], k.limits.changed = s, true
 		s.ApplyLimit(k.view.Load().Sharers, now)
 		if k.Limited != nil {
 			k.Limited(s, was, is)
@@ -187,25 +187,25 @@
 	}
 }
 
-func before(now time.Time, ms uint64) time.Time {
-	return now.Add(-time.Duration(min(ms, uint64(endedFor.Milliseconds()))) * time.Millisecond)
+func msBefore(now time.Time, ms uint64) time.Time {
+	return now.Add(-time.Duration(min(ms, uint64(endedLimitTTL.Milliseconds()))) * time.Millisecond)
 }
 
-// tellLimits tells limits that have changed: a reader its hall and other halls. Others tell
+// sendLimits tells limits that have changed: a reader its hall and other halls. Others tell
 // their reader with the next question.
-func (k *Keeper) tellLimits(now time.Time) {
+func (k *Keeper) sendLimits(now time.Time) {
 	if !k.reading.Load() || len(k.limits.known) == 0 {
 		return
 	}
-	again := now.Sub(k.limits.toldAt) >= limitsEvery
-	if !k.limits.news && !again {
+	again := now.Sub(k.limits.sentAt) >= limitsInterval
+	if !k.limits.changed && !again {
 		return
 	}
 	tell := gossip.Response{Limits: k.limits.list(now)}
-	if to := k.hallAudience(now); k.limits.news && len(to) > 0 {
+	if to := k.hallSubscribers(now); k.limits.changed && len(to) > 0 {
 		k.Peers.SendAll(to, tell)
 	}
-	k.limits.news, k.limits.toldAt = false, now
+	k.limits.changed, k.limits.sentAt = false, now
 	if len(tell.Limits) > 0 {
 		k.broadcast(tell)
 	}
--- a/daemon/storesync/members.go
+++ b/daemon/storesync/members.go
@@ -29,20 +29,20 @@
 	Capacity int
 }
 
-// publish writes this daemon's entry until the store has it, and again when the store may have
+// publishMember writes this daemon's entry until the store has it, and again when the store may have
 // lost it.
-func (k *Keeper) publish(ctx context.Context) {
+func (k *Keeper) publishMember(ctx context.Context) {
 	data, err := cbor.Marshal(k.Self)
 	if err != nil {
 		k.Log.Error().Err(err).Msg("knowledge: this daemon's entry cannot be encoded")
 		return
 	}
-	for pause := pauseFloor; ctx.Err() == nil; pause = min(2*pause, pauseCeiling) {
-		if !k.put(ctx, data) {
+	for pause := minBackoff; ctx.Err() == nil; pause = min(2*pause, maxBackoff) {
+		if !k.putMember(ctx, data) {
 			clock.Wait(ctx, pause)
 			continue
 		}
-		pause = pauseFloor
+		pause = minBackoff
 		select {
 		case <-k.republish:
 		case <-ctx.Done():
@@ -50,8 +50,8 @@
 	}
 }
 
-// put writes this daemon's entry once.
-func (k *Keeper) put(ctx context.Context, data []byte) bool {
+// putMember writes this daemon's entry once.
+func (k *Keeper) putMember(ctx context.Context, data []byte) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	k.Calls.Add(1)
@@ -73,7 +73,7 @@
 		var m Member
 		err := cbor.Unmarshal(row.Data, &m)
 		if err == nil && m.ID != row.Key {
-			err = errNoMember
+			err = errMemberKey
 		}
 		if err != nil {
 			k.malformed(gossip.Members, row, err)
@@ -86,7 +86,7 @@
 	}
 	k.members.Store(&members)
 	k.shareLimits(now)
-	k.readers.list(members)
+	k.readers.setMembers(members)
 }
 
 // daemons is how many daemons there are, this one included; 0 while their list is not known.
--- a/daemon/storesync/notices.go
+++ b/daemon/storesync/notices.go
@@ -12,11 +12,11 @@
 // writer has spoiled, may come back as it was before the server said that it leaves.
 
 const (
-	// unlistedFor is how long the notices of a server that is not listed are kept: the
+	// unlistedTTL is how long the notices of a server that is not listed are kept: the
 	// longest that stores were seen away, several times over.
-	unlistedFor = 10 * time.Minute
-	// mostUnlisted bounds them; beyond it the ones that come are not kept.
-	mostUnlisted = 4096
+	unlistedTTL = 10 * time.Minute
+	// maxUnlisted bounds them; beyond it the ones that come are not kept.
+	maxUnlisted = 4096
 )
 
 // unlisted are the notices of a server that is not listed, since a time.
@@ -36,9 +36,9 @@
 
 // keepNotices keeps the notices of servers that were listed and are not any more.
 func (k *Keeper) keepNotices(listed map[fleet.Incarnation]*fleet.ServerState, now time.Time) {
-	maps.DeleteFunc(k.unlisted, func(_ fleet.Incarnation, u unlisted) bool { return now.Sub(u.since) > unlistedFor })
+	maps.DeleteFunc(k.unlisted, func(_ fleet.Incarnation, u unlisted) bool { return now.Sub(u.since) > unlistedTTL })
 	for i, l := range k.loads {
-		if listed[i] == nil && l.Notices.Active(now) && len(k.unlisted) < mostUnlisted {
+		if listed[i] == nil && l.Notices.Active(now) && len(k.unlisted) < maxUnlisted {
 			k.unlisted[i] = unlisted{notices: l.Notices, since: now}
 		}
 	}
--- a/daemon/storesync/quarantine.go
+++ b/daemon/storesync/quarantine.go
@@ -23,29 +23,29 @@
 const (
 	// quarantinePrefix and a fingerprint is the key of the row of a request in quarantine.
 	quarantinePrefix = "quarantine/"
-	// crashTold is how often a crash is told to the same daemons, a tick apart.
-	crashTold = 3
+	// crashSendCount is how often a crash is told to the same daemons, a tick apart.
+	crashSendCount = 3
 	// crashBacklog bounds the crashes that wait to be told, crashesAtOnce those of one
 	// message: a message then has some five kilobytes. Many wait only where many servers
 	// end at once, and then no request has met more than one of them.
-	crashBacklog  = 1024
-	crashesAtOnce = 256
+	crashBacklog         = 1024
+	maxCrashesPerMessage = 256
 )
 
-// crashNews is a crash that is to be told, and how often still.
-type crashNews struct {
+// crashReport is a crash that is to be told, and how often still.
+type crashReport struct {
 	crash quarantine.Crash
 	// otherHalls tells that other halls do not know it yet.
 	otherHalls bool
 	left       int
 }
 
-// retellFor is how long after it a daemon tells a crash again that it has seen itself, once
+// crashResendWindow is how long after it a daemon tells a crash again that it has seen itself, once
 // somebody else reads for it: the one before may have gone with the news.
-const retellFor = 5 * time.Second
+const crashResendWindow = 5 * time.Second
 
-// confined is a request in quarantine whose row the store may not have.
-type confined struct {
+// quarantineRow is a request in quarantine whose row the store may not have.
+type quarantineRow struct {
 	// due is when this daemon writes the row.
 	due time.Time
 	// own tells that it has seen a server end under the request.
@@ -60,38 +60,38 @@
 	UntilMS int64
 }
 
-// crashed are servers that ended under requests of this daemon.
-type crashed struct{ crashes []quarantine.Crash }
+// crashesObserved are servers that ended under requests of this daemon.
+type crashesObserved struct{ crashes []quarantine.Crash }
 
-func (crashed) event() {}
+func (crashesObserved) event() {}
 
 // ServerEnded counts a server that has ended against what was under way there, and tells
 // the other daemons.
 func (k *Keeper) ServerEnded(server string, contents []quarantine.Fingerprint) {
-	e := crashed{crashes: k.ledger.RecordServerExit(server, contents, time.Now())}
+	e := crashesObserved{crashes: k.registry.RecordServerExit(server, contents, time.Now())}
 	k.Ended.Add(1)
 	k.Log.Warn().Str("server", server).Int("requests", len(contents)).Int("counted", len(e.crashes)).Msg("quarantine: a server ended while requests were under way there")
 	if len(e.crashes) > 0 {
-		k.tell(e)
+		k.enqueue(e)
 	}
 }
 
 // Answered notes a content that a server has answered whole.
-func (k *Keeper) Answered(content quarantine.Fingerprint) { k.ledger.Answered(content, time.Now()) }
+func (k *Keeper) Answered(content quarantine.Fingerprint) { k.registry.Answered(content, time.Now()) }
 
-// crashed takes servers that ended under requests of this daemon.
-func (k *Keeper) crashed(e crashed, now time.Time) {
+// handleCrashes takes servers that ended under requests of this daemon.
+func (k *Keeper) handleCrashes(e crashesObserved, now time.Time) {
 	for _, c := range e.crashes {
-		k.spread(crashNews{crash: c, otherHalls: true, left: crashTold})
-		k.noteQuarantine(c.Content, now, confined{due: now, own: true})
+		k.queueCrash(crashReport{crash: c, otherHalls: true, left: crashSendCount})
+		k.trackQuarantine(c.Content, now, quarantineRow{due: now, own: true})
 	}
 	k.ownCrashes = append(k.ownCrashes, e.crashes...)
 }
 
-// retellCrashes has the crashes told again that this daemon saw a moment ago, if somebody
+// resendCrashes has the crashes told again that this daemon saw a moment ago, if somebody
 // else reads for it now.
-func (k *Keeper) retellCrashes(now time.Time) {
-	k.ownCrashes = slices.DeleteFunc(k.ownCrashes, func(c quarantine.Crash) bool { return now.Sub(c.At) > retellFor })
+func (k *Keeper) resendCrashes(now time.Time) {
+	k.ownCrashes = slices.DeleteFunc(k.ownCrashes, func(c quarantine.Crash) bool { return now.Sub(c.At) > crashResendWindow })
 	reader, _ := k.readers.reader()
 	if k.reading.Load() {
 		reader = k.Self
@@ -101,38 +101,38 @@
 	}
 	k.crashReader = reader.ID
 	for _, c := range k.ownCrashes {
-		k.spread(crashNews{crash: c, otherHalls: true, left: crashTold})
+		k.queueCrash(crashReport{crash: c, otherHalls: true, left: crashSendCount})
 	}
 }
 
-// heardCrashes takes servers that ended elsewhere. What is new here is told on by a reader:
+// mergeCrashes takes servers that ended elsewhere. What is new here is told on by a reader:
 // to its hall, and to other halls if it comes from its own.
-func (k *Keeper) heardCrashes(from string, crashes []gossip.Crash, now time.Time) {
+func (k *Keeper) mergeCrashes(from string, crashes []gossip.Crash, now time.Time) {
 	m, known := (*k.members.Load())[from]
 	for _, told := range crashes {
 		c := quarantine.Crash{Content: quarantine.Fingerprint(told.Content), Server: told.Server, At: now.Add(-time.Duration(told.AgeMS) * time.Millisecond)}
-		if !k.ledger.RecordCrash(c) {
+		if !k.registry.RecordCrash(c) {
 			continue
 		}
 		if k.reading.Load() {
-			k.spread(crashNews{crash: c, otherHalls: known && m.Hall == k.Self.Hall, left: crashTold})
+			k.queueCrash(crashReport{crash: c, otherHalls: known && m.Hall == k.Self.Hall, left: crashSendCount})
 		}
-		k.noteQuarantine(c.Content, now, confined{due: now.Add(k.turnAfter(canary.RolledBack))})
+		k.trackQuarantine(c.Content, now, quarantineRow{due: now.Add(k.writeDelay(canary.RolledBack))})
 	}
 }
 
-// spread has a crash told, if that still fits.
-func (k *Keeper) spread(n crashNews) {
-	if len(k.crashNews) < crashBacklog {
-		k.crashNews = append(k.crashNews, n)
+// queueCrash has a crash told, if that still fits.
+func (k *Keeper) queueCrash(n crashReport) {
+	if len(k.pendingCrashes) < crashBacklog {
+		k.pendingCrashes = append(k.pendingCrashes, n)
 	}
 }
 
-// tellCrashes tells the crashes that wait: a reader its hall and other halls, another daemon
+// sendCrashes tells the crashes that wait: a reader its hall and other halls, another daemon
 // its reader.
-func (k *Keeper) tellCrashes(now time.Time) {
-	k.retellCrashes(now)
-	if len(k.crashNews) == 0 {
+func (k *Keeper) sendCrashes(now time.Time) {
+	k.resendCrashes(now)
+	if len(k.pendingCrashes) == 0 {
 		return
 	}
 	reader, ok := k.readers.reader()
@@ -140,9 +140,9 @@
 		return
 	}
 	var all, otherHalls []gossip.Crash
-	var waiting []crashNews
-	for i, n := range k.crashNews {
-		if i >= crashesAtOnce {
+	var waiting []crashReport
+	for i, n := range k.pendingCrashes {
+		if i >= maxCrashesPerMessage {
 			waiting = append(waiting, n)
 			continue
 		}
@@ -155,12 +155,12 @@
 			waiting = append(waiting, n)
 		}
 	}
-	k.crashNews = waiting
+	k.pendingCrashes = waiting
 	if !k.reading.Load() {
 		k.Peers.Send(reader.ID, reader.Addr, gossip.Response{Crashes: all})
 		return
 	}
-	if to := k.hallAudience(now); len(to) > 0 {
+	if to := k.hallSubscribers(now); len(to) > 0 {
 		k.Peers.SendAll(to, gossip.Response{Crashes: all})
 	}
 	if len(otherHalls) > 0 {
@@ -168,16 +168,16 @@
 	}
 }
 
-// noteQuarantine logs a request that has come into quarantine, and has it written to the
+// trackQuarantine logs a request that has come into quarantine, and has it written to the
 // store from a time on.
-func (k *Keeper) noteQuarantine(f quarantine.Fingerprint, now time.Time, c confined) {
-	until, in := k.ledger.Quarantined(f, now)
+func (k *Keeper) trackQuarantine(f quarantine.Fingerprint, now time.Time, c quarantineRow) {
+	until, in := k.registry.Quarantined(f, now)
 	if !in {
 		return
 	}
-	if _, noted := k.confine[f]; !noted {
+	if _, noted := k.quarantineRows[f]; !noted {
 		k.Log.Warn().Stringer("content", f).Dur("for", until.Sub(now)).Msg("quarantine: servers ended under a request: it gets no more of them")
-		k.confine[f] = c
+		k.quarantineRows[f] = c
 	}
 }
 
@@ -185,19 +185,19 @@
 // Who has seen the crash does so at once, and readers in turn if it does not come: with the
 // store away hundreds of daemons would all try.
 func (k *Keeper) writeQuarantines(ctx context.Context, now time.Time) {
-	for f, c := range k.confine {
-		until, in := k.ledger.Quarantined(f, now)
+	for f, c := range k.quarantineRows {
+		until, in := k.registry.Quarantined(f, now)
 		if !in {
-			delete(k.confine, f)
+			delete(k.quarantineRows, f)
 			continue
 		}
 		key := quarantinePrefix + f.String()
 		_, lost := k.topics[gossip.Members].held[key]
-		if row, ok := k.topics[gossip.Members].rows[key]; ok && !lost && k.stands(row, now) || now.Before(c.due) || !c.own && !k.reading.Load() {
+		if row, ok := k.topics[gossip.Members].rows[key]; ok && !lost && k.quarantineActive(row, now) || now.Before(c.due) || !c.own && !k.reading.Load() {
 			continue
 		}
 		// Another try if it does not come from the store.
-		k.confine[f] = confined{due: now.Add(bystanderWait), own: c.own}
+		k.quarantineRows[f] = quarantineRow{due: now.Add(nonReaderWriteDelay), own: c.own}
 		data, err := cbor.Marshal(confinement{UntilMS: until.UnixMilli()})
 		if err != nil {
 			k.Log.Error().Err(err).Msg("quarantine: a row cannot be encoded")
@@ -217,8 +217,8 @@
 	}
 }
 
-// stands reports whether the quarantine of a row is not over.
-func (k *Keeper) stands(row gossip.Row, now time.Time) bool {
+// quarantineActive reports whether the quarantine of a row is not over.
+func (k *Keeper) quarantineActive(row gossip.Row, now time.Time) bool {
 	var c confinement
 	return cbor.Unmarshal(row.Data, &c) == nil && c.UntilMS > now.UnixMilli()
 }
@@ -235,7 +235,7 @@
 		return
 	}
 	content := quarantine.Fingerprint(f)
-	if k.ledger.Quarantine(content, time.UnixMilli(c.UntilMS), now) {
-		k.noteQuarantine(content, now, confined{due: now.Add(bystanderWait)})
+	if k.registry.Quarantine(content, time.UnixMilli(c.UntilMS), now) {
+		k.trackQuarantine(content, now, quarantineRow{due: now.Add(nonReaderWriteDelay)})
 	}
 }
--- a/daemon/storesync/read.go
+++ b/daemon/storesync/read.go
@@ -16,10 +16,10 @@
 
 // malformed logs a row that does not decode, once for each of its versions.
 func (k *Keeper) malformed(topic gossip.Topic, row gossip.Row, err error) {
-	if k.bad[row.Key] == row.Sum() {
+	if k.malformedSums[row.Key] == row.Sum() {
 		return
 	}
-	k.bad[row.Key] = row.Sum()
+	k.malformedSums[row.Key] = row.Sum()
 	k.Spoiled.Add(1)
 	k.Log.Error().Str("topic", string(topic)).Str("key", row.Key).Stringer("version", row.Version).Err(err).Msg("knowledge: a row does not decode: of a server it names none, of anything else the last good one stays in force")
 }
@@ -27,7 +27,7 @@
 // readOperator takes the configuration, the orders and the data halls to be emptied.
 func (k *Keeper) readOperator(now time.Time) {
 	emptied := map[string]bool{}
-	defer func() { k.empty(emptied, now) }()
+	defer func() { k.updateDrained(emptied, now) }()
 	for _, row := range k.topics[gossip.Operator].rows {
 		decoded, err := k.Decoder.Operator(row)
 		if err != nil {
@@ -36,7 +36,7 @@
 		}
 		switch d := decoded.(type) {
 		case Config:
-			k.configured(d.Map, row.Version, now)
+			k.applyConfig(d.Map, row.Version, now)
 		case Order:
 			if k.rollouts.order(d.Order, now) {
 				k.Log.Info().Str("service", d.Order.Service).Str("version", d.Order.Version).Dur("within", d.Order.Within).Stringer("row", row.Version).Msg("rollout: ordered")
@@ -49,8 +49,8 @@
 	}
 }
 
-// configured puts a configuration in force if it is newer.
-func (k *Keeper) configured(m *routemap.Map, row revision.Revision, now time.Time) {
+// applyConfig puts a configuration in force if it is newer.
+func (k *Keeper) applyConfig(m *routemap.Map, row revision.Revision, now time.Time) {
 	v := *k.view.Load()
 	if v.Map != nil && m.Number <= v.Map.Number {
 		if m.Number < v.Map.Number {
@@ -64,7 +64,7 @@
 	for _, problem := range m.Problems(k.regionsOf()) {
 		k.Log.Warn().Uint64("number", m.Number).Str("problem", problem).Msg("knowledge: a part of the configuration cannot be meant so")
 	}
-	k.chill(now)
+	k.updateColdLimits(now)
 }
 
 // readServers makes the list of servers.
@@ -73,7 +73,7 @@
 	if !t.known {
 		return
 	}
-	t.takeFresh()
+	t.takeDirty()
 	v := *k.view.Load()
 	first := v.Servers == nil
 	var servers []*fleet.Server
@@ -94,17 +94,17 @@
 	}
 	all := len(servers)
 	servers = latestAtAddress(servers)
-	k.hidden = len(servers) < all
-	k.forgetEntries()
-	k.noteAddresses(servers)
-	k.forgetLoads(servers, now)
-	k.noteVersions(servers, first, now)
+	k.hasSuperseded = len(servers) < all
+	k.dropStaleEntries()
+	k.recordAddresses(servers)
+	k.replaceLoads(servers, now)
+	k.recordVersions(servers, first, now)
 	was := v.Servers
-	v.Servers = fleet.NewList(servers).WithDrained(k.emptiedHalls())
-	k.listLimits(servers, now)
+	v.Servers = fleet.NewList(servers).WithDrained(k.drainedHalls())
+	k.relistLimits(servers, now)
 	k.view.Store(&v)
-	k.chill(now)
-	k.beganAgain(was, servers)
+	k.updateColdLimits(now)
+	k.reportRestarts(was, servers)
 }
 
 // serverEntry is what the row of a server says: the server that it names, or why it names none.
@@ -120,7 +120,7 @@
 func (k *Keeper) decode(row gossip.Row, now time.Time) serverEntry {
 	e, ok := k.entries[row.Key]
 	if !ok || e.sum != row.Sum() {
-		e = k.decodeAnew(row, now)
+		e = k.decodeServer(row, now)
 	} else if e.err == nil {
 		// A later start may have been seen meanwhile.
 		if err := k.checkStart(*e.server); err != nil {
@@ -131,7 +131,7 @@
 	return e
 }
 
-func (k *Keeper) decodeAnew(row gossip.Row, now time.Time) serverEntry {
+func (k *Keeper) decodeServer(row gossip.Row, now time.Time) serverEntry {
 	s, err := k.Decoder.Server(row)
 	if err == nil {
 		err = k.checkStart(s)
@@ -139,13 +139,13 @@
 	if err != nil {
 		return serverEntry{sum: row.Sum(), err: err}
 	}
-	k.noteCold(&s, row.Version, now)
-	s.Leaving = k.staysLeaving(s, row.Version)
+	k.recordCold(&s, row.Version, now)
+	s.Leaving = k.isLeaving(s, row.Version)
 	return serverEntry{sum: row.Sum(), server: k.withLoad(s)}
 }
 
-// forgetEntries forgets rows that are not there any more.
-func (k *Keeper) forgetEntries() {
+// dropStaleEntries forgets rows that are not there any more.
+func (k *Keeper) dropStaleEntries() {
 	rows := k.topics[gossip.Servers].rows
 	if len(k.entries) > len(rows) {
 		maps.DeleteFunc(k.entries, func(key string, _ serverEntry) bool {
@@ -187,7 +187,7 @@
 	return out
 }
 
-func (k *Keeper) forgetLoads(servers []*fleet.Server, now time.Time) {
+func (k *Keeper) replaceLoads(servers []*fleet.Server, now time.Time) {
 	kept := make(map[fleet.Incarnation]*fleet.ServerState, len(servers))
 	for _, s := range servers {
 		kept[s.Incarnation()] = s.State
@@ -198,9 +198,9 @@
 	maps.DeleteFunc(k.coldRows, func(i fleet.Incarnation, _ revision.Revision) bool { return kept[i] == nil })
 }
 
-// noteVersions remembers when a version was first listed. Those of the first
+// recordVersions remembers when a version was first listed. Those of the first
 // list are settled: an order for them is known already.
-func (k *Keeper) noteVersions(servers []*fleet.Server, first bool, now time.Time) {
+func (k *Keeper) recordVersions(servers []*fleet.Server, first bool, now time.Time) {
 	seen := maps.Clone(k.firstSeen)
 	for _, s := range servers {
 		name := versionName(s.Service, s.Version)
@@ -209,7 +209,7 @@
 		}
 		seen[name] = now
 		if first {
-			seen[name] = now.Add(-newcomerWait)
+			seen[name] = now.Add(-unorderedVersionDelay)
 		}
 	}
 	k.firstSeen = seen
@@ -229,4 +229,4 @@
 	}
 }
 
-var errNoMember = errors.New("the entry names no daemon")
+var errMemberKey = errors.New("the entry names no daemon")
--- a/daemon/storesync/readers.go
+++ b/daemon/storesync/readers.go
@@ -25,67 +25,67 @@
 // tries may have heard of it later (a call and the gathering after it); turnsWithin, 1.25
 // s; and 0.4 s for two ticks, the call, and the question that follows.
 const (
-	// askEvery is the time between two questions to the hall's reader: what is
+	// queryInterval is the time between two questions to the hall's reader: what is
 	// known is older by it than at the reader.
-	askEvery = 450 * time.Millisecond
-	// answerWithin is how long a reader has to answer, so that one question may
+	queryInterval = 450 * time.Millisecond
+	// answerTimeout is how long a reader has to answer, so that one question may
 	// be lost on its way. With the time between questions it bounds how long a
 	// change may be missed when a reader fails.
-	answerWithin = 2*askEvery + 150*time.Millisecond
-	// acquaintWithin is how long it has to answer the first time: all daemons
+	answerTimeout = 2*queryInterval + 150*time.Millisecond
+	// firstAnswerTimeout is how long it has to answer the first time: all daemons
 	// of a hall that starts make their connections at once.
-	acquaintWithin = 2500 * time.Millisecond
-	// usefulSlack is added to the age of two calls, up to which a reader's
+	firstAnswerTimeout = 2500 * time.Millisecond
+	// usableAgeSlack is added to the age of two calls, up to which a reader's
 	// knowledge is good enough: a reader that the store answers is not older.
-	usefulSlack = 200 * time.Millisecond
-	// probeEvery is the time between two questions to a daemon that has not
+	usableAgeSlack = 200 * time.Millisecond
+	// probeInterval is the time between two questions to a daemon that has not
 	// answered.
-	probeEvery = 2 * time.Second
-	// turnsWithin is how much older what is known may grow until the last of a hall
+	probeInterval = 2 * time.Second
+	// allTurnsWithin is how much older what is known may grow until the last of a hall
 	// tries the store, turnAtMost how much from one turn to the next: a small hall
 	// need not hurry.
-	turnsWithin = 1250 * time.Millisecond
-	turnAtMost  = 450 * time.Millisecond
-	// longGone is how long a daemon must have been silent for its turn to be
+	allTurnsWithin  = 1250 * time.Millisecond
+	maxTurnInterval = 450 * time.Millisecond
+	// skipSilentAfter is how long a daemon must have been silent for its turn to be
 	// passed over.
-	longGone = 5 * time.Second
-	// aloneAfter is how long nobody must have answered for a daemon to count on
+	skipSilentAfter = 5 * time.Second
+	// aloneTimeout is how long nobody must have answered for a daemon to count on
 	// itself alone.
-	aloneAfter = 2 * answerWithin
-	// askOfMore is how many more daemons are asked at once when none is known to
+	aloneTimeout = 2 * answerTimeout
+	// extraQueries is how many more daemons are asked at once when none is known to
 	// read.
-	askOfMore = 3
+	extraQueries = 3
 )
 
 // readers decides whether this daemon reads the store, and whom it asks
 // otherwise. It belongs to the keeper's goroutine.
 type readers struct {
 	self Member
-	// usefulAge is the age up to which a reader's knowledge is good enough.
-	usefulAge time.Duration
-	// before are the daemons of the own hall that go before this one, in order.
-	before []Member
-	// hall is how many daemons the own hall has.
-	hall int
+	// maxUsableAge is the age up to which a reader's knowledge is good enough.
+	maxUsableAge time.Duration
+	// preceding are the daemons of the own hall that go preceding this one, in order.
+	preceding []Member
+	// hallSize is how many daemons the own hallSize has.
+	hallSize int
 	// silent are daemons that did not answer, by since when; useless are those
 	// that answer and know nothing useful.
-	silent  map[string]time.Time
-	useless map[string]bool
-	// waiting is since when an answer of a daemon is due.
-	waiting map[string]time.Time
-	asked   map[string]time.Time
-	// acquainted are daemons that have answered since they last were silent.
-	acquainted map[string]bool
-	// met tells that a daemon has once told something useful, heardAt when one
+	silent map[string]time.Time
+	stale  map[string]bool
+	// awaiting is since when an answer of a daemon is due.
+	awaiting map[string]time.Time
+	asked    map[string]time.Time
+	// answered are daemons that have answered since they last were silent.
+	answered map[string]bool
+	// hadReader tells that a daemon has once told something useful, heardAt when one
 	// last told anything.
-	met     bool
-	heardAt time.Time
+	hadReader bool
+	heardAt   time.Time
 	// round moves the order in which daemons are asked.
 	round int
 }
 
 func newReaders() *readers {
-	return &readers{silent: map[string]time.Time{}, useless: map[string]bool{}, waiting: map[string]time.Time{}, asked: map[string]time.Time{}, acquainted: map[string]bool{}}
+	return &readers{silent: map[string]time.Time{}, stale: map[string]bool{}, awaiting: map[string]time.Time{}, asked: map[string]time.Time{}, answered: map[string]bool{}}
 }
 
 // rank orders daemons for reading: the most capable first, then by hash.
@@ -93,35 +93,35 @@
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)), cmp.Compare(a.ID, b.ID))
 }
 
-// list takes the list of daemons.
-func (r *readers) list(members map[string]Member) {
-	r.before, r.hall = nil, 0
+// setMembers takes the setMembers of daemons.
+func (r *readers) setMembers(members map[string]Member) {
+	r.preceding, r.hallSize = nil, 0
 	for _, m := range members {
 		if m.Hall != r.self.Hall {
 			continue
 		}
-		r.hall++
+		r.hallSize++
 		if m.ID != r.self.ID && rank(m, r.self) < 0 {
-			r.before = append(r.before, m)
+			r.preceding = append(r.preceding, m)
 		}
 	}
-	slices.SortFunc(r.before, rank)
+	slices.SortFunc(r.preceding, rank)
 }
 
 // reader returns the daemon that reads for this one; ok is false if there is
 // none.
 func (r *readers) reader() (Member, bool) {
-	for _, m := range r.before {
-		if !r.isSilent(m.ID) && !r.useless[m.ID] {
+	for _, m := range r.preceding {
+		if !r.isSilent(m.ID) && !r.stale[m.ID] {
 			return m, true
 		}
 	}
 	return Member{}, false
 }
 
-// first reports whether no daemon of the hall that may answer goes before this one.
-func (r *readers) first() bool {
-	return !slices.ContainsFunc(r.before, func(m Member) bool { return !r.isSilent(m.ID) })
+// isFirst reports whether no daemon of the hall that may answer goes before this one.
+func (r *readers) isFirst() bool {
+	return !slices.ContainsFunc(r.preceding, func(m Member) bool { return !r.isSilent(m.ID) })
 }
 
 func (r *readers) isSilent(id string) bool {
@@ -132,30 +132,30 @@
 // mayRead reports whether it is this daemon's turn to read the store, by the age
 // of what it knows.
 func (r *readers) mayRead(age time.Duration, now time.Time) bool {
-	if r.met && now.Sub(r.heardAt) > aloneAfter {
+	if r.hadReader && now.Sub(r.heardAt) > aloneTimeout {
 		return true
 	}
-	if m, ok := r.reader(); ok && r.acquainted[m.ID] {
+	if m, ok := r.reader(); ok && r.answered[m.ID] {
 		return false
 	}
-	answering, between := r.ahead(now)
-	if !r.met {
+	answering, between := r.countPreceding(now)
+	if !r.hadReader {
 		// At its start a daemon cannot tell which of the listed are there.
 		between = 0
 	}
-	return answering == 0 || age > r.usefulAge+time.Duration(turn(between))*r.turnEvery()
+	return answering == 0 || age > r.maxUsableAge+time.Duration(turn(between))*r.turnInterval()
 }
 
-// ahead counts the daemons before this one that may answer, and those whose turn to
+// countPreceding counts the daemons before this one that may answer, and those whose turn to
 // try the store comes between the first of them and this one.
-func (r *readers) ahead(now time.Time) (answering, between int) {
+func (r *readers) countPreceding(now time.Time) (answering, between int) {
 	between = -1
-	for _, m := range r.before {
+	for _, m := range r.preceding {
 		since, silent := r.silent[m.ID]
 		if !silent {
 			answering++
 		}
-		if !silent || now.Sub(since) < longGone {
+		if !silent || now.Sub(since) < skipSilentAfter {
 			between++
 		}
 	}
@@ -166,37 +166,37 @@
 // 3, 4 to 7 daemons before it, and so on.
 func turn(between int) int { return bits.Len(uint(between)) }
 
-// turnEvery is how much older what is known grows from one turn to the next.
-func (r *readers) turnEvery() time.Duration {
-	return min(turnAtMost, turnsWithin/time.Duration(max(1, turn(max(0, r.hall-2)))))
+// turnInterval is how much older what is known grows from one turn to the next.
+func (r *readers) turnInterval() time.Duration {
+	return min(maxTurnInterval, allTurnsWithin/time.Duration(max(1, turn(max(0, r.hallSize-2)))))
 }
 
-// bystander reports whether so many daemons try the store before this one that it may
+// passive reports whether so many daemons try the store before this one that it may
 // leave trying again to them: whoever is answered tells the others.
-func (r *readers) bystander(now time.Time) bool {
-	_, between := r.ahead(now)
-	return turn(between) >= bystanderTurn
+func (r *readers) passive(now time.Time) bool {
+	_, between := r.countPreceding(now)
+	return turn(between) >= passiveTurn
 }
 
-// bystanderTurn is the turn from which daemons seldom try again: three in a hall keep
+// passiveTurn is the turn from which daemons seldom try again: three in a hall keep
 // looking for a store that is away.
-const bystanderTurn = 2
+const passiveTurn = 2
 
-// due returns the daemons to ask now, by the age of what this one knows: the
+// queryTargets returns the daemons to ask now, by the age of what this one knows: the
 // reader, and those that were silent or useless now and then. Without a reader
 // that is known to answer, some of those whose turn to try the store has come are
 // asked as often as it would be.
-func (r *readers) due(age time.Duration, now time.Time) []Member {
+func (r *readers) queryTargets(age time.Duration, now time.Time) []Member {
 	reader, ok := r.reader()
-	settled := ok && r.acquainted[reader.ID]
-	trying := r.trying(age)
+	settled := ok && r.answered[reader.ID]
+	trying := r.turnTakers(age)
 	var out []Member
-	for _, m := range r.before {
-		every := probeEvery
+	for _, m := range r.preceding {
+		every := probeInterval
 		switch {
 		case ok && m.ID == reader.ID, !settled && trying[m.ID]:
-			every = askEvery
-		case !r.isSilent(m.ID) && !r.useless[m.ID]:
+			every = queryInterval
+		case !r.isSilent(m.ID) && !r.stale[m.ID]:
 			continue
 		}
 		if now.Sub(r.asked[m.ID]) >= every {
@@ -206,56 +206,56 @@
 	return out
 }
 
-// trying returns askOfMore of the daemons whose turn to try the store has come,
+// turnTakers returns askOfMore of the daemons whose turn to try the store has come,
 // other ones each time.
-func (r *readers) trying(age time.Duration) map[string]bool {
+func (r *readers) turnTakers(age time.Duration) map[string]bool {
 	var turn []string
-	most := askOfMore + 1<<int(max(0, age-r.usefulAge)/r.turnEvery())
-	for _, m := range r.before {
+	most := extraQueries + 1<<int(max(0, age-r.maxUsableAge)/r.turnInterval())
+	for _, m := range r.preceding {
 		if !r.isSilent(m.ID) && len(turn) < most {
 			turn = append(turn, m.ID)
 		}
 	}
 	out := map[string]bool{}
-	for range min(askOfMore, len(turn)) {
+	for range min(extraQueries, len(turn)) {
 		r.round++
 		out[turn[r.round%len(turn)]] = true
 	}
 	return out
 }
 
-// ask notes that a daemon is asked now.
-func (r *readers) ask(id string, now time.Time) {
+// recordQuery notes that a daemon is asked now.
+func (r *readers) recordQuery(id string, now time.Time) {
 	r.asked[id] = now
-	if _, waits := r.waiting[id]; !waits {
-		r.waiting[id] = now
+	if _, waits := r.awaiting[id]; !waits {
+		r.awaiting[id] = now
 	}
 }
 
-// told notes an answer, how old what it tells is, and whether who tells it is cut off
+// recordAnswer notes an answer, how old what it tells is, and whether who tells it is cut off
 // from the store: what such a one has heard from others is no base for a hall.
-func (r *readers) told(id string, age time.Duration, cut bool, now time.Time) {
+func (r *readers) recordAnswer(id string, age time.Duration, cut bool, now time.Time) {
 	r.heardAt = now
-	delete(r.waiting, id)
+	delete(r.awaiting, id)
 	delete(r.silent, id)
-	r.acquainted[id] = true
-	r.useless[id] = cut || age > r.usefulAge
-	r.met = r.met || !r.useless[id]
+	r.answered[id] = true
+	r.stale[id] = cut || age > r.maxUsableAge
+	r.hadReader = r.hadReader || !r.stale[id]
 }
 
 // expire notes the daemons whose answer is overdue. It returns those that were
 // not silent before, and those that still are.
 func (r *readers) expire(now time.Time) (fresh, still []string) {
-	for id, since := range r.waiting {
-		within := answerWithin
-		if !r.acquainted[id] {
-			within = acquaintWithin
+	for id, since := range r.awaiting {
+		within := answerTimeout
+		if !r.answered[id] {
+			within = firstAnswerTimeout
 		}
 		if now.Sub(since) < within {
 			continue
 		}
-		delete(r.waiting, id)
-		delete(r.acquainted, id)
+		delete(r.awaiting, id)
+		delete(r.answered, id)
 		if r.isSilent(id) {
 			still = append(still, id)
 			continue
--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -55,27 +55,27 @@
 	// rows are the versions of the rows with the states.
 	rows map[string]revision.Revision
 	own  map[countKey]canary.Count
-	// told is what other daemons of the hall have seen, and other halls as
+	// reports is what other daemons of the hall have seen, and other halls as
 	// wholes.
-	told   map[source]gossip.Evidence
-	toldAt map[source]time.Time
+	reports    map[source]gossip.Evidence
+	reportedAt map[source]time.Time
 	// departed is what lives of daemons of the hall have seen that tell nothing any more, halls
 	// what other halls have seen, as one of their readers told it.
-	departed  map[life][]gossip.Count
+	departed  map[daemonRun][]gossip.Count
 	halls     map[string]hallSeen
 	withdrawn map[string]bool
-	// aside are the servers that look bad, by service.
-	aside map[string][]string
-	// doubts are since when there are doubts of versions, by service.
-	doubts   map[string]doubt
-	sequence uint64
-	sentAt   time.Time
-	// busy are services whose state is being written, by when that began.
-	busy map[string]time.Time
+	// ejected are the servers that look bad, by service.
+	ejected map[string][]string
+	// suspicions are since when there are suspicions of versions, by service.
+	suspicions map[string]suspicion
+	sequence   uint64
+	sentAt     time.Time
+	// writing are services whose state is being written, by when that began.
+	writing map[string]time.Time
 	// clockMS is the store's clock at clockAt.
-	clockMS uint64
-	clockAt time.Time
-	seenAt  map[string]time.Time
+	clockMS    uint64
+	clockAt    time.Time
+	knownSince map[string]time.Time
 }
 
 // source is who says what was seen: a daemon, or a data hall as a whole.
@@ -96,8 +96,8 @@
 func newRollouts() *rollouts {
 	return &rollouts{
 		byService: map[string]canary.Rollout{}, rows: map[string]revision.Revision{}, own: map[countKey]canary.Count{},
-		told: map[source]gossip.Evidence{}, departed: map[life][]gossip.Count{}, halls: map[string]hallSeen{}, toldAt: map[source]time.Time{}, withdrawn: map[string]bool{},
-		aside: map[string][]string{}, doubts: map[string]doubt{}, busy: map[string]time.Time{}, seenAt: map[string]time.Time{},
+		reports: map[source]gossip.Evidence{}, departed: map[daemonRun][]gossip.Count{}, halls: map[string]hallSeen{}, reportedAt: map[source]time.Time{}, withdrawn: map[string]bool{},
+		ejected: map[string][]string{}, suspicions: map[string]suspicion{}, writing: map[string]time.Time{}, knownSince: map[string]time.Time{},
 	}
 }
 
@@ -126,20 +126,20 @@
 		return false
 	}
 	r.byService[o.Service] = canary.Rollout{Order: o, Since: now}
-	r.seenAt[o.Service] = now
-	delete(r.aside, o.Service)
-	delete(r.doubts, o.Service)
+	r.knownSince[o.Service] = now
+	delete(r.ejected, o.Service)
+	delete(r.suspicions, o.Service)
 	for _, state := range []canary.State{canary.Completed, canary.RolledBack} {
 		// What was due of an earlier order is not due of this one.
-		delete(r.seenAt, o.Service+state.String())
+		delete(r.knownSince, o.Service+state.String())
 	}
 	for key := range r.own {
 		if key.service == o.Service {
 			delete(r.own, key)
 		}
 	}
-	r.forgetService(o.Service)
-	r.look()
+	r.dropService(o.Service)
+	r.updateOpen()
 	return true
 }
 
@@ -157,12 +157,12 @@
 	was.State = max(was.State, p.State)
 	was.Since = now.Add(-time.Duration(int64(r.storeClock(now))-int64(p.SinceMS)) * time.Millisecond)
 	r.byService[service] = was
-	r.look()
+	r.updateOpen()
 	return true
 }
 
-// look works out whether an order is open.
-func (r *rollouts) look() {
+// updateOpen works out whether an order is open.
+func (r *rollouts) updateOpen() {
 	open := false
 	for _, o := range r.byService {
 		open = open || o.State == canary.Running
@@ -214,62 +214,62 @@
 	return c
 }
 
-// hear takes what another daemon or hall has seen.
-func (r *rollouts) hear(from string, m gossip.Evidence, now time.Time) {
+// handleEvidence takes what another daemon or hall has seen.
+func (r *rollouts) handleEvidence(from string, m gossip.Evidence, now time.Time) {
 	src := source{daemon: from}
 	if m.Hall != "" {
 		// Whoever reads for the hall says so.
 		src = source{hall: m.Hall}
 	}
-	was, ok := r.told[src]
+	was, ok := r.reports[src]
 	if ok && was.Start == m.Start && was.Sequence >= m.Sequence {
 		return
 	}
-	r.keepSeen(from, src, was, m)
-	r.told[src], r.toldAt[src] = m, now
+	r.retainCounts(from, src, was, m)
+	r.reports[src], r.reportedAt[src] = m, now
 	for _, name := range m.Withdrawn {
 		r.withdrawNamed(name)
 	}
 }
 
-// life is one start of a daemon.
-type life struct {
+// daemonRun is one start of a daemon.
+type daemonRun struct {
 	daemon string
 	start  uint64
 }
 
 // hallSeen is what another hall has seen, and which reader told it.
 type hallSeen struct {
-	reader life
+	reader daemonRun
 	counts []gossip.Count
 }
 
-// keepSeen keeps what is told beside what is kept already: of each life of a daemon of the hall
+// retainCounts keeps what is told beside what is kept already: of each life of a daemon of the hall
 // its last word, and of another hall the word of its reader. Of two readers' the larger one
 // stands, since each has in it what the daemons that live still tell.
-func (r *rollouts) keepSeen(from string, src source, was, m gossip.Evidence) {
+func (r *rollouts) retainCounts(from string, src source, was, m gossip.Evidence) {
 	if src.hall == "" {
-		delete(r.departed, life{from, m.Start})
+		delete(r.departed, daemonRun{from, m.Start})
 		if was.Start != m.Start {
-			r.depart(life{from, was.Start}, was.Counts)
+			r.keepDeparted(daemonRun{from, was.Start}, was.Counts)
 		}
 		return
 	}
-	reader, kept := life{from, m.Start}, r.halls[src.hall]
-	if kept.reader == reader || answers(m.Counts) >= answers(kept.counts) {
+	reader, kept := daemonRun{from, m.Start}, r.halls[src.hall]
+	if kept.reader == reader || totalAnswers(m.Counts) >= totalAnswers(kept.counts) {
 		r.halls[src.hall] = hallSeen{reader: reader, counts: m.Counts}
 	}
 }
 
-// depart keeps what a life of a daemon of the hall has seen.
-func (r *rollouts) depart(l life, counts []gossip.Count) {
+// keepDeparted keeps what a life of a daemon of the hall has seen.
+func (r *rollouts) keepDeparted(l daemonRun, counts []gossip.Count) {
 	if len(counts) > 0 {
 		r.departed[l] = counts
 	}
 }
 
-// answers is how many answers are counted.
-func answers(counts []gossip.Count) uint64 {
+// totalAnswers is how many totalAnswers are counted.
+func totalAnswers(counts []gossip.Count) uint64 {
 	sum := uint64(0)
 	for _, c := range counts {
 		sum += c.Answers
@@ -277,29 +277,29 @@
 	return sum
 }
 
-// forget drops what was under way at daemons and halls that have told nothing for too long. What
+// expireReports drops what was under way at daemons and halls that have told nothing for too long. What
 // they have seen stands.
-func (r *rollouts) forget(now time.Time) {
-	for src, at := range r.toldAt {
-		if now.Sub(at) <= toldFor {
+func (r *rollouts) expireReports(now time.Time) {
+	for src, at := range r.reportedAt {
+		if now.Sub(at) <= reportTTL {
 			continue
 		}
 		if src.hall == "" {
-			r.depart(life{src.daemon, r.told[src].Start}, r.told[src].Counts)
+			r.keepDeparted(daemonRun{src.daemon, r.reports[src].Start}, r.reports[src].Counts)
 		}
-		delete(r.told, src)
-		delete(r.toldAt, src)
+		delete(r.reports, src)
+		delete(r.reportedAt, src)
 	}
 }
 
-// forgetService drops what others have seen of a service: its next order begins anew.
-func (r *rollouts) forgetService(service string) {
+// dropService drops what others have seen of a service: its next order begins anew.
+func (r *rollouts) dropService(service string) {
 	without := func(counts []gossip.Count) []gossip.Count {
 		return slices.DeleteFunc(slices.Clone(counts), func(c gossip.Count) bool { return c.Service == service })
 	}
-	for src, m := range r.told {
+	for src, m := range r.reports {
 		m.Counts = without(m.Counts)
-		r.told[src] = m
+		r.reports[src] = m
 	}
 	for l, counts := range r.departed {
 		r.departed[l] = without(counts)
@@ -331,7 +331,7 @@
 // totals adds up what this daemon and those of its hall have seen.
 func (r *rollouts) totals() map[countKey]canary.Count {
 	out := maps.Clone(r.own)
-	for src, m := range r.told {
+	for src, m := range r.reports {
 		if src.hall == "" {
 			addCounts(out, m.Counts)
 		}
@@ -387,7 +387,7 @@
 // service of which a daemon of the hall still uses the old one is left out.
 func (r *rollouts) oldInFlight(own map[string]int) map[string]int {
 	out := maps.Clone(own)
-	for src, m := range r.told {
+	for src, m := range r.reports {
 		if src.hall == "" {
 			addInFlight(out, m.OldInFlight)
 		}
@@ -411,7 +411,7 @@
 // allOldInFlight adds up the requests of all daemons on old versions.
 func (r *rollouts) allOldInFlight(own map[string]int) map[string]int {
 	out := r.oldInFlight(own)
-	for src, m := range r.told {
+	for src, m := range r.reports {
 		if src.hall != "" {
 			addInFlight(out, m.OldInFlight)
 		}
--- a/daemon/storesync/sessions.go
+++ b/daemon/storesync/sessions.go
@@ -17,27 +17,27 @@
 
 	mu   sync.Mutex
 	last map[uint64]time.Time
-	// fresh are those served here, not told to others yet.
-	fresh map[uint64]bool
+	// unsent are those served here, not told to others yet.
+	unsent map[uint64]bool
 }
 
-// standardPause is the pause if the settings name none.
-const standardPause = 5 * time.Second
+// defaultPause is the pause if the settings name none.
+const defaultPause = 5 * time.Second
 
 func newSessions() *sessions {
-	return &sessions{pause: standardPause, last: map[uint64]time.Time{}, fresh: map[uint64]bool{}}
+	return &sessions{pause: defaultPause, last: map[uint64]time.Time{}, unsent: map[uint64]bool{}}
 }
 
-// ran notes a session that an old version serves here.
-func (s *sessions) ran(hash uint64, now time.Time) {
+// record notes a session that an old version serves here.
+func (s *sessions) record(hash uint64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last[hash] = now
-	s.fresh[hash] = true
+	s.unsent[hash] = true
 }
 
-// heard notes sessions that an old version serves elsewhere.
-func (s *sessions) heard(hashes []uint64, now time.Time) {
+// recordRemote notes sessions that an old version serves elsewhere.
+func (s *sessions) recordRemote(hashes []uint64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, hash := range hashes {
@@ -53,16 +53,16 @@
 	return ok && now.Sub(last) < s.pause
 }
 
-// news returns the sessions served here that others have not been told of, and
+// takeUnsent returns the sessions served here that others have not been told of, and
 // forgets those that have paused.
-func (s *sessions) news(now time.Time) []uint64 {
+func (s *sessions) takeUnsent(now time.Time) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]uint64, 0, len(s.fresh))
-	for hash := range s.fresh {
+	out := make([]uint64, 0, len(s.unsent))
+	for hash := range s.unsent {
 		out = append(out, hash)
 	}
-	clear(s.fresh)
+	clear(s.unsent)
 	for hash, last := range s.last {
 		if now.Sub(last) > s.pause {
 			delete(s.last, hash)
@@ -75,9 +75,9 @@
 // left out, and may then move a moment early.
 const sessionsBacklog = 4096
 
-// sessionsEvery is the time between two messages about sessions to daemons that
+// sessionsInterval is the time between two messages about sessions to daemons that
 // this one reads for, and to other halls.
-const sessionsEvery = 500 * time.Millisecond
+const sessionsInterval = 500 * time.Millisecond
 
 // Ran notes which version serves a session.
 func (k *Keeper) Ran(service string, hash uint64, version string) {
@@ -91,20 +91,20 @@
 		// this version is an old one.
 		return
 	}
-	k.sessions.ran(hash, now)
+	k.sessions.record(hash, now)
 }
 
-// tellSessions tells of sessions: those of this hall to other halls and to the
+// sendSessions tells of sessions: those of this hall to other halls and to the
 // daemons that this one reads for, those of other halls to the latter.
-func (k *Keeper) tellSessions(now time.Time) {
-	if !k.reading.Load() || now.Sub(k.sessionsAt) < sessionsEvery {
+func (k *Keeper) sendSessions(now time.Time) {
+	if !k.reading.Load() || now.Sub(k.sessionsSentAt) < sessionsInterval {
 		return
 	}
-	k.sessionsAt = now
-	own := append(k.sessions.news(now), k.hallSessions...)
-	all := append(own[:len(own):len(own)], k.awaySessions...)
-	k.hallSessions, k.awaySessions = nil, nil
-	if to := k.hallAudience(now); len(all) > 0 && len(to) > 0 {
+	k.sessionsSentAt = now
+	own := append(k.sessions.takeUnsent(now), k.hallSessions...)
+	all := append(own[:len(own):len(own)], k.remoteSessions...)
+	k.hallSessions, k.remoteSessions = nil, nil
+	if to := k.hallSubscribers(now); len(all) > 0 && len(to) > 0 {
 		k.Peers.SendAll(to, gossip.Response{Sessions: all})
 	}
 	if len(own) == 0 {
@@ -113,11 +113,11 @@
 	k.broadcast(gossip.Response{Sessions: own})
 }
 
-// hallAudience are the daemons of this hall that this one reads for. Those of
+// hallSubscribers are the daemons of this hall that this one reads for. Those of
 // other halls that ask here hear of sessions from their own readers; telling
 // them too would go round in circles.
-func (k *Keeper) hallAudience(now time.Time) map[string]string {
-	to := k.audience(now)
+func (k *Keeper) hallSubscribers(now time.Time) map[string]string {
+	to := k.subscriberAddrs(now)
 	for id := range to {
 		if (*k.members.Load())[id].Hall != k.Self.Hall {
 			delete(to, id)
@@ -126,27 +126,27 @@
 	return to
 }
 
-// askedSessions takes the sessions that a daemon of this hall serves itself, as
+// handleRequestSessions takes the sessions that a daemon of this hall serves itself, as
 // it asks here: they are told on.
-func (k *Keeper) askedSessions(hashes []uint64, now time.Time) {
-	k.sessions.heard(hashes, now)
+func (k *Keeper) handleRequestSessions(hashes []uint64, now time.Time) {
+	k.sessions.recordRemote(hashes, now)
 	if k.reading.Load() {
-		k.hallSessions = appendUpTo(k.hallSessions, hashes)
+		k.hallSessions = appendCapped(k.hallSessions, hashes)
 	}
 }
 
-// toldSessions takes the sessions that another daemon tells of. Those of other
+// handleSessions takes the sessions that another daemon tells of. Those of other
 // halls are told on within this one; what comes from within has been told to
 // all by its reader, and telling it on would go round in circles.
-func (k *Keeper) toldSessions(from string, hashes []uint64, now time.Time) {
-	k.sessions.heard(hashes, now)
+func (k *Keeper) handleSessions(from string, hashes []uint64, now time.Time) {
+	k.sessions.recordRemote(hashes, now)
 	m, ok := (*k.members.Load())[from]
 	if ok && m.Hall != k.Self.Hall && k.reading.Load() {
-		k.awaySessions = appendUpTo(k.awaySessions, hashes)
+		k.remoteSessions = appendCapped(k.remoteSessions, hashes)
 	}
 }
 
-// appendUpTo appends what fits into the backlog.
-func appendUpTo(to, hashes []uint64) []uint64 {
+// appendCapped appends what fits into the backlog.
+func appendCapped(to, hashes []uint64) []uint64 {
 	return append(to, hashes[:min(len(hashes), sessionsBacklog-len(to))]...)
 }
--- a/daemon/storesync/standstill.go
+++ b/daemon/storesync/standstill.go
@@ -10,32 +10,32 @@
 // that time: they are how old something is to the world. How long something took, pauses
 // and turns do not.
 
-// noteStandstill notices that the VM has stood still since it last looked. All that was
+// detectSuspension notices that the VM has stood still since it last looked. All that was
 // confirmed is older by that, and questions that were asked before are void: what they
 // bring may be from then.
-func (k *Keeper) noteStandstill(now time.Time) {
+func (k *Keeper) detectSuspension(now time.Time) {
 	total := k.StoodStill.Now()
-	d := total - k.stood
+	d := total - k.suspendedTotal
 	if d < suspend.Least {
 		return
 	}
-	k.stood, k.wokeAt = total, now
+	k.suspendedTotal, k.resumedAt = total, now
 	for _, t := range k.topics {
 		t.confirmed = t.confirmed.Add(-d)
 	}
-	k.answeredAt = k.answeredAt.Add(-d)
+	k.storeAnsweredAt = k.storeAnsweredAt.Add(-d)
 	for id, until := range k.lapsed {
 		k.lapsed[id] = until.Add(-d)
 	}
-	clear(k.asked)
-	k.rollouts.stoodStill(d)
-	k.refresh()
+	clear(k.pendingRequests)
+	k.rollouts.shift(d)
+	k.publishView()
 	k.Standstills.Add(1)
 	k.Log.Warn().Dur("for", d).Msg("knowledge: the VM stood still: nothing is served until what is known is confirmed")
 }
 
-// stoodStill moves what is counted from the start of an order.
-func (r *rollouts) stoodStill(d time.Duration) {
+// shift moves what is counted from the start of an order.
+func (r *rollouts) shift(d time.Duration) {
 	r.clockAt = r.clockAt.Add(-d)
 	for service, o := range r.byService {
 		o.Since = o.Since.Add(-d)
@@ -43,8 +43,8 @@
 	}
 }
 
-// stillSince is how long the VM has stood still since the view was made.
-func (v *View) stillSince() time.Duration {
+// suspendedSinceView is how long the VM has stood still since the view was made.
+func (v *View) suspendedSinceView() time.Duration {
 	if d := v.StoodStill.Now() - v.Stood; d >= suspend.Least {
 		return d
 	}
@@ -57,5 +57,5 @@
 // Confirmed reports whether the configuration was confirmed since the VM last stood still:
 // until then what is known may be from long ago.
 func (v *View) Confirmed() bool {
-	return v.stillSince() == 0 && (v.WokeAt.IsZero() || v.ConfigAt.After(v.WokeAt))
+	return v.suspendedSinceView() == 0 && (v.WokeAt.IsZero() || v.ConfigAt.After(v.WokeAt))
 }
--- a/daemon/storesync/starts.go
+++ b/daemon/storesync/starts.go
@@ -10,8 +10,8 @@
 // Servers that begin again under their id. All that is kept about a server is kept by its
 // incarnation, so that a new one is empty, and cold and slow by its own word alone.
 
-// mostStarts bounds the starts that are remembered: far more than servers are listed.
-const mostStarts = 16384
+// maxStarts bounds the starts that are remembered: far more than servers are listed.
+const maxStarts = 16384
 
 // checkStart notes a server's start. An entry of an earlier one than is known already is
 // another writer's and names no server.
@@ -22,7 +22,7 @@
 	if latest := k.starts[s.ID]; s.Born < latest {
 		return fmt.Errorf("the server has begun at %d, later than %d", latest, s.Born)
 	}
-	if len(k.starts) >= mostStarts {
+	if len(k.starts) >= maxStarts {
 		clear(k.starts)
 	}
 	k.starts[s.ID] = s.Born
@@ -39,9 +39,9 @@
 	return slices.DeleteFunc(servers, func(s *fleet.Server) bool { return s.Born > 0 && s.Born < latest[s.Addr] })
 }
 
-// beganAgain tells of servers that have begun again under their id, by what they were: what
+// reportRestarts tells of servers that have begun again under their id, by what they were: what
 // this daemon has under way there is lost.
-func (k *Keeper) beganAgain(was *fleet.List, servers []*fleet.Server) {
+func (k *Keeper) reportRestarts(was *fleet.List, servers []*fleet.Server) {
 	if was == nil || k.BeganAgain == nil {
 		return
 	}
@@ -54,12 +54,12 @@
 		if !ok || old.Born == s.Born {
 			continue
 		}
-		k.tellBeganAgain(old, s)
+		k.reportRestart(old, s)
 	}
 }
 
-// tellBeganAgain tells of one of them.
-func (k *Keeper) tellBeganAgain(was, is *fleet.Server) {
+// reportRestart tells of one of them.
+func (k *Keeper) reportRestart(was, is *fleet.Server) {
 	if k.BeganAgain == nil {
 		return
 	}
--- a/daemon/storesync/topic.go
+++ b/daemon/storesync/topic.go
@@ -15,20 +15,20 @@
 	// confirmed is the latest time at which the rows were the newest.
 	confirmed time.Time
 	known     bool
-	// away is since when this daemon's own reads fail, or zero; returned is
+	// unavailableSince is since when this daemon's own reads fail, or zero; returned is
 	// when they last worked again.
-	away     time.Time
-	returned time.Time
+	unavailableSince time.Time
+	recoveredAt      time.Time
 	// sum is the hash of the rows; past has the latest changes, oldest first.
-	sum  uint64
-	past []change
-	// fresh are the keys of rows that have changed since they were last taken; nil if nobody
+	sum     uint64
+	history []change
+	// dirty are the keys of rows that have changed since they were last taken; nil if nobody
 	// takes them.
-	fresh map[string]bool
-	// before are contents that rows had and have no more, by key: a store that returns from a
+	dirty map[string]bool
+	// oldContents are contents that rows had and have no more, by key: a store that returns from a
 	// copy has them again. returnedAt is when it last did, zero for never.
-	before     map[string][]content
-	returnedAt time.Time
+	oldContents map[string][]content
+	restoredAt  time.Time
 	// held are the keys of rows that the store has lost, by since when: what is known of them
 	// is newer than what the store has.
 	held map[string]time.Time
@@ -42,10 +42,10 @@
 }
 
 const (
-	// copyAge is how old a copy is at most from which the store returns.
-	copyAge = time.Minute
-	// mostBefore bounds the contents that are remembered of a row.
-	mostBefore = 16
+	// maxCopyAge is how old a copy is at most from which the store returns.
+	maxCopyAge = time.Minute
+	// maxOldContents bounds the contents that are remembered of a row.
+	maxOldContents = 16
 )
 
 // change is what a change of the rows replaced.
@@ -56,21 +56,21 @@
 	at     time.Time
 }
 
-// newsTime is how long news takes to be told, sent and taken at most.
-const newsTime = 2*tickEvery + 200*time.Millisecond
+// maxUpdateDelay is how long news takes to be told, sent and taken at most.
+const maxUpdateDelay = 2*tickInterval + 200*time.Millisecond
 
-// pastChanges is how many changes are remembered for daemons that lag behind;
+// maxHistory is how many changes are remembered for daemons that lag behind;
 // one that lags further is told all rows.
-const pastChanges = 64
+const maxHistory = 64
 
 func newTopicState() *topicState {
-	return &topicState{rows: map[string]gossip.Row{}, before: map[string][]content{}, held: map[string]time.Time{}}
+	return &topicState{rows: map[string]gossip.Row{}, oldContents: map[string][]content{}, held: map[string]time.Time{}}
 }
 
-// takeFresh returns the keys of rows that have changed since it was last called.
-func (t *topicState) takeFresh() map[string]bool {
-	fresh := t.fresh
-	t.fresh = map[string]bool{}
+// takeDirty returns the keys of rows that have changed since it was last called.
+func (t *topicState) takeDirty() map[string]bool {
+	fresh := t.dirty
+	t.dirty = map[string]bool{}
 	return fresh
 }
 
@@ -98,11 +98,11 @@
 		}
 	}
 	for _, key := range changed {
-		t.supersede(key, now)
+		t.recordOldContent(key, now)
 	}
 	before := t.sum
 	t.rows, t.version, t.known, t.sum = next, version, true, gossip.Sum(rows)
-	t.remember(before, changed)
+	t.recordChange(before, changed)
 	t.confirm(confirmed)
 	return gone, newer
 }
@@ -115,7 +115,7 @@
 		if was, ok := t.rows[row.Key]; ok {
 			t.sum -= was.Sum()
 			if was.Sum() != row.Sum() {
-				t.supersede(row.Key, now)
+				t.recordOldContent(row.Key, now)
 			}
 		}
 		delete(t.held, row.Key)
@@ -127,17 +127,17 @@
 		delete(t.held, key)
 		if was, ok := t.rows[key]; ok {
 			t.sum -= was.Sum()
-			t.supersede(key, now)
+			t.recordOldContent(key, now)
 			delete(t.rows, key)
 			gone = append(gone, key)
 		}
 	}
-	t.remember(before, append(changed, gone...))
+	t.recordChange(before, append(changed, gone...))
 	return gone
 }
 
-// sumWith is what the sum would be with changed rows and without those that are gone.
-func (t *topicState) sumWith(rows []gossip.Row, removed []string) uint64 {
+// sumAfter is what the sum would be with changed rows and without those that are gone.
+func (t *topicState) sumAfter(rows []gossip.Row, removed []string) uint64 {
 	sum := t.sum
 	for _, row := range rows {
 		if was, ok := t.rows[row.Key]; ok {
@@ -153,31 +153,31 @@
 	return sum
 }
 
-// remember notes which rows have changed since the rows had a sum.
-func (t *topicState) remember(before uint64, keys []string) {
+// recordChange notes which rows have changed since the rows had a sum.
+func (t *topicState) recordChange(before uint64, keys []string) {
 	if t.sum == before {
 		return
 	}
-	if t.fresh != nil {
+	if t.dirty != nil {
 		for _, key := range keys {
-			t.fresh[key] = true
+			t.dirty[key] = true
 		}
 	}
-	t.past = append(t.past, change{before: before, keys: keys, at: time.Now()})
-	if len(t.past) > pastChanges {
-		t.past = slices.Delete(t.past, 0, len(t.past)-pastChanges)
+	t.history = append(t.history, change{before: before, keys: keys, at: time.Now()})
+	if len(t.history) > maxHistory {
+		t.history = slices.Delete(t.history, 0, len(t.history)-maxHistory)
 	}
 }
 
-// since returns what has changed since the rows had a sum, if that is known, and
+// changesSince returns what has changed changesSince the rows had a sum, if that is known, and
 // whether all of it is so new that the news of it may still be on its way.
-func (t *topicState) since(sum uint64, now time.Time) (rows []gossip.Row, removed []string, known, onItsWay bool) {
-	at := slices.IndexFunc(t.past, func(c change) bool { return c.before == sum })
+func (t *topicState) changesSince(sum uint64, now time.Time) (rows []gossip.Row, removed []string, known, onItsWay bool) {
+	at := slices.IndexFunc(t.history, func(c change) bool { return c.before == sum })
 	if at < 0 {
 		return nil, nil, false, false
 	}
 	seen := map[string]bool{}
-	for _, c := range t.past[at:] {
+	for _, c := range t.history[at:] {
 		for _, key := range c.keys {
 			if seen[key] {
 				continue
@@ -190,12 +190,12 @@
 			}
 		}
 	}
-	return rows, removed, true, now.Sub(t.past[at].at) < newsTime
+	return rows, removed, true, now.Sub(t.history[at].at) < maxUpdateDelay
 }
 
 // apply takes what has changed, if that leads to the rows that the teller has.
 func (t *topicState) apply(k gossip.Update, confirmed, now time.Time) (gone []string, ok bool) {
-	if t.sum != k.Base || t.sumWith(k.Rows, k.Removed) != k.Sum {
+	if t.sum != k.Base || t.sumAfter(k.Rows, k.Removed) != k.Sum {
 		return nil, false
 	}
 	gone = t.set(k.Rows, k.Removed, now)
@@ -204,8 +204,8 @@
 	return gone, true
 }
 
-// change takes the rows that have changed up to a version.
-func (t *topicState) change(p Page, confirmed, now time.Time) (gone []string, newer bool) {
+// applyPage takes the rows that have changed up to a version.
+func (t *topicState) applyPage(p Page, confirmed, now time.Time) (gone []string, newer bool) {
 	if p.Version.Before(t.version) {
 		return nil, false
 	}
@@ -225,8 +225,8 @@
 	}
 }
 
-// list returns the rows.
-func (t *topicState) list() []gossip.Row {
+// rowList returns the rows.
+func (t *topicState) rowList() []gossip.Row {
 	out := make([]gossip.Row, 0, len(t.rows))
 	for _, row := range t.rows {
 		out = append(out, row)
--- a/daemon/storesync/usage.go
+++ b/daemon/storesync/usage.go
@@ -22,12 +22,12 @@
 	Updates(now time.Time) (records []usage.Record, holder string)
 }
 
-// usageEvery is the time between two messages of a reader about usage.
-const usageEvery = time.Second
+// usageInterval is the time between two messages of a reader about usage.
+const usageInterval = time.Second
 
-// tellUsage is what the hall's reader is to be told of this daemon's usage. A reader that has
+// unacknowledgedUsage is what the hall's reader is to be told of this daemon's usage. A reader that has
 // begun anew knows nothing, and is told all.
-func (k *Keeper) tellUsage(reader Member, nonce uint64, now time.Time) []usage.Record {
+func (k *Keeper) unacknowledgedUsage(reader Member, nonce uint64, now time.Time) []usage.Record {
 	if k.Usage == nil {
 		return nil
 	}
@@ -41,12 +41,12 @@
 	}
 }
 
-// shareUsage has a reader tell the other ones, and the daemon that reports, what it knows.
-func (k *Keeper) shareUsage(now time.Time) {
-	if k.Usage == nil || !k.reading.Load() || now.Sub(k.usageAt) < usageEvery {
+// sendUsage has a reader tell the other ones, and the daemon that reports, what it knows.
+func (k *Keeper) sendUsage(now time.Time) {
+	if k.Usage == nil || !k.reading.Load() || now.Sub(k.usageSentAt) < usageInterval {
 		return
 	}
-	k.usageAt = now
+	k.usageSentAt = now
 	records, holder := k.Usage.Updates(now)
 	if len(records) == 0 {
 		return
--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -46,8 +46,8 @@
 
 	rollouts  map[string]canary.Rollout
 	withdrawn map[string]bool
-	// aside are servers of versions in roll-out that look bad, by service.
-	aside map[string][]string
+	// ejected are servers of versions in roll-out that look bad, by service.
+	ejected map[string][]string
 	// firstSeen is when a version of a service was first listed.
 	firstSeen map[string]time.Time
 	sessions  *sessions
@@ -55,7 +55,9 @@
 
 // ConfigAge is how old the knowledge of the configuration is, to the world: it counts the
 // time for which the VM stood still.
-func (v *View) ConfigAge(now time.Time) time.Duration { return now.Sub(v.ConfigAt) + v.stillSince() }
+func (v *View) ConfigAge(now time.Time) time.Duration {
+	return now.Sub(v.ConfigAt) + v.suspendedSinceView()
+}
 
 // Ready reports whether requests can be decided at all.
 func (v *View) Ready() bool { return v.Map != nil && v.Servers != nil }
@@ -104,9 +106,9 @@
 // versionName names a version of a service.
 func versionName(service, version string) string { return service + "@" + version }
 
-// newcomerWait is how long a version that no order has named stays unused: its
+// unorderedVersionDelay is how long a version that no order has named stays unused: its
 // servers may be listed a moment before the order arrives.
-const newcomerWait = 1500 * time.Millisecond
+const unorderedVersionDelay = 1500 * time.Millisecond
 
 // Use is what a session may use of a service.
 type Use struct {
@@ -138,8 +140,8 @@
 		return isNew, isOld
 	case r.State == canary.RolledBack || v.withdrawn[versionName(service, r.Order.Version)]:
 		return isOld, isOld
-	case r.UsesNew(hash, now) && !v.stays(r, hash, now):
-		isNew.Part, isNew.Phase, isNew.Aside = r.Share(now), r.Phase(now), v.aside[service]
+	case r.UsesNew(hash, now) && !v.staysOnOld(r, hash, now):
+		isNew.Part, isNew.Phase, isNew.Aside = r.Share(now), r.Phase(now), v.ejected[service]
 		return isNew, isOld
 	case r.Share(now) > 0:
 		return isOld, isNew
@@ -147,9 +149,9 @@
 	return isOld, isOld
 }
 
-// stays reports whether a session stays on the old version though its hash falls
+// staysOnOld reports whether a session staysOnOld on the old version though its hash falls
 // to the new one: it is early, and the session has not paused.
-func (v *View) stays(r canary.Rollout, hash uint64, now time.Time) bool {
+func (v *View) staysOnOld(r canary.Rollout, hash uint64, now time.Time) bool {
 	return canary.KeepsActiveSessions(now.Sub(r.Since), r.Order.Within) && v.sessions.active(hash, now)
 }
 
@@ -157,5 +159,5 @@
 // for it would have arrived.
 func (v *View) settled(service, version string, now time.Time) bool {
 	seen, ok := v.firstSeen[versionName(service, version)]
-	return ok && now.Sub(seen) >= newcomerWait
+	return ok && now.Sub(seen) >= unorderedVersionDelay
 }
