--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -76,7 +76,7 @@
 
 	log         log.Logger
 	logWriter   *logwriter.Writer
-	keeper      *storesync.Keeper
+	keeper      *storesync.Syncer
 	leaseholder *duties.Leaseholder
 	peers       *peer.Transport
 	channels    *channel.Pool
--- a/daemon/storesync/calls_test.go
+++ b/daemon/storesync/calls_test.go
@@ -16,8 +16,8 @@
 )
 
 // hallOf starts n daemons of one hall at once.
-func (s *system) hallOf(n int) map[string]*storesync.Keeper {
-	out := map[string]*storesync.Keeper{}
+func (s *system) hallOf(n int) map[string]*storesync.Syncer {
+	out := map[string]*storesync.Syncer{}
 	for i := range n {
 		id := fmt.Sprintf("d%02d", i)
 		out[id] = s.daemon(id)
@@ -26,7 +26,7 @@
 }
 
 // calls adds up the calls to the store.
-func calls(keepers map[string]*storesync.Keeper) int64 {
+func calls(keepers map[string]*storesync.Syncer) int64 {
 	n := int64(0)
 	for _, k := range keepers {
 		n += k.Calls.Load()
@@ -36,7 +36,7 @@
 
 // firstReader is the daemon that reads for the others: all have the same capacity, so
 // it is the first by the hash of its id.
-func firstReader(all map[string]*storesync.Keeper) string {
+func firstReader(all map[string]*storesync.Syncer) string {
 	return slices.MinFunc(slices.Collect(maps.Keys(all)), byTurn)
 }
 
@@ -64,7 +64,7 @@
 }
 
 // firstStart is a hall of n daemons that start at once, for the first time.
-func firstStart(t *testing.T, n int) (*system, map[string]*storesync.Keeper) {
+func firstStart(t *testing.T, n int) (*system, map[string]*storesync.Syncer) {
 	t.Helper()
 	s := newSystem(t)
 	s.firstStart = true
@@ -263,7 +263,7 @@
 }
 
 // drawWhoIsServed lets the store serve some daemons of a hall only, for a while.
-func (s *system) drawWhoIsServed(all map[string]*storesync.Keeper, random *rand.Rand) {
+func (s *system) drawWhoIsServed(all map[string]*storesync.Syncer, random *rand.Rand) {
 	s.t.Helper()
 	pass(2*time.Second + time.Duration(random.Int64N(int64(time.Second))))
 	ids := slices.Sorted(maps.Keys(all))
@@ -295,7 +295,7 @@
 }
 
 // watch lets time pass and reports daemons whose configuration is older than it may be.
-func (s *system) watch(all map[string]*storesync.Keeper, during time.Duration, served []string) {
+func (s *system) watch(all map[string]*storesync.Syncer, during time.Duration, served []string) {
 	s.t.Helper()
 	const (
 		step   = 100 * time.Millisecond
--- a/daemon/storesync/changes.go
+++ b/daemon/storesync/changes.go
@@ -17,7 +17,7 @@
 
 // applyServerChanges makes the list of servers anew, by what has changed if that is little and
 // stands by itself.
-func (k *Keeper) applyServerChanges(now time.Time) {
+func (k *Syncer) applyServerChanges(now time.Time) {
 	t := k.topics[gossip.Servers]
 	v := k.view.Load()
 	if !t.known || v.Servers == nil || len(k.lapsed) > 0 || k.hasSuperseded || len(t.dirty) > len(t.rows)/incrementalDivisor {
@@ -58,7 +58,7 @@
 
 // applyServerRow takes one row that has changed or is gone. It returns false if the address is
 // another server's too.
-func (k *Keeper) applyServerRow(key string, c *serverChanges, now time.Time) bool {
+func (k *Syncer) applyServerRow(key string, c *serverChanges, now time.Time) bool {
 	old := k.entries[key].server
 	next := k.currentEntry(key, now)
 	delete(c.corrupted, key)
@@ -87,14 +87,14 @@
 }
 
 // releaseAddress notes that a server has an address no more.
-func (k *Keeper) releaseAddress(addr string) {
+func (k *Syncer) releaseAddress(addr string) {
 	if k.atAddress[addr]--; k.atAddress[addr] <= 0 {
 		delete(k.atAddress, addr)
 	}
 }
 
 // currentEntry is what a key's row says now; without a row it is empty.
-func (k *Keeper) currentEntry(key string, now time.Time) serverEntry {
+func (k *Syncer) currentEntry(key string, now time.Time) serverEntry {
 	row, there := k.topics[gossip.Servers].rows[key]
 	if !there {
 		delete(k.entries, key)
@@ -109,7 +109,7 @@
 
 // dropServer forgets what is known of an incarnation that is not listed any more, but for
 // what it has said of itself.
-func (k *Keeper) dropServer(s *fleet.Server, now time.Time) {
+func (k *Syncer) dropServer(s *fleet.Server, now time.Time) {
 	if s == nil {
 		return
 	}
@@ -123,7 +123,7 @@
 }
 
 // recordAddresses notes the addresses of the servers of the whole list.
-func (k *Keeper) recordAddresses(servers []*fleet.Server) {
+func (k *Syncer) recordAddresses(servers []*fleet.Server) {
 	k.atAddress = make(map[string]int, len(servers))
 	for _, s := range servers {
 		k.atAddress[s.Addr]++
--- a/daemon/storesync/drive.go
+++ b/daemon/storesync/drive.go
@@ -45,14 +45,14 @@
 )
 
 // Observe takes what an answer says of a version in roll-out.
-func (k *Keeper) Observe(f Fact) {
+func (k *Syncer) Observe(f Fact) {
 	if k.rollouts.open.Load() {
 		k.enqueue(observation{fact: f})
 	}
 }
 
 // driveRollouts takes the next step of each order that is open.
-func (k *Keeper) driveRollouts(ctx context.Context, now time.Time) {
+func (k *Syncer) driveRollouts(ctx context.Context, now time.Time) {
 	if !k.rollouts.open.Load() {
 		return
 	}
@@ -74,7 +74,7 @@
 
 // sendEvidence tells what was seen: to the daemon that reads for this one, or,
 // from one that reads, what its hall has seen to the readers of other halls.
-func (k *Keeper) sendEvidence(own map[string]int, now time.Time) {
+func (k *Syncer) sendEvidence(own map[string]int, now time.Time) {
 	k.rollouts.sentAt = now
 	if reader, ok := k.readers.reader(); ok && !k.reading.Load() {
 		k.Peers.Send(reader.ID, reader.Addr, k.rollouts.message(k.Self.Start, "", k.rollouts.own, own))
@@ -88,7 +88,7 @@
 
 // readersOfOtherHalls are the daemons that read for the other halls: the first two in the
 // order of each, since one of them may be gone.
-func (k *Keeper) readersOfOtherHalls() []Member {
+func (k *Syncer) readersOfOtherHalls() []Member {
 	halls := map[string][]Member{}
 	for _, m := range k.others() {
 		if m.Hall != k.Self.Hall {
@@ -104,10 +104,10 @@
 }
 
 // broadcast sends a message to the likely readers of other halls.
-func (k *Keeper) broadcast(m gossip.Response) { k.broadcastWith(Member{}, m) }
+func (k *Syncer) broadcast(m gossip.Response) { k.broadcastWith(Member{}, m) }
 
 // broadcastWith sends it to them and another daemon, unless that is this one or none.
-func (k *Keeper) broadcastWith(more Member, m gossip.Response) {
+func (k *Syncer) broadcastWith(more Member, m gossip.Response) {
 	to := map[string]string{}
 	for _, other := range append(k.readersOfOtherHalls(), more) {
 		to[other.ID] = other.Addr
@@ -121,7 +121,7 @@
 
 // oldInFlight counts this daemon's requests on versions that get no more, by
 // service.
-func (k *Keeper) oldInFlight(now time.Time) map[string]int {
+func (k *Syncer) oldInFlight(now time.Time) map[string]int {
 	out := map[string]int{}
 	v := k.view.Load()
 	if v.Servers == nil {
@@ -144,7 +144,7 @@
 // advanceRollout takes the next step of an order, if it is this daemon's turn. Whether what was
 // seen is enough to complete a version is for those to say whose turn it is: the others
 // know little more than what they have seen themselves.
-func (k *Keeper) advanceRollout(ctx context.Context, service string, r canary.Rollout, own map[string]int, now time.Time) {
+func (k *Syncer) advanceRollout(ctx context.Context, service string, r canary.Rollout, own map[string]int, now time.Time) {
 	version := r.Order.Version
 	if !r.Started {
 		p := canary.Progress{State: canary.Running, Version: version, SinceMS: k.storeSince(service, now), Order: r.Order.Number, InitialShare: k.initialShare(r.Order)}
@@ -175,7 +175,7 @@
 }
 
 // dueSince is since when a state of an order is to be written.
-func (k *Keeper) dueSince(service string, state canary.State, now time.Time) time.Time {
+func (k *Syncer) dueSince(service string, state canary.State, now time.Time) time.Time {
 	name := service + state.String()
 	if _, ok := k.rollouts.knownSince[name]; !ok {
 		k.rollouts.knownSince[name] = now
@@ -185,7 +185,7 @@
 
 // initialShare is the share of the sessions that a new version begins with, by how
 // many requests are expected in the order's time.
-func (k *Keeper) initialShare(o canary.Order) float64 {
+func (k *Syncer) initialShare(o canary.Order) float64 {
 	requests := 0.0
 	if k.Rate != nil {
 		requests = k.Rate(o.Service) * float64(max(1, k.view.Load().Daemons)) * o.Within.Seconds()
@@ -195,7 +195,7 @@
 
 // evaluate weighs what all daemons have seen of a version, and stops its use if it is
 // bad.
-func (k *Keeper) evaluate(seen canary.Evidence, r canary.Rollout, own map[string]int, now time.Time) canary.Verdict {
+func (k *Syncer) evaluate(seen canary.Evidence, r canary.Rollout, own map[string]int, now time.Time) canary.Verdict {
 	service, version := r.Order.Service, r.Order.Version
 	verdict := seen.Judge()
 	k.recordSuspicion(r, verdict, now)
@@ -216,7 +216,7 @@
 
 // trialSufficient reports whether a version has been trialSufficient for so long, or so often, that a doubt which
 // stands is enough to stop its use.
-func (k *Keeper) trialSufficient(r canary.Rollout, seen canary.Evidence, now time.Time) bool {
+func (k *Syncer) trialSufficient(r canary.Rollout, seen canary.Evidence, now time.Time) bool {
 	stands := k.rollouts.suspicions[r.Order.Service].age(now) >= minSuspicionAge
 	return stands && (r.TrialElapsed(now) || seen.SampleSufficient())
 }
@@ -226,7 +226,7 @@
 
 // recordSuspicion notes since when there is a doubt, and has a reader log what was seen so far: a
 // decision that comes late is traced by when there was enough for it.
-func (k *Keeper) recordSuspicion(r canary.Rollout, v canary.Verdict, now time.Time) {
+func (k *Syncer) recordSuspicion(r canary.Rollout, v canary.Verdict, now time.Time) {
 	service := r.Order.Service
 	s := k.rollouts.suspicions[service]
 	if v.Suspicion == "" {
@@ -257,7 +257,7 @@
 }
 
 // withdraw stops the use of a version here and tells the others.
-func (k *Keeper) withdraw(r canary.Rollout, why string, own map[string]int, now time.Time) {
+func (k *Syncer) withdraw(r canary.Rollout, why string, own map[string]int, now time.Time) {
 	service, version := r.Order.Service, r.Order.Version
 	if !k.rollouts.withdraw(service, version) {
 		return
@@ -269,12 +269,12 @@
 
 // enoughEvidence reports whether enough was seen of a version since this process knows
 // the order: with all daemons started anew nobody remembers what was before.
-func (k *Keeper) enoughEvidence(service string, seen canary.Evidence, now time.Time) bool {
+func (k *Syncer) enoughEvidence(service string, seen canary.Evidence, now time.Time) bool {
 	return seen.Answers() >= minAnswersToComplete || now.Sub(k.rollouts.knownSince[service]) >= maxWaitForAnswers
 }
 
 // storeSince is when the order was first seen, by the store's clock.
-func (k *Keeper) storeSince(service string, now time.Time) uint64 {
+func (k *Syncer) storeSince(service string, now time.Time) uint64 {
 	age := uint64(max(0, now.Sub(k.rollouts.byService[service].Since).Milliseconds()))
 	clock := k.rollouts.storeClock(now)
 	return clock - min(age, clock)
@@ -282,14 +282,14 @@
 
 // oldVersionIdle reports whether no daemon is known to have a request under way on
 // the old version.
-func (k *Keeper) oldVersionIdle(service string, own map[string]int) bool {
+func (k *Syncer) oldVersionIdle(service string, own map[string]int) bool {
 	n, ok := k.rollouts.allOldInFlight(own)[service]
 	return ok && n == 0
 }
 
 // writeInTurn writes a state when it is this daemon's turn: the others follow
 // one after the other, so that usually only one writes. The log tells what it rests on.
-func (k *Keeper) writeInTurn(ctx context.Context, service string, p canary.Progress, seen string, due, now time.Time) {
+func (k *Syncer) writeInTurn(ctx context.Context, service string, p canary.Progress, seen string, due, now time.Time) {
 	if began, busy := k.rollouts.writing[service]; busy && now.Sub(began) < 2*writeTimeout {
 		return
 	}
@@ -319,7 +319,7 @@
 
 // writeDelay is how long this daemon leaves the writing of a state to others: the
 // readers of the halls take turns, and other daemons come after them.
-func (k *Keeper) writeDelay(state canary.State) time.Duration {
+func (k *Syncer) writeDelay(state canary.State) time.Duration {
 	halls := []string{k.Self.Hall}
 	for _, m := range k.others() {
 		if !slices.Contains(halls, m.Hall) {
@@ -340,7 +340,7 @@
 
 // handleWriteDone notes the outcome of a write. Whatever it was, the topic tells what
 // stands: a lost answer may have been a success.
-func (k *Keeper) handleWriteDone(e writeDone) {
+func (k *Syncer) handleWriteDone(e writeDone) {
 	if e.err != nil {
 		k.Log.Warn().Str("service", e.service).Err(e.err).Msg("rollout: the state may not have been written")
 		return
--- a/daemon/storesync/era.go
+++ b/daemon/storesync/era.go
@@ -145,7 +145,7 @@
 }
 
 // checkEra notes that the store has returned from a copy, if a topic's new version shows it.
-func (k *Keeper) checkEra(topic gossip.Topic, version revision.Revision, now time.Time) {
+func (k *Syncer) checkEra(topic gossip.Topic, version revision.Revision, now time.Time) {
 	t := k.topics[topic]
 	if !t.known || version.Era <= t.version.Era {
 		return
@@ -163,7 +163,7 @@
 }
 
 // handleRestore does what is due while the store lacks what it had.
-func (k *Keeper) handleRestore(ctx context.Context, now time.Time) {
+func (k *Syncer) handleRestore(ctx context.Context, now time.Time) {
 	for topic, t := range k.topics {
 		t.dropOldContents(now)
 		if topic == gossip.Progress {
@@ -181,7 +181,7 @@
 }
 
 // restoreProgress has the states of roll-outs written again that the store has lost.
-func (k *Keeper) restoreProgress(ctx context.Context, now time.Time) {
+func (k *Syncer) restoreProgress(ctx context.Context, now time.Time) {
 	t := k.topics[gossip.Progress]
 	if !k.reading.Load() {
 		return
@@ -207,7 +207,7 @@
 
 // isLeaving reports whether a server leaves by an entry of it. What it has said holds in a
 // later era, too, in which an entry may be older than that.
-func (k *Keeper) isLeaving(s fleet.Server, row revision.Revision) bool {
+func (k *Syncer) isLeaving(s fleet.Server, row revision.Revision) bool {
 	i := s.Incarnation()
 	era, left := k.leaving[i]
 	switch {
--- a/daemon/storesync/era_test.go
+++ b/daemon/storesync/era_test.go
@@ -14,7 +14,7 @@
 )
 
 // leaving reports whether a daemon knows that a server takes nothing new.
-func leaving(k *storesync.Keeper, id string) bool {
+func leaving(k *storesync.Syncer, id string) bool {
 	for _, s := range k.View().Servers.Service("s") {
 		if s.ID == id {
 			return !s.Open(time.Now())
@@ -36,7 +36,7 @@
 }
 
 // numbers are the configurations in force.
-func numbers(daemons []*storesync.Keeper) []uint64 {
+func numbers(daemons []*storesync.Syncer) []uint64 {
 	var out []uint64
 	for _, k := range daemons {
 		out = append(out, k.View().Map.Number)
@@ -190,7 +190,7 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		s.rows.set(gossip.Servers, "a", "v1#100")
-		daemons := []*storesync.Keeper{s.daemon("d"), s.daemon("e")}
+		daemons := []*storesync.Syncer{s.daemon("d"), s.daemon("e")}
 		pass(4 * time.Second)
 		copied := s.rows.copied()
 		s.rows.set(gossip.Servers, "b", "v1#100")
--- a/daemon/storesync/evidence_test.go
+++ b/daemon/storesync/evidence_test.go
@@ -59,7 +59,7 @@
 		}
 		fail(reader, 2)
 		pass(2 * time.Second)
-		for i, k := range []*storesync.Keeper{a, b} {
+		for i, k := range []*storesync.Syncer{a, b} {
 			if k == reader {
 				s.stops[i]()
 			}
--- a/daemon/storesync/export_test.go
+++ b/daemon/storesync/export_test.go
@@ -8,7 +8,7 @@
 )
 
 // Table is the state of the servers' topic, for benchmarks.
-type Table struct{ keeper *Keeper }
+type Table struct{ keeper *Syncer }
 
 // NewTable returns a table with rows.
 func NewTable(d Decoder, rows []gossip.Row) *Table {
--- a/daemon/storesync/follow.go
+++ b/daemon/storesync/follow.go
@@ -50,7 +50,7 @@
 )
 
 // pollWait is how long the store holds a call about the configuration.
-func (k *Keeper) pollWait() time.Duration {
+func (k *Syncer) pollWait() time.Duration {
 	if k.InForceWithin <= 0 {
 		return defaultInForce / holdDivisor
 	}
@@ -103,7 +103,7 @@
 }
 
 // follow keeps a topic up to date while it is wanted.
-func (k *Keeper) follow(ctx context.Context, f *follower) {
+func (k *Syncer) follow(ctx context.Context, f *follower) {
 	var after revision.Revision
 	known := false
 	random := k.draws(string(f.topic))
@@ -158,7 +158,7 @@
 func needsFullRead(err error) bool { return isKind(err, HistoryLost) || isKind(err, EraChanged) }
 
 // backOff waits after a failed call and returns the next pause.
-func (k *Keeper) backOff(ctx context.Context, pause time.Duration, random *rand.Rand) time.Duration {
+func (k *Syncer) backOff(ctx context.Context, pause time.Duration, random *rand.Rand) time.Duration {
 	ceiling := maxBackoff
 	if k.passive.Load() {
 		pause, ceiling = max(pause, minPassiveBackoff), maxPassiveBackoff
@@ -168,7 +168,7 @@
 }
 
 // fetch reads all rows of a topic if none are known, and otherwise follows it.
-func (k *Keeper) fetch(ctx context.Context, f *follower, known bool, after revision.Revision, hold time.Duration) (Page, bool, error) {
+func (k *Syncer) fetch(ctx context.Context, f *follower, known bool, after revision.Revision, hold time.Duration) (Page, bool, error) {
 	k.Calls.Add(1)
 	if !known {
 		ctx, cancel := f.begin(ctx, callTimeout)
--- a/daemon/storesync/halls.go
+++ b/daemon/storesync/halls.go
@@ -17,7 +17,7 @@
 // repeat, a larger model's run or a stream that is taken up; what runs there goes on.
 
 // updateDrained takes which data halls are emptied now.
-func (k *Keeper) updateDrained(halls map[string]bool, now time.Time) {
+func (k *Syncer) updateDrained(halls map[string]bool, now time.Time) {
 	next := map[string]time.Time{}
 	for hall := range halls {
 		since, was := k.drained[hall]
@@ -47,7 +47,7 @@
 }
 
 // drainedHalls are the names of the halls that are emptied.
-func (k *Keeper) drainedHalls() map[string]bool {
+func (k *Syncer) drainedHalls() map[string]bool {
 	out := make(map[string]bool, len(k.drained))
 	for hall := range k.drained {
 		out[hall] = true
@@ -57,7 +57,7 @@
 
 // recordCold notes what a newer entry of a server says of its being cold. The entry may be
 // a moment old: the time counts from now, which is later than it is meant.
-func (k *Keeper) recordCold(s *fleet.Server, row revision.Revision, now time.Time) {
+func (k *Syncer) recordCold(s *fleet.Server, row revision.Revision, now time.Time) {
 	if !row.After(k.coldRows[s.Incarnation()]) {
 		return
 	}
@@ -72,7 +72,7 @@
 }
 
 // updateColdLimits says of each server until when it is cold and what this daemon may send to it.
-func (k *Keeper) updateColdLimits(now time.Time) {
+func (k *Syncer) updateColdLimits(now time.Time) {
 	v := k.view.Load()
 	maps.DeleteFunc(k.coldUntil, func(_ fleet.Incarnation, until time.Time) bool { return now.After(until) })
 	if v.Servers == nil || v.Map == nil || (len(k.coldUntil) == 0 && len(k.undrainedAt) == 0) {
@@ -104,7 +104,7 @@
 }
 
 // regionsOf are the regions of the data halls.
-func (k *Keeper) regionsOf() []string {
+func (k *Syncer) regionsOf() []string {
 	return slices.Sorted(maps.Values(k.Regions))
 }
 
--- a/daemon/storesync/halls_test.go
+++ b/daemon/storesync/halls_test.go
@@ -12,7 +12,7 @@
 )
 
 // usedHalls are the halls to which a daemon would send requests.
-func usedHalls(k *storesync.Keeper) map[string]bool {
+func usedHalls(k *storesync.Syncer) map[string]bool {
 	out := map[string]bool{}
 	for i := range uint64(50) {
 		if s, ok := k.View().Servers.Choose(fleet.Criteria{Service: "s", Affinity: i + 1}, time.Now()); ok {
@@ -23,7 +23,7 @@
 }
 
 // inTwoHalls is a system with servers in the halls "a" and "b" and daemons in "a".
-func inTwoHalls(t *testing.T, daemons int) (*system, []*storesync.Keeper) {
+func inTwoHalls(t *testing.T, daemons int) (*system, []*storesync.Syncer) {
 	t.Helper()
 	s := newSystem(t)
 	s.config(1, "k")
@@ -32,7 +32,7 @@
 			s.rows.set(gossip.Servers, fmt.Sprintf("%s%d", hall, i), "v1@"+hall)
 		}
 	}
-	var keepers []*storesync.Keeper
+	var keepers []*storesync.Syncer
 	for i := range daemons {
 		keepers = append(keepers, s.daemonIn(fmt.Sprintf("d%d", i), "a"))
 	}
@@ -120,7 +120,7 @@
 
 // shares adds up what all daemons may send to a cold server in a second, and counts
 // those that take it for cold.
-func shares(keepers []*storesync.Keeper, id string) (sum, cold int) {
+func shares(keepers []*storesync.Syncer, id string) (sum, cold int) {
 	for _, k := range keepers {
 		s := server(k, id)
 		if s == nil {
--- a/daemon/storesync/harness_test.go
+++ b/daemon/storesync/harness_test.go
@@ -339,7 +339,7 @@
 // mesh carries messages between the keepers of a test at once.
 type mesh struct {
 	mu      sync.Mutex
-	keepers map[string]*storesync.Keeper
+	keepers map[string]*storesync.Syncer
 	// sessions counts the sessions in all messages.
 	sessions int
 	// held are messages to a daemon that are kept back.
@@ -420,18 +420,18 @@
 func newSystem(t *testing.T) *system {
 	t.Helper()
 	return &system{t: t, rows: newRows(), links: map[string]*link{}, mesh: &mesh{
-		keepers: map[string]*storesync.Keeper{}, holding: map[string]bool{}, held: map[string][]func(){}, gone: map[string]bool{},
+		keepers: map[string]*storesync.Syncer{}, holding: map[string]bool{}, held: map[string][]func(){}, gone: map[string]bool{},
 	}}
 }
 
 // daemon starts one.
-func (s *system) daemon(id string) *storesync.Keeper {
+func (s *system) daemon(id string) *storesync.Syncer {
 	s.t.Helper()
 	return s.daemonIn(id, "h")
 }
 
 // daemonIn starts one in a hall.
-func (s *system) daemonIn(id, hall string) *storesync.Keeper {
+func (s *system) daemonIn(id, hall string) *storesync.Syncer {
 	s.t.Helper()
 	k := storesync.New()
 	l := &link{rows: s.rows}
@@ -483,7 +483,7 @@
 }
 
 // servers are the ids of the servers that a daemon uses.
-func servers(k *storesync.Keeper) []string {
+func servers(k *storesync.Syncer) []string {
 	out := []string{}
 	for _, s := range k.View().Servers.Service("s") {
 		out = append(out, s.ID)
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -47,9 +47,9 @@
 	Forget(id string)
 }
 
-// Keeper keeps what a daemon knows. Get one from New, set the exported fields,
+// Syncer keeps what a daemon knows. Get one from New, set the exported fields,
 // then Run.
-type Keeper struct {
+type Syncer struct {
 	Store   Store
 	Decoder Decoder
 	Peers   Sender
@@ -237,8 +237,8 @@
 func (writeDone) event()   {}
 
 // New returns a keeper that knows nothing.
-func New() *Keeper {
-	k := &Keeper{
+func New() *Syncer {
+	k := &Syncer{
 		events: make(chan event, eventBacklog), republish: make(chan struct{}, 1), leaving: map[fleet.Incarnation]uint64{},
 		topics: map[gossip.Topic]*topicState{}, loads: map[fleet.Incarnation]*fleet.ServerState{}, unlisted: map[fleet.Incarnation]unlisted{}, halls: map[string]*fleet.HallState{},
 		drained: map[string]time.Time{}, undrainedAt: map[string]time.Time{}, coldUntil: map[fleet.Incarnation]time.Time{}, coldRows: map[fleet.Incarnation]revision.Revision{}, lapsed: map[string]time.Time{},
@@ -265,19 +265,19 @@
 }
 
 // View returns what is known now.
-func (k *Keeper) View() *View { return k.view.Load() }
+func (k *Syncer) View() *View { return k.view.Load() }
 
 // Reads reports whether this daemon reads the store now.
-func (k *Keeper) Reads() bool { return k.reading.Load() }
+func (k *Syncer) Reads() bool { return k.reading.Load() }
 
 // Received takes a message of another daemon.
-func (k *Keeper) Received(from string, message any) {
+func (k *Syncer) Received(from string, message any) {
 	k.enqueue(peerMessage{from: from, message: message})
 }
 
 // enqueue hands an event to the keeper's goroutine; with a full inbox it is lost,
 // and what it said will be said again.
-func (k *Keeper) enqueue(e event) {
+func (k *Syncer) enqueue(e event) {
 	select {
 	case k.events <- e:
 	default:
@@ -285,9 +285,9 @@
 }
 
 // Run keeps the knowledge until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error { return k.run(ctx) }
+func (k *Syncer) Run(ctx context.Context) error { return k.run(ctx) }
 
-func (k *Keeper) loop(ctx context.Context) error {
+func (k *Syncer) loop(ctx context.Context) error {
 	if k.SessionPause > 0 {
 		k.sessions.pause = k.SessionPause
 	}
@@ -325,11 +325,11 @@
 }
 
 // draws returns the random numbers of one goroutine.
-func (k *Keeper) draws(name string) *rand.Rand {
+func (k *Syncer) draws(name string) *rand.Rand {
 	return rand.New(rand.NewPCG(k.Seed, xxhash.Sum64String(name)))
 }
 
-func (k *Keeper) handle(e event) {
+func (k *Syncer) handle(e event) {
 	k.detectSuspension(time.Now())
 	switch e := e.(type) {
 	case storeAnswer:
@@ -348,7 +348,7 @@
 }
 
 // deliver hands an answer over, whatever the inbox holds.
-func (k *Keeper) deliver(ctx context.Context, e event) {
+func (k *Syncer) deliver(ctx context.Context, e event) {
 	select {
 	case k.events <- e:
 	case <-ctx.Done():
@@ -356,7 +356,7 @@
 }
 
 // handleStoreAnswer takes an answer of the store.
-func (k *Keeper) handleStoreAnswer(e storeAnswer, now time.Time) {
+func (k *Syncer) handleStoreAnswer(e storeAnswer, now time.Time) {
 	// An answer is as old as its question, whatever the VM did meanwhile.
 	e.at = e.at.Add(e.suspendedTotal - k.StoodStill.Now())
 	t := k.topics[e.topic]
@@ -389,7 +389,7 @@
 }
 
 // handleStoreError notes a call to the store that came to nothing.
-func (k *Keeper) handleStoreError(e storeAnswer, t *topicState, now time.Time) {
+func (k *Syncer) handleStoreError(e storeAnswer, t *topicState, now time.Time) {
 	if isKind(e.err, EraChanged) {
 		k.Log.Info().Str("topic", string(e.topic)).Stringer("version", t.version).Err(e.err).Msg("knowledge: the store is in another era: all rows are read again")
 		return
@@ -410,7 +410,7 @@
 
 // interruptOthers ends the calls about all but the operator's topic, which alone
 // is tried until the store answers again.
-func (k *Keeper) interruptOthers(now time.Time) {
+func (k *Syncer) interruptOthers(now time.Time) {
 	k.storeUnavailable.Store(true)
 	for _, f := range k.followers {
 		if f.topic == gossip.Operator {
@@ -424,7 +424,7 @@
 }
 
 // applyTopicChange works out what changed rows mean.
-func (k *Keeper) applyTopicChange(topic gossip.Topic, gone []string, newer bool, now time.Time) {
+func (k *Syncer) applyTopicChange(topic gossip.Topic, gone []string, newer bool, now time.Time) {
 	if topic == gossip.Servers {
 		k.recordLapsed(gone, now)
 	}
@@ -448,7 +448,7 @@
 
 // recordLapsed notes servers whose entries are gone. While the store was away entries
 // recordLapsed of servers that live: they have a while from its return to come back.
-func (k *Keeper) recordLapsed(gone []string, now time.Time) {
+func (k *Syncer) recordLapsed(gone []string, now time.Time) {
 	t := k.topics[gossip.Servers]
 	until := t.recoveredAt.Add(relistTimeout)
 	if !t.unavailableSince.IsZero() {
@@ -462,7 +462,7 @@
 }
 
 // publishView publishes a view with the present state.
-func (k *Keeper) publishView() {
+func (k *Syncer) publishView() {
 	v := *k.view.Load()
 	v.ConfigAt = k.topics[gossip.Operator].confirmed
 	v.ServersAt = k.topics[gossip.Servers].confirmed
@@ -473,7 +473,7 @@
 }
 
 // tick does what is due.
-func (k *Keeper) tick(ctx context.Context, now time.Time) {
+func (k *Syncer) tick(ctx context.Context, now time.Time) {
 	k.detectSuspension(now)
 	for id, until := range k.lapsed {
 		if now.After(until) {
--- a/daemon/storesync/keeper_test.go
+++ b/daemon/storesync/keeper_test.go
@@ -213,7 +213,7 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		ids := []string{"a", "b", "c", "d", "e", "f"}
-		keepers := map[string]*storesync.Keeper{}
+		keepers := map[string]*storesync.Syncer{}
 		for _, id := range ids {
 			keepers[id] = s.daemon(id)
 		}
@@ -261,7 +261,7 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		ids := []string{"a", "b", "c", "d"}
-		keepers := map[string]*storesync.Keeper{}
+		keepers := map[string]*storesync.Syncer{}
 		for _, id := range ids {
 			keepers[id] = s.daemon(id)
 		}
@@ -288,7 +288,7 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		ids := []string{"a", "b", "c", "d"}
-		keepers := map[string]*storesync.Keeper{}
+		keepers := map[string]*storesync.Syncer{}
 		for _, id := range ids {
 			keepers[id] = s.daemon(id)
 		}
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -48,15 +48,15 @@
 func (limitObserved) event() {}
 
 // LimitHeard has the other daemons told what a server says of its limit.
-func (k *Keeper) LimitHeard(s *fleet.Server) { k.enqueue(limitObserved{server: s}) }
+func (k *Syncer) LimitHeard(s *fleet.Server) { k.enqueue(limitObserved{server: s}) }
 
-func (k *Keeper) handleLimitObserved(e limitObserved) {
+func (k *Syncer) handleLimitObserved(e limitObserved) {
 	k.limits.known[e.server.Incarnation()] = e.server
 	k.limits.changed = true
 }
 
 // sharers are the daemons that share limits: none while their list is not known.
-func (k *Keeper) sharers() quota.Daemons {
+func (k *Syncer) sharers() quota.Daemons {
 	out := quota.Daemons{Self: k.Self.ID, ByHall: map[string][]string{}}
 	members := *k.members.Load()
 	for _, m := range members {
@@ -69,7 +69,7 @@
 }
 
 // shareLimits divides the limits among the daemons that are listed now.
-func (k *Keeper) shareLimits(now time.Time) {
+func (k *Syncer) shareLimits(now time.Time) {
 	v := *k.view.Load()
 	v.Sharers = k.sharers()
 	k.view.Store(&v)
@@ -80,7 +80,7 @@
 
 // relistLimits takes the servers that are listed now: a limit stays with the start of a server
 // that named it.
-func (k *Keeper) relistLimits(servers []*fleet.Server, now time.Time) {
+func (k *Syncer) relistLimits(servers []*fleet.Server, now time.Time) {
 	maps.DeleteFunc(k.limits.known, func(i fleet.Incarnation, _ *fleet.Server) bool { return k.loads[i] == nil })
 	for _, s := range servers {
 		k.relistLimit(s, now)
@@ -88,7 +88,7 @@
 }
 
 // relistChangedLimits does so for a few servers that have changed.
-func (k *Keeper) relistChangedLimits(c serverChanges, now time.Time) {
+func (k *Syncer) relistChangedLimits(c serverChanges, now time.Time) {
 	for _, s := range c.removed {
 		if k.loads[s.Incarnation()] == nil {
 			delete(k.limits.known, s.Incarnation())
@@ -99,7 +99,7 @@
 	}
 }
 
-func (k *Keeper) relistLimit(s *fleet.Server, now time.Time) {
+func (k *Syncer) relistLimit(s *fleet.Server, now time.Time) {
 	if s.State.Notices.State().Limit.ReceivedAt.IsZero() {
 		return
 	}
@@ -138,7 +138,7 @@
 func ageMS(now, at time.Time) uint64 { return uint64(max(0, now.Sub(at).Milliseconds())) }
 
 // addLimits puts limits into a question.
-func (k *Keeper) addLimits(ask *gossip.Request, now time.Time) {
+func (k *Syncer) addLimits(ask *gossip.Request, now time.Time) {
 	ask.LimitSum = k.limits.sum()
 	if k.limits.readerDiffers || k.limits.changed && !k.reading.Load() {
 		ask.Limits = k.limits.list(now)
@@ -146,7 +146,7 @@
 }
 
 // handleRequestLimits takes the limits of a question, and returns those for the answer.
-func (k *Keeper) handleRequestLimits(from string, m gossip.Request, now time.Time) []gossip.Limit {
+func (k *Syncer) handleRequestLimits(from string, m gossip.Request, now time.Time) []gossip.Limit {
 	k.mergeLimits(from, m.Limits, now)
 	if k.limits.sum() == m.LimitSum {
 		return nil
@@ -155,7 +155,7 @@
 }
 
 // handleResponseLimits takes the limits that another daemon tells.
-func (k *Keeper) handleResponseLimits(from string, m gossip.Response, now time.Time) {
+func (k *Syncer) handleResponseLimits(from string, m gossip.Response, now time.Time) {
 	k.mergeLimits(from, m.Limits, now)
 	if m.Nonce == 0 {
 		return
@@ -167,7 +167,7 @@
 }
 
 // mergeLimits takes limits that another daemon has heard.
-func (k *Keeper) mergeLimits(from string, told []gossip.Limit, now time.Time) {
+func (k *Syncer) mergeLimits(from string, told []gossip.Limit, now time.Time) {
 	for _, l := range told {
 		e, ok := k.entries[l.ID]
 		if !ok || e.server == nil || e.server.Born != l.Born || math.IsNaN(l.Rate) || l.Rate < 0 {
@@ -193,7 +193,7 @@
 
 // sendLimits tells limits that have changed: a reader its hall and other halls. Others tell
 // their reader with the next question.
-func (k *Keeper) sendLimits(now time.Time) {
+func (k *Syncer) sendLimits(now time.Time) {
 	if !k.reading.Load() || len(k.limits.known) == 0 {
 		return
 	}
--- a/daemon/storesync/limits_test.go
+++ b/daemon/storesync/limits_test.go
@@ -10,7 +10,7 @@
 )
 
 // says has a request of a daemon hear what its one server says of its limit; 0 is none.
-func says(t *testing.T, k *storesync.Keeper, rate float64) {
+func says(t *testing.T, k *storesync.Syncer, rate float64) {
 	t.Helper()
 	s, now := only(t, k), time.Now()
 	was, is := s.State.Notices.ObserveLimit(notice.Limit{Rate: rate, Lifted: rate == 0}, now.Add(-10*time.Millisecond), now, "")
@@ -21,7 +21,7 @@
 }
 
 // limits are those that daemons keep for their one server.
-func limits(t *testing.T, daemons []*storesync.Keeper) map[float64]int {
+func limits(t *testing.T, daemons []*storesync.Syncer) map[float64]int {
 	t.Helper()
 	out := map[float64]int{}
 	for _, k := range daemons {
--- a/daemon/storesync/members.go
+++ b/daemon/storesync/members.go
@@ -31,7 +31,7 @@
 
 // publishMember writes this daemon's entry until the store has it, and again when the store may have
 // lost it.
-func (k *Keeper) publishMember(ctx context.Context) {
+func (k *Syncer) publishMember(ctx context.Context) {
 	data, err := cbor.Marshal(k.Self)
 	if err != nil {
 		k.Log.Error().Err(err).Msg("knowledge: this daemon's entry cannot be encoded")
@@ -51,7 +51,7 @@
 }
 
 // putMember writes this daemon's entry once.
-func (k *Keeper) putMember(ctx context.Context, data []byte) bool {
+func (k *Syncer) putMember(ctx context.Context, data []byte) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	k.Calls.Add(1)
@@ -63,7 +63,7 @@
 }
 
 // readMembers takes the list of daemons, and the requests in quarantine.
-func (k *Keeper) readMembers(now time.Time) {
+func (k *Syncer) readMembers(now time.Time) {
 	members := map[string]Member{}
 	for _, row := range k.topics[gossip.Members].rows {
 		if strings.HasPrefix(row.Key, quarantinePrefix) {
@@ -90,7 +90,7 @@
 }
 
 // daemons is how many daemons there are, this one included; 0 while their list is not known.
-func (k *Keeper) daemons() int {
+func (k *Syncer) daemons() int {
 	if !k.topics[gossip.Members].known {
 		return 0
 	}
@@ -102,7 +102,7 @@
 }
 
 // PublicKey returns the key that a daemon has published, or nil.
-func (k *Keeper) PublicKey(id string) ed25519.PublicKey {
+func (k *Syncer) PublicKey(id string) ed25519.PublicKey {
 	m, ok := (*k.members.Load())[id]
 	if !ok || len(m.Public) != ed25519.PublicKeySize {
 		return nil
@@ -111,7 +111,7 @@
 }
 
 // others returns the other daemons in a fixed order.
-func (k *Keeper) others() []Member {
+func (k *Syncer) others() []Member {
 	var out []Member
 	for id, m := range *k.members.Load() {
 		if id != k.Self.ID {
--- a/daemon/storesync/notices.go
+++ b/daemon/storesync/notices.go
@@ -26,7 +26,7 @@
 }
 
 // noticesOf returns what an incarnation of a server has said, be it before its entry went.
-func (k *Keeper) noticesOf(i fleet.Incarnation) *notice.Tracker {
+func (k *Syncer) noticesOf(i fleet.Incarnation) *notice.Tracker {
 	if was, ok := k.unlisted[i]; ok {
 		delete(k.unlisted, i)
 		return was.notices
@@ -35,7 +35,7 @@
 }
 
 // keepNotices keeps the notices of servers that were listed and are not any more.
-func (k *Keeper) keepNotices(listed map[fleet.Incarnation]*fleet.ServerState, now time.Time) {
+func (k *Syncer) keepNotices(listed map[fleet.Incarnation]*fleet.ServerState, now time.Time) {
 	maps.DeleteFunc(k.unlisted, func(_ fleet.Incarnation, u unlisted) bool { return now.Sub(u.since) > unlistedTTL })
 	for i, l := range k.loads {
 		if listed[i] == nil && l.Notices.Active(now) && len(k.unlisted) < maxUnlisted {
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -16,7 +16,7 @@
 
 // queryReader asks the daemon that reads for this one, and reads itself if there
 // is none.
-func (k *Keeper) queryReader(now time.Time) {
+func (k *Syncer) queryReader(now time.Time) {
 	fresh, still := k.readers.expire(now)
 	for _, id := range still {
 		// Its process may be a new one, which does not know the connection.
@@ -45,7 +45,7 @@
 }
 
 // updateReading begins or ends the reading of the store.
-func (k *Keeper) updateReading(now time.Time) {
+func (k *Syncer) updateReading(now time.Time) {
 	if !k.hasAllTopics() {
 		return
 	}
@@ -75,7 +75,7 @@
 // endFirstStart ends the time in which a daemon leaves the reading to another one: once
 // that one has answered, if nobody of its hall goes before it, or when it has taken too
 // long.
-func (k *Keeper) endFirstStart(now time.Time) {
+func (k *Syncer) endFirstStart(now time.Time) {
 	if !k.deferReading.Load() {
 		return
 	}
@@ -87,13 +87,13 @@
 
 // hasAllTopics reports whether the rows of the topics that every daemon needs have
 // been read once.
-func (k *Keeper) hasAllTopics() bool {
+func (k *Syncer) hasAllTopics() bool {
 	return k.topics[gossip.Operator].known && k.topics[gossip.Servers].known && k.topics[gossip.Members].known
 }
 
 // stopReading ends the calls to the store: whether it is away is now the
 // reader's to find out.
-func (k *Keeper) stopReading() {
+func (k *Syncer) stopReading() {
 	for _, f := range k.followers {
 		f.interrupt()
 	}
@@ -106,7 +106,7 @@
 }
 
 // newRequest makes a newRequest about topics.
-func (k *Keeper) newRequest(topics []gossip.Topic, now time.Time) gossip.Request {
+func (k *Syncer) newRequest(topics []gossip.Topic, now time.Time) gossip.Request {
 	k.nonce++
 	k.pendingRequests[k.nonce] = now
 	ask := gossip.Request{Nonce: k.nonce, Load: k.requestLoad(now)}
@@ -119,7 +119,7 @@
 }
 
 // handlePeerMessage takes a message of another daemon.
-func (k *Keeper) handlePeerMessage(e peerMessage, now time.Time) {
+func (k *Syncer) handlePeerMessage(e peerMessage, now time.Time) {
 	switch m := e.message.(type) {
 	case gossip.Request:
 		k.handleRequest(e.from, m, now)
@@ -131,7 +131,7 @@
 }
 
 // handleRequest tells another daemon what is known here.
-func (k *Keeper) handleRequest(to string, m gossip.Request, now time.Time) {
+func (k *Syncer) handleRequest(to string, m gossip.Request, now time.Time) {
 	member, ok := (*k.members.Load())[to]
 	if !ok {
 		return
@@ -196,7 +196,7 @@
 
 // sendUpdates tells the topics that have changed since the last news to the daemons
 // that ask here.
-func (k *Keeper) sendUpdates(now time.Time) {
+func (k *Syncer) sendUpdates(now time.Time) {
 	var tell gossip.Response
 	for _, topic := range gossipedTopics {
 		t := k.topics[topic]
@@ -211,7 +211,7 @@
 }
 
 // subscriberAddrs are the daemons that this one reads for, by id and address.
-func (k *Keeper) subscriberAddrs(now time.Time) map[string]string {
+func (k *Syncer) subscriberAddrs(now time.Time) map[string]string {
 	to := map[string]string{}
 	for id, at := range k.subscribers {
 		member, ok := (*k.members.Load())[id]
@@ -225,14 +225,14 @@
 }
 
 // sendWithdrawn tells which versions are bad to the daemons that ask here.
-func (k *Keeper) sendWithdrawn(now time.Time) {
+func (k *Syncer) sendWithdrawn(now time.Time) {
 	k.Peers.SendAll(k.subscriberAddrs(now), gossip.Response{Withdrawn: k.rollouts.withdrawnNames()})
 }
 
 // handleResponse takes what another daemon knows. Its age counts from when the question
 // was asked, so that an answer that was held up does not make it younger; news
 // that nobody has asked for confirms nothing.
-func (k *Keeper) handleResponse(from string, m gossip.Response, now time.Time) {
+func (k *Syncer) handleResponse(from string, m gossip.Response, now time.Time) {
 	defer k.publishView()
 	k.handleSessions(from, m.Sessions, now)
 	k.mergeCrashes(from, m.Crashes, now)
@@ -276,7 +276,7 @@
 }
 
 // applyUpdate takes what another daemon knows of a topic.
-func (k *Keeper) applyUpdate(from string, known gossip.Update, confirmed, now time.Time) {
+func (k *Syncer) applyUpdate(from string, known gossip.Update, confirmed, now time.Time) {
 	t := k.topics[known.Topic]
 	if returned := now.Add(-time.Duration(known.ReturnedMS) * time.Millisecond); known.ReturnedMS > 0 && returned.After(t.recoveredAt) {
 		t.recoveredAt = returned
--- a/daemon/storesync/quarantine.go
+++ b/daemon/storesync/quarantine.go
@@ -67,7 +67,7 @@
 
 // ServerEnded counts a server that has ended against what was under way there, and tells
 // the other daemons.
-func (k *Keeper) ServerEnded(server string, contents []quarantine.Fingerprint) {
+func (k *Syncer) ServerEnded(server string, contents []quarantine.Fingerprint) {
 	e := crashesObserved{crashes: k.registry.RecordServerExit(server, contents, time.Now())}
 	k.Ended.Add(1)
 	k.Log.Warn().Str("server", server).Int("requests", len(contents)).Int("counted", len(e.crashes)).Msg("quarantine: a server ended while requests were under way there")
@@ -77,10 +77,10 @@
 }
 
 // Answered notes a content that a server has answered whole.
-func (k *Keeper) Answered(content quarantine.Fingerprint) { k.registry.Answered(content, time.Now()) }
+func (k *Syncer) Answered(content quarantine.Fingerprint) { k.registry.Answered(content, time.Now()) }
 
 // handleCrashes takes servers that ended under requests of this daemon.
-func (k *Keeper) handleCrashes(e crashesObserved, now time.Time) {
+func (k *Syncer) handleCrashes(e crashesObserved, now time.Time) {
 	for _, c := range e.crashes {
 		k.queueCrash(crashReport{crash: c, otherHalls: true, left: crashSendCount})
 		k.trackQuarantine(c.Content, now, quarantineRow{due: now, own: true})
@@ -90,7 +90,7 @@
 
 // resendCrashes has the crashes told again that this daemon saw a moment ago, if somebody
 // else reads for it now.
-func (k *Keeper) resendCrashes(now time.Time) {
+func (k *Syncer) resendCrashes(now time.Time) {
 	k.ownCrashes = slices.DeleteFunc(k.ownCrashes, func(c quarantine.Crash) bool { return now.Sub(c.At) > crashResendWindow })
 	reader, _ := k.readers.reader()
 	if k.reading.Load() {
@@ -107,7 +107,7 @@
 
 // mergeCrashes takes servers that ended elsewhere. What is new here is told on by a reader:
 // to its hall, and to other halls if it comes from its own.
-func (k *Keeper) mergeCrashes(from string, crashes []gossip.Crash, now time.Time) {
+func (k *Syncer) mergeCrashes(from string, crashes []gossip.Crash, now time.Time) {
 	m, known := (*k.members.Load())[from]
 	for _, told := range crashes {
 		c := quarantine.Crash{Content: quarantine.Fingerprint(told.Content), Server: told.Server, At: now.Add(-time.Duration(told.AgeMS) * time.Millisecond)}
@@ -122,7 +122,7 @@
 }
 
 // queueCrash has a crash told, if that still fits.
-func (k *Keeper) queueCrash(n crashReport) {
+func (k *Syncer) queueCrash(n crashReport) {
 	if len(k.pendingCrashes) < crashBacklog {
 		k.pendingCrashes = append(k.pendingCrashes, n)
 	}
@@ -130,7 +130,7 @@
 
 // sendCrashes tells the crashes that wait: a reader its hall and other halls, another daemon
 // its reader.
-func (k *Keeper) sendCrashes(now time.Time) {
+func (k *Syncer) sendCrashes(now time.Time) {
 	k.resendCrashes(now)
 	if len(k.pendingCrashes) == 0 {
 		return
@@ -170,7 +170,7 @@
 
 // trackQuarantine logs a request that has come into quarantine, and has it written to the
 // store from a time on.
-func (k *Keeper) trackQuarantine(f quarantine.Fingerprint, now time.Time, c quarantineRow) {
+func (k *Syncer) trackQuarantine(f quarantine.Fingerprint, now time.Time, c quarantineRow) {
 	until, in := k.registry.Quarantined(f, now)
 	if !in {
 		return
@@ -184,7 +184,7 @@
 // writeQuarantines writes the rows of requests in quarantine that the store does not have.
 // Who has seen the crash does so at once, and readers in turn if it does not come: with the
 // store away hundreds of daemons would all try.
-func (k *Keeper) writeQuarantines(ctx context.Context, now time.Time) {
+func (k *Syncer) writeQuarantines(ctx context.Context, now time.Time) {
 	for f, c := range k.quarantineRows {
 		until, in := k.registry.Quarantined(f, now)
 		if !in {
@@ -208,7 +208,7 @@
 }
 
 // putQuarantine writes a row. It does not matter who does, nor what was there.
-func (k *Keeper) putQuarantine(ctx context.Context, key string, data []byte) {
+func (k *Syncer) putQuarantine(ctx context.Context, key string, data []byte) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	k.Calls.Add(1)
@@ -218,13 +218,13 @@
 }
 
 // quarantineActive reports whether the quarantine of a row is not over.
-func (k *Keeper) quarantineActive(row gossip.Row, now time.Time) bool {
+func (k *Syncer) quarantineActive(row gossip.Row, now time.Time) bool {
 	var c confinement
 	return cbor.Unmarshal(row.Data, &c) == nil && c.UntilMS > now.UnixMilli()
 }
 
 // readQuarantine takes the row of a request in quarantine.
-func (k *Keeper) readQuarantine(row gossip.Row, now time.Time) {
+func (k *Syncer) readQuarantine(row gossip.Row, now time.Time) {
 	f, err := strconv.ParseUint(strings.TrimPrefix(row.Key, quarantinePrefix), 16, 64)
 	var c confinement
 	if err == nil {
--- a/daemon/storesync/quarantine_test.go
+++ b/daemon/storesync/quarantine_test.go
@@ -12,7 +12,7 @@
 const deadly = quarantine.Fingerprint(77)
 
 // confined is how many daemons send the deadly request no more.
-func confined(daemons ...*storesync.Keeper) int {
+func confined(daemons ...*storesync.Syncer) int {
 	n := 0
 	for _, k := range daemons {
 		if _, in := k.View().Quarantined(deadly, time.Now()); in {
@@ -23,8 +23,8 @@
 }
 
 // halls starts three daemons in each of two halls.
-func halls(s *system, generation int) []*storesync.Keeper {
-	var out []*storesync.Keeper
+func halls(s *system, generation int) []*storesync.Syncer {
+	var out []*storesync.Syncer
 	for _, hall := range []string{"h1", "h2"} {
 		for n := range 3 {
 			out = append(out, s.daemonIn(fmt.Sprintf("%s-%d-%d", hall, n, generation), hall))
@@ -123,12 +123,12 @@
 	inBubble(t, func(t *testing.T) {
 		s := newSystem(t)
 		s.config(1, "k")
-		var daemons []*storesync.Keeper
+		var daemons []*storesync.Syncer
 		for n := range 5 {
 			daemons = append(daemons, s.daemonIn(fmt.Sprintf("d%d", n), "h1"))
 		}
 		pass(3 * time.Second)
-		var rest []*storesync.Keeper
+		var rest []*storesync.Syncer
 		for _, k := range daemons {
 			if k.Reads() {
 				s.mesh.lose(k.Self.ID)
--- a/daemon/storesync/read.go
+++ b/daemon/storesync/read.go
@@ -15,7 +15,7 @@
 func isKind(err error, kind Kind) bool { return fault.Is(err, kind) }
 
 // malformed logs a row that does not decode, once for each of its versions.
-func (k *Keeper) malformed(topic gossip.Topic, row gossip.Row, err error) {
+func (k *Syncer) malformed(topic gossip.Topic, row gossip.Row, err error) {
 	if k.malformedSums[row.Key] == row.Sum() {
 		return
 	}
@@ -25,7 +25,7 @@
 }
 
 // readOperator takes the configuration, the orders and the data halls to be emptied.
-func (k *Keeper) readOperator(now time.Time) {
+func (k *Syncer) readOperator(now time.Time) {
 	emptied := map[string]bool{}
 	defer func() { k.updateDrained(emptied, now) }()
 	for _, row := range k.topics[gossip.Operator].rows {
@@ -50,7 +50,7 @@
 }
 
 // applyConfig puts a configuration in force if it is newer.
-func (k *Keeper) applyConfig(m *routemap.Map, row revision.Revision, now time.Time) {
+func (k *Syncer) applyConfig(m *routemap.Map, row revision.Revision, now time.Time) {
 	v := *k.view.Load()
 	if v.Map != nil && m.Number <= v.Map.Number {
 		if m.Number < v.Map.Number {
@@ -68,7 +68,7 @@
 }
 
 // readServers makes the list of servers.
-func (k *Keeper) readServers(now time.Time) {
+func (k *Syncer) readServers(now time.Time) {
 	t := k.topics[gossip.Servers]
 	if !t.known {
 		return
@@ -117,7 +117,7 @@
 
 // decode reads a server's row, once for each of its contents: most of them have not changed
 // when one has, and there may be thousands.
-func (k *Keeper) decode(row gossip.Row, now time.Time) serverEntry {
+func (k *Syncer) decode(row gossip.Row, now time.Time) serverEntry {
 	e, ok := k.entries[row.Key]
 	if !ok || e.sum != row.Sum() {
 		e = k.decodeServer(row, now)
@@ -131,7 +131,7 @@
 	return e
 }
 
-func (k *Keeper) decodeServer(row gossip.Row, now time.Time) serverEntry {
+func (k *Syncer) decodeServer(row gossip.Row, now time.Time) serverEntry {
 	s, err := k.Decoder.Server(row)
 	if err == nil {
 		err = k.checkStart(s)
@@ -145,7 +145,7 @@
 }
 
 // dropStaleEntries forgets rows that are not there any more.
-func (k *Keeper) dropStaleEntries() {
+func (k *Syncer) dropStaleEntries() {
 	rows := k.topics[gossip.Servers].rows
 	if len(k.entries) > len(rows) {
 		maps.DeleteFunc(k.entries, func(key string, _ serverEntry) bool {
@@ -155,7 +155,7 @@
 	}
 }
 
-func (k *Keeper) withLoad(s fleet.Server) *fleet.Server {
+func (k *Syncer) withLoad(s fleet.Server) *fleet.Server {
 	i := s.Incarnation()
 	if k.loads[i] == nil {
 		k.loads[i] = fleet.NewServerState(k.hall(s.Hall))
@@ -166,7 +166,7 @@
 }
 
 // hall returns what all servers of a hall share.
-func (k *Keeper) hall(name string) *fleet.HallState {
+func (k *Syncer) hall(name string) *fleet.HallState {
 	if k.halls[name] == nil {
 		k.halls[name] = fleet.NewHallState()
 	}
@@ -174,7 +174,7 @@
 }
 
 // stillLapsed returns the servers whose entries lapsed while the store was away.
-func (k *Keeper) stillLapsed(was *fleet.List, now time.Time) []*fleet.Server {
+func (k *Syncer) stillLapsed(was *fleet.List, now time.Time) []*fleet.Server {
 	if was == nil {
 		return nil
 	}
@@ -187,7 +187,7 @@
 	return out
 }
 
-func (k *Keeper) replaceLoads(servers []*fleet.Server, now time.Time) {
+func (k *Syncer) replaceLoads(servers []*fleet.Server, now time.Time) {
 	kept := make(map[fleet.Incarnation]*fleet.ServerState, len(servers))
 	for _, s := range servers {
 		kept[s.Incarnation()] = s.State
@@ -200,7 +200,7 @@
 
 // recordVersions remembers when a version was first listed. Those of the first
 // list are settled: an order for them is known already.
-func (k *Keeper) recordVersions(servers []*fleet.Server, first bool, now time.Time) {
+func (k *Syncer) recordVersions(servers []*fleet.Server, first bool, now time.Time) {
 	seen := maps.Clone(k.firstSeen)
 	for _, s := range servers {
 		name := versionName(s.Service, s.Version)
@@ -216,7 +216,7 @@
 }
 
 // readProgress takes the states of roll-outs.
-func (k *Keeper) readProgress(now time.Time) {
+func (k *Syncer) readProgress(now time.Time) {
 	for _, row := range k.topics[gossip.Progress].rows {
 		service, p, err := k.Decoder.Progress(row)
 		if err != nil {
--- a/daemon/storesync/rollout_test.go
+++ b/daemon/storesync/rollout_test.go
@@ -15,12 +15,12 @@
 
 // rollout is a system of daemons with both versions of a service and an order
 // for the new one.
-func rollout(t *testing.T, daemons, seconds int) (*system, []*storesync.Keeper) {
+func rollout(t *testing.T, daemons, seconds int) (*system, []*storesync.Syncer) {
 	t.Helper()
 	s := newSystem(t)
 	s.config(1, "k")
 	s.rows.set(gossip.Servers, "old", "v1")
-	var keepers []*storesync.Keeper
+	var keepers []*storesync.Syncer
 	for i := range daemons {
 		keepers = append(keepers, s.daemon(fmt.Sprintf("d%d", i)))
 	}
@@ -39,13 +39,13 @@
 }
 
 // uses reports whether a session's first choice is a version.
-func uses(k *storesync.Keeper, hash uint64, version string) bool {
+func uses(k *storesync.Syncer, hash uint64, version string) bool {
 	first, _ := k.View().Versions("s", hash, time.Now())
 	return first.Allows(version)
 }
 
 // fail lets a daemon see that a number of answers of the new version fail.
-func fail(k *storesync.Keeper, answers int) {
+func fail(k *storesync.Syncer, answers int) {
 	for range answers {
 		k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", Failed: true})
 	}
@@ -161,7 +161,7 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		s.rows.set(gossip.Servers, "old", "v1")
-		var keepers []*storesync.Keeper
+		var keepers []*storesync.Syncer
 		for i := range 3 {
 			keepers = append(keepers, s.daemon(fmt.Sprintf("d%d", i)))
 		}
@@ -199,7 +199,7 @@
 		s := newSystem(t)
 		s.config(1, "k")
 		ids := []string{"a", "b", "c", "d"}
-		keepers := map[string]*storesync.Keeper{}
+		keepers := map[string]*storesync.Syncer{}
 		for i, id := range ids {
 			keepers[id] = s.daemonIn(id, []string{"h", "far"}[i%2])
 		}
@@ -234,7 +234,7 @@
 			s.mesh.mu.Unlock()
 			s.links[id].fail(errDown)
 		}
-		var after []*storesync.Keeper
+		var after []*storesync.Syncer
 		for i := range 3 {
 			after = append(after, s.daemon(fmt.Sprintf("e%d", i)))
 		}
@@ -294,7 +294,7 @@
 func TestGoodVersionIsNotTakenBackOnTheAnswersOfOneDaemon(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		s, keepers := rollout(t, 8, 20)
-		unlucky := slices.IndexFunc(keepers, func(k *storesync.Keeper) bool { return k.Calls.Load() <= 20 })
+		unlucky := slices.IndexFunc(keepers, func(k *storesync.Syncer) bool { return k.Calls.Load() <= 20 })
 		for i := range 400 {
 			k, usual := keepers[i%len(keepers)], usualTime(i)
 			k.Observe(storesync.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
@@ -370,7 +370,7 @@
 		s.mesh.mu.Unlock()
 		s.links[gone].fail(errDown)
 		pass(5 * time.Second)
-		var left []*storesync.Keeper
+		var left []*storesync.Syncer
 		for i, k := range keepers {
 			if fmt.Sprintf("d%d", i) != gone {
 				left = append(left, k)
@@ -427,7 +427,7 @@
 		s.rows.set(gossip.Servers, "newer", "v3")
 		s.rows.set(gossip.Operator, "order/s", `{"Version":"v3","Seconds":10}`)
 		pass(6 * time.Second)
-		all := map[string]*storesync.Keeper{}
+		all := map[string]*storesync.Syncer{}
 		for i, k := range keepers {
 			all[fmt.Sprint(i)] = k
 		}
--- a/daemon/storesync/sessions.go
+++ b/daemon/storesync/sessions.go
@@ -80,7 +80,7 @@
 const sessionsInterval = 500 * time.Millisecond
 
 // Ran notes which version serves a session.
-func (k *Keeper) Ran(service string, hash uint64, version string) {
+func (k *Syncer) Ran(service string, hash uint64, version string) {
 	if !canary.Eligible(hash) {
 		return
 	}
@@ -96,7 +96,7 @@
 
 // sendSessions tells of sessions: those of this hall to other halls and to the
 // daemons that this one reads for, those of other halls to the latter.
-func (k *Keeper) sendSessions(now time.Time) {
+func (k *Syncer) sendSessions(now time.Time) {
 	if !k.reading.Load() || now.Sub(k.sessionsSentAt) < sessionsInterval {
 		return
 	}
@@ -116,7 +116,7 @@
 // hallSubscribers are the daemons of this hall that this one reads for. Those of
 // other halls that ask here hear of sessions from their own readers; telling
 // them too would go round in circles.
-func (k *Keeper) hallSubscribers(now time.Time) map[string]string {
+func (k *Syncer) hallSubscribers(now time.Time) map[string]string {
 	to := k.subscriberAddrs(now)
 	for id := range to {
 		if (*k.members.Load())[id].Hall != k.Self.Hall {
@@ -128,7 +128,7 @@
 
 // handleRequestSessions takes the sessions that a daemon of this hall serves itself, as
 // it asks here: they are told on.
-func (k *Keeper) handleRequestSessions(hashes []uint64, now time.Time) {
+func (k *Syncer) handleRequestSessions(hashes []uint64, now time.Time) {
 	k.sessions.recordRemote(hashes, now)
 	if k.reading.Load() {
 		k.hallSessions = appendCapped(k.hallSessions, hashes)
@@ -138,7 +138,7 @@
 // handleSessions takes the sessions that another daemon tells of. Those of other
 // halls are told on within this one; what comes from within has been told to
 // all by its reader, and telling it on would go round in circles.
-func (k *Keeper) handleSessions(from string, hashes []uint64, now time.Time) {
+func (k *Syncer) handleSessions(from string, hashes []uint64, now time.Time) {
 	k.sessions.recordRemote(hashes, now)
 	m, ok := (*k.members.Load())[from]
 	if ok && m.Hall != k.Self.Hall && k.reading.Load() {
--- a/daemon/storesync/sources.go
+++ b/daemon/storesync/sources.go
@@ -11,7 +11,7 @@
 
 // queryPeers asks other daemons when what is known here grows old: first the one that
 // last knew something newer, and later any.
-func (k *Keeper) queryPeers(now time.Time) {
+func (k *Syncer) queryPeers(now time.Time) {
 	for nonce, at := range k.pendingRequests {
 		if now.Sub(at) > responseTimeout {
 			delete(k.pendingRequests, nonce)
@@ -45,7 +45,7 @@
 }
 
 // announceStoreFound tells the hall that the store answers this daemon.
-func (k *Keeper) announceStoreFound() {
+func (k *Syncer) announceStoreFound() {
 	to := map[string]string{}
 	for _, m := range k.others() {
 		if m.Hall == k.Self.Hall {
@@ -59,7 +59,7 @@
 }
 
 // handleStoreFound asks a daemon of the hall that the store has just answered.
-func (k *Keeper) handleStoreFound(from string, now time.Time) {
+func (k *Syncer) handleStoreFound(from string, now time.Time) {
 	m, ok := (*k.members.Load())[from]
 	if !ok {
 		return
@@ -72,7 +72,7 @@
 
 // updateSource remembers who told something new enough, one of the own hall rather than
 // another, and forgets who no longer does.
-func (k *Keeper) updateSource(from string, useful bool) {
+func (k *Syncer) updateSource(from string, useful bool) {
 	members := *k.members.Load()
 	switch {
 	case !useful && k.source == from:
@@ -84,6 +84,6 @@
 
 // storeUnreachable reports whether this daemon tries the store and has had no answer for so long
 // that its own knowledge is of no use to others.
-func (k *Keeper) storeUnreachable(now time.Time) bool {
+func (k *Syncer) storeUnreachable(now time.Time) bool {
 	return k.reading.Load() && now.Sub(k.storeAnsweredAt) > k.readers.maxUsableAge
 }
--- a/daemon/storesync/standstill.go
+++ b/daemon/storesync/standstill.go
@@ -13,7 +13,7 @@
 // detectSuspension notices that the VM has stood still since it last looked. All that was
 // confirmed is older by that, and questions that were asked before are void: what they
 // bring may be from then.
-func (k *Keeper) detectSuspension(now time.Time) {
+func (k *Syncer) detectSuspension(now time.Time) {
 	total := k.StoodStill.Now()
 	d := total - k.suspendedTotal
 	if d < suspend.Least {
--- a/daemon/storesync/starts.go
+++ b/daemon/storesync/starts.go
@@ -15,7 +15,7 @@
 
 // checkStart notes a server's start. An entry of an earlier one than is known already is
 // another writer's and names no server.
-func (k *Keeper) checkStart(s fleet.Server) error {
+func (k *Syncer) checkStart(s fleet.Server) error {
 	if s.Born == 0 {
 		return nil
 	}
@@ -41,7 +41,7 @@
 
 // reportRestarts tells of servers that have begun again under their id, by what they were: what
 // this daemon has under way there is lost.
-func (k *Keeper) reportRestarts(was *fleet.List, servers []*fleet.Server) {
+func (k *Syncer) reportRestarts(was *fleet.List, servers []*fleet.Server) {
 	if was == nil || k.BeganAgain == nil {
 		return
 	}
@@ -59,7 +59,7 @@
 }
 
 // reportRestart tells of one of them.
-func (k *Keeper) reportRestart(was, is *fleet.Server) {
+func (k *Syncer) reportRestart(was, is *fleet.Server) {
 	if k.BeganAgain == nil {
 		return
 	}
--- a/daemon/storesync/starts_test.go
+++ b/daemon/storesync/starts_test.go
@@ -12,7 +12,7 @@
 )
 
 // only is the one server that a daemon uses, or nil.
-func only(t *testing.T, k *storesync.Keeper) *fleet.Server {
+func only(t *testing.T, k *storesync.Syncer) *fleet.Server {
 	t.Helper()
 	of := k.View().Servers.Service("s")
 	if len(of) > 1 {
@@ -75,7 +75,7 @@
 			s := newSystem(t)
 			s.config(1, "k")
 			s.rows.set(gossip.Servers, "a", "v1#100")
-			var daemons []*storesync.Keeper
+			var daemons []*storesync.Syncer
 			for n := range 5 {
 				daemons = append(daemons, s.daemonIn(fmt.Sprintf("d%d", n), fmt.Sprintf("h%d", n/2)))
 			}
@@ -115,7 +115,7 @@
 		load := reader.View().Servers.Service("s")[1].State
 		s.rows.set(gossip.Servers, "a", "!")
 		pass(2 * time.Second)
-		for _, k := range []*storesync.Keeper{reader, other} {
+		for _, k := range []*storesync.Syncer{reader, other} {
 			if got := servers(k); len(got) != 1 || got[0] != "b" || k.Spoiled.Load() != 1 || k.View().Spoiled["a"] == "" {
 				t.Errorf("%s uses %v, counted are %d", k.Self.ID, got, k.Spoiled.Load())
 			}
--- a/daemon/storesync/usage.go
+++ b/daemon/storesync/usage.go
@@ -27,7 +27,7 @@
 
 // unacknowledgedUsage is what the hall's reader is to be told of this daemon's usage. A reader that has
 // begun anew knows nothing, and is told all.
-func (k *Keeper) unacknowledgedUsage(reader Member, nonce uint64, now time.Time) []usage.Record {
+func (k *Syncer) unacknowledgedUsage(reader Member, nonce uint64, now time.Time) []usage.Record {
 	if k.Usage == nil {
 		return nil
 	}
@@ -35,14 +35,14 @@
 }
 
 // mergeUsage takes what another daemon tells of usage.
-func (k *Keeper) mergeUsage(records []usage.Record) {
+func (k *Syncer) mergeUsage(records []usage.Record) {
 	if k.Usage != nil {
 		k.Usage.Merge(records)
 	}
 }
 
 // sendUsage has a reader tell the other ones, and the daemon that reports, what it knows.
-func (k *Keeper) sendUsage(now time.Time) {
+func (k *Syncer) sendUsage(now time.Time) {
 	if k.Usage == nil || !k.reading.Load() || now.Sub(k.usageSentAt) < usageInterval {
 		return
 	}
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -13,7 +13,7 @@
 // reader and its answers, and from reader to reader between halls.
 
 // loadTracker returns the board for the present list of servers.
-func (k *Keeper) loadTracker() *serverload.Tracker {
+func (k *Syncer) loadTracker() *serverload.Tracker {
 	if t := k.topics[gossip.Servers]; k.serverLoad.Checksum() != t.sum {
 		k.serverLoad.SetServers(t.sum, slices.Sorted(maps.Keys(t.rows)))
 	}
@@ -21,7 +21,7 @@
 }
 
 // requestLoad is this daemon's work, for a question, or nothing if it was told a moment ago.
-func (k *Keeper) requestLoad(now time.Time) gossip.Load {
+func (k *Syncer) requestLoad(now time.Time) gossip.Load {
 	b := k.loadTracker()
 	if now.Sub(k.loadReportedAt) < b.ReportInterval() {
 		return gossip.Load{}
@@ -31,7 +31,7 @@
 }
 
 // ownLoad is this daemon's work at each server now.
-func (k *Keeper) ownLoad() map[string]float64 {
+func (k *Syncer) ownLoad() map[string]float64 {
 	work := make(map[string]float64, len(k.loads))
 	for i, l := range k.loads {
 		work[i.ID] = l.OwnLoad()
@@ -41,7 +41,7 @@
 
 // handleRequestLoad takes the work that a daemon tells with its question, and returns that of all
 // for the answer.
-func (k *Keeper) handleRequestLoad(from Member, m gossip.Load, now time.Time) gossip.Load {
+func (k *Syncer) handleRequestLoad(from Member, m gossip.Load, now time.Time) gossip.Load {
 	if len(m.Packed) == 0 {
 		return gossip.Load{}
 	}
@@ -54,7 +54,7 @@
 
 // handleLoad takes what another daemon tells of work: that of all daemons with an answer,
 // and otherwise that of its hall.
-func (k *Keeper) handleLoad(from string, m gossip.Response, now time.Time) {
+func (k *Syncer) handleLoad(from string, m gossip.Response, now time.Time) {
 	member, ok := (*k.members.Load())[from]
 	if !ok || k.View().Servers == nil {
 		return
@@ -72,7 +72,7 @@
 
 // sendLoad has a reader tell other halls of this one's work, and take what it has been
 // told itself: it has nobody to ask.
-func (k *Keeper) sendLoad(now time.Time) {
+func (k *Syncer) sendLoad(now time.Time) {
 	if !k.reading.Load() || k.View().Servers == nil || now.Sub(k.loadBroadcastAt) < k.loadTracker().ReportInterval() {
 		return
 	}
--- a/daemon/storesync/work_test.go
+++ b/daemon/storesync/work_test.go
@@ -11,7 +11,7 @@
 )
 
 // server is one of a daemon's servers.
-func server(k *storesync.Keeper, id string) *fleet.Server {
+func server(k *storesync.Syncer, id string) *fleet.Server {
 	for _, s := range k.View().Servers.Service("s") {
 		if s.ID == id {
 			return s
@@ -21,7 +21,7 @@
 }
 
 // crowded is what a daemon has been told of others' work at a server.
-func crowded(k *storesync.Keeper, id string) float64 {
+func crowded(k *storesync.Syncer, id string) float64 {
 	return server(k, id).State.ExcessLoad(time.Now())
 }
 
@@ -35,7 +35,7 @@
 		for i := range 5 {
 			s.rows.set(gossip.Servers, fmt.Sprint("s", i), "v1@h")
 		}
-		keepers := map[string]*storesync.Keeper{}
+		keepers := map[string]*storesync.Syncer{}
 		for _, id := range []string{"a", "b", "c", "d"} {
 			keepers[id] = s.daemonIn(id, "h")
 		}
