--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -45,7 +45,7 @@
 	lossy bool
 }
 
-var errLost = &storesync.Error{Op: "call store", Kind: storesync.Away, Err: errors.New("no answer")}
+var errLost = &storesync.Error{Op: "call store", Kind: storesync.Unavailable, Err: errors.New("no answer")}
 
 func (w *way) set(cut, lossy bool) {
 	w.mu.Lock()
--- a/daemon/storesync/harness_test.go
+++ b/daemon/storesync/harness_test.go
@@ -167,7 +167,7 @@
 // swallow waits until the caller gives up.
 func swallow(ctx context.Context) error {
 	<-ctx.Done()
-	return &storesync.Error{Op: "call", Kind: storesync.Away, Err: ctx.Err()}
+	return &storesync.Error{Op: "call", Kind: storesync.Unavailable, Err: ctx.Err()}
 }
 
 func (l *link) state() (error, time.Duration, bool) { //nolint:revive,staticcheck // The error is a state here.
@@ -176,7 +176,7 @@
 	return l.down, l.hold, l.loseWrites
 }
 
-var errDown = &storesync.Error{Op: "call", Kind: storesync.Away, Err: errors.New("down")}
+var errDown = &storesync.Error{Op: "call", Kind: storesync.Unavailable, Err: errors.New("down")}
 
 func (l *link) Read(ctx context.Context, topic gossip.Topic) (storesync.Page, error) {
 	if l.isSilent() {
@@ -225,7 +225,7 @@
 			time.Sleep(hold)
 			return p, nil
 		case <-ctx.Done():
-			return storesync.Page{}, &storesync.Error{Op: "follow", Kind: storesync.Away, Err: ctx.Err()}
+			return storesync.Page{}, &storesync.Error{Op: "follow", Kind: storesync.Unavailable, Err: ctx.Err()}
 		}
 	}
 }
--- a/daemon/storesync/store.go
+++ b/daemon/storesync/store.go
@@ -17,9 +17,9 @@
 
 // The kinds of error.
 const (
-	// Away is a store that gave no answer, or none that counts: what was asked
+	// Unavailable is a store that gave no answer, or none that counts: what was asked
 	// may have been done.
-	Away Kind = "store away"
+	Unavailable Kind = "store away"
 	// Refused is a store that did nothing and says so.
 	Refused Kind = "store refused"
 	// HistoryLost is a store that no longer knows what has changed since.
