--- a/daemon/storesync/harness_test.go
+++ b/daemon/storesync/harness_test.go
@@ -282,7 +282,7 @@
 		return storesync.Order{Order: canary.Order{Service: service, Version: o.Version, Within: time.Duration(o.Seconds) * time.Second, Number: row.Version}}, err
 	}
 	if hall, ok := strings.CutPrefix(row.Key, "empty/"); ok {
-		return storesync.Emptied{Hall: hall}, nil
+		return storesync.DrainedHall{Hall: hall}, nil
 	}
 	var c configRow
 	if err := json.Unmarshal(row.Data, &c); err != nil {
--- a/daemon/storesync/read.go
+++ b/daemon/storesync/read.go
@@ -42,7 +42,7 @@
 				k.Log.Info().Str("service", d.Order.Service).Str("version", d.Order.Version).Dur("within", d.Order.Within).Stringer("row", row.Version).Msg("rollout: ordered")
 				k.readProgress(now)
 			}
-		case Emptied:
+		case DrainedHall:
 			emptied[d.Hall] = true
 		case Other:
 		}
--- a/daemon/storesync/store.go
+++ b/daemon/storesync/store.go
@@ -87,14 +87,14 @@
 // Order is an order to bring in a version.
 type Order struct{ Order canary.Order }
 
-// Emptied tells that the servers of a data hall are to get nothing more, for as long as
+// DrainedHall tells that the servers of a data hall are to get nothing more, for as long as
 // the row stands.
-type Emptied struct{ Hall string }
+type DrainedHall struct{ Hall string }
 
 // Other is a row that means nothing to a daemon.
 type Other struct{}
 
-func (Config) operator()  {}
-func (Order) operator()   {}
-func (Emptied) operator() {}
-func (Other) operator()   {}
+func (Config) operator()      {}
+func (Order) operator()       {}
+func (DrainedHall) operator() {}
+func (Other) operator()       {}
