--- a/daemon/gateway/dump.go
+++ b/daemon/gateway/dump.go
@@ -117,7 +117,7 @@
 		d.Config = v.Map.Number
 	}
 	d.Emptied = map[string]int64{}
-	for hall, since := range v.Emptied {
+	for hall, since := range v.Drained {
 		d.Emptied[hall] = now.Sub(since).Milliseconds()
 	}
 	d.Spoiled = v.Spoiled
@@ -132,7 +132,7 @@
 		return d
 	}
 	for _, s := range v.Servers.All() {
-		_, emptied := v.Emptied[s.Hall]
+		_, emptied := v.Drained[s.Hall]
 		out := ServerDump{
 			ID: s.ID, Born: s.Born, Service: s.Service, Hall: s.Hall, Version: s.Version, Leaving: s.Leaving,
 			InFlight: s.State.InFlight(), Slowness: s.State.Slowness(), Crowded: s.State.ExcessLoad(now), Resting: s.State.InBackoff(now), Emptied: emptied,
--- a/daemon/gateway/halls.go
+++ b/daemon/gateway/halls.go
@@ -16,7 +16,7 @@
 	}
 	now := time.Now()
 	halls := map[string]*control.HallServers{}
-	for hall, since := range v.Emptied {
+	for hall, since := range v.Drained {
 		halls[hall] = &control.HallServers{Emptied: true, EmptiedMS: now.Sub(since).Milliseconds()}
 	}
 	for _, s := range v.Servers.All() {
--- a/daemon/storesync/era_test.go
+++ b/daemon/storesync/era_test.go
@@ -112,7 +112,7 @@
 				if !leaving(k, "leaves") || !leaving(k, "gone") || leaving(k, "new") {
 					t.Errorf("%s: daemon %d: the leaving server %v, the one that is gone %v, the new one %v are out of use", when, i, leaving(k, "leaves"), leaving(k, "gone"), leaving(k, "new"))
 				}
-				if k.View().Emptied["h2"].IsZero() {
+				if k.View().Drained["h2"].IsZero() {
 					t.Errorf("%s: daemon %d uses a hall that is emptied", when, i)
 				}
 			}
@@ -133,7 +133,7 @@
 		s.rows.set(gossip.Operator, "empty/h2", "")
 		pass(2 * time.Second)
 		for i, k := range daemons {
-			if leaving(k, "leaves") || !k.View().Emptied["h2"].IsZero() {
+			if leaving(k, "leaves") || !k.View().Drained["h2"].IsZero() {
 				t.Errorf("daemon %d holds what is over", i)
 			}
 		}
--- a/daemon/storesync/halls.go
+++ b/daemon/storesync/halls.go
@@ -38,7 +38,7 @@
 	}
 	k.drained = next
 	v := *k.view.Load()
-	v.Emptied = next
+	v.Drained = next
 	if v.Servers != nil {
 		v.Servers = v.Servers.WithDrained(halls)
 	}
--- a/daemon/storesync/halls_test.go
+++ b/daemon/storesync/halls_test.go
@@ -58,7 +58,7 @@
 			if used := usedHalls(k); used["b"] || !used["a"] {
 				t.Errorf("daemon %d uses the halls %v", i, used)
 			}
-			if age := time.Since(k.View().Emptied["b"]); age > 2*time.Second {
+			if age := time.Since(k.View().Drained["b"]); age > 2*time.Second {
 				t.Errorf("daemon %d knows it for %v", i, age)
 			}
 		}
--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -27,9 +27,9 @@
 	Daemons int
 	// Sharers are the daemons that share the limits which servers name.
 	Sharers quota.Daemons
-	// Emptied are the data halls whose servers get nothing, by since when this daemon
+	// Drained are the data halls whose servers get nothing, by since when this daemon
 	// knows.
-	Emptied map[string]time.Time
+	Drained map[string]time.Time
 	// Regions are the regions of the data halls.
 	Regions map[string]string
 
