--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -24,7 +24,7 @@
 // Knowledge is what the engine needs to know.
 type Knowledge interface {
 	View() *storesync.View
-	Observe(f storesync.Fact)
+	Observe(f storesync.Observation)
 	// Ran notes which version serves a session.
 	Ran(service string, session uint64, version string)
 	// ServerEnded counts a server that has ended against what was under way there.
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -512,7 +512,7 @@
 			time.Sleep(first)
 			return paced(6, between)(c, a)
 		}))
-		ask := func() storesync.Fact {
+		ask := func() storesync.Observation {
 			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
 			return b.known.last()
 		}
@@ -564,7 +564,7 @@
 			time.Sleep(10*time.Millisecond + time.Duration(tokens)*5*time.Microsecond)
 			return paced(6, 5*time.Millisecond)(c, a)
 		}))
-		ask := func(tokens int) storesync.Fact {
+		ask := func(tokens int) storesync.Observation {
 			prompt := []prefixcache.Part{{ID: "shared", Tokens: 4000}, {ID: fmt.Sprint(tokens), Tokens: tokens}}
 			b.ask(t.Context(), proxy.Request{ID: fmt.Sprint(tokens), Path: "/slow/x", Key: "k", Wait: 9 * time.Second, Prompt: prompt})
 			return b.known.last()
@@ -590,7 +590,7 @@
 			time.Sleep(first)
 			return paced(6, time.Millisecond)(c, a)
 		}))
-		ask := func() storesync.Fact {
+		ask := func() storesync.Observation {
 			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: time.Second})
 			return b.known.last()
 		}
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -60,7 +60,7 @@
 type known struct {
 	mu    sync.Mutex
 	view  *storesync.View
-	facts []storesync.Fact
+	facts []storesync.Observation
 	// ledger has the crash counts of requests.
 	ledger *quarantine.Registry
 }
@@ -71,21 +71,21 @@
 	return k.view
 }
 
-func (k *known) Observe(f storesync.Fact) {
+func (k *known) Observe(f storesync.Observation) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.facts = append(k.facts, f)
 }
 
 // told are the facts so far.
-func (k *known) told() []storesync.Fact {
+func (k *known) told() []storesync.Observation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.facts)
 }
 
 // last is what was told of the last answer: a stream's two facts are put together.
-func (k *known) last() storesync.Fact {
+func (k *known) last() storesync.Observation {
 	all := k.told()
 	f := all[len(all)-1]
 	if f.Stage == storesync.Over {
--- a/daemon/proxy/observe.go
+++ b/daemon/proxy/observe.go
@@ -42,8 +42,8 @@
 }
 
 // fact says whose answer an attempt's is.
-func (j *job) fact(a *attempt) storesync.Fact {
-	return storesync.Fact{Service: j.service, Version: a.server.Version, Route: j.route.Name, Server: a.server.Incarnation().String()}
+func (j *job) fact(a *attempt) storesync.Observation {
+	return storesync.Observation{Service: j.service, Version: a.server.Version, Route: j.route.Name, Server: a.server.Incarnation().String()}
 }
 
 // like names what times of an attempt are compared with: those of the same model,
--- a/daemon/storesync/drive.go
+++ b/daemon/storesync/drive.go
@@ -45,7 +45,7 @@
 )
 
 // Observe takes what an answer says of a version in roll-out.
-func (k *Syncer) Observe(f Fact) {
+func (k *Syncer) Observe(f Observation) {
 	if k.rollouts.open.Load() {
 		k.enqueue(observation{fact: f})
 	}
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -223,7 +223,7 @@
 }
 
 // observation is an answer of a version that may be in roll-out.
-type observation struct{ fact Fact }
+type observation struct{ fact Observation }
 
 // writeDone is the outcome of writing the state of a roll-out.
 type writeDone struct {
--- a/daemon/storesync/rollout_test.go
+++ b/daemon/storesync/rollout_test.go
@@ -47,7 +47,7 @@
 // fail lets a daemon see that a number of answers of the new version fail.
 func fail(k *storesync.Syncer, answers int) {
 	for range answers {
-		k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", Failed: true})
+		k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", Failed: true})
 	}
 }
 
@@ -87,7 +87,7 @@
 		// No daemon alone sees enough.
 		for _, k := range keepers {
 			for i := range 8 {
-				k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", Failed: i%2 == 0})
+				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", Failed: i%2 == 0})
 			}
 		}
 		pass(time.Second)
@@ -265,9 +265,9 @@
 				s, keepers := rollout(t, 3, 20)
 				for i := range 180 {
 					k, usual := keepers[i%len(keepers)], usualTime(i)
-					k.Observe(storesync.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
+					k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", First: usual})
 					if i < 60 {
-						k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", First: c.factor * usual})
+						k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", First: c.factor * usual})
 					}
 				}
 				pass(10 * time.Second)
@@ -297,12 +297,12 @@
 		unlucky := slices.IndexFunc(keepers, func(k *storesync.Syncer) bool { return k.Calls.Load() <= 20 })
 		for i := range 400 {
 			k, usual := keepers[i%len(keepers)], usualTime(i)
-			k.Observe(storesync.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
+			k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", First: usual})
 			switch {
 			case i%len(keepers) != unlucky:
-				k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", First: usual})
+				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", First: usual})
 			case i < 5*len(keepers):
-				k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", First: 3})
+				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", First: 3})
 			}
 		}
 		pass(20 * time.Second)
@@ -319,8 +319,8 @@
 		s, keepers := rollout(t, 3, 20)
 		for i := range 480 {
 			k, usual := keepers[i%len(keepers)], usualTime(i)
-			k.Observe(storesync.Fact{Service: "s", Version: "v1", Route: "r", First: usual})
-			k.Observe(storesync.Fact{Service: "s", Version: "v2", Route: "r", First: 1.45 * usual, Server: fmt.Sprint(i / 160)})
+			k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", First: usual})
+			k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", First: 1.45 * usual, Server: fmt.Sprint(i / 160)})
 		}
 		pass(4 * time.Second)
 		if p := s.progress(); p.State != canary.RolledBack {
--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -11,8 +11,8 @@
 	"ladderridge.example/core/revision"
 )
 
-// Fact is what one answer says of the version that gave it.
-type Fact struct {
+// Observation is what one answer says of the version that gave it.
+type Observation struct {
 	Service string
 	Version string
 	Route   string
@@ -186,7 +186,7 @@
 func (r *rollouts) withdrawnCopy() map[string]bool { return maps.Clone(r.withdrawn) }
 
 // observe counts an answer.
-func (r *rollouts) observe(f Fact, now time.Time) {
+func (r *rollouts) observe(f Observation, now time.Time) {
 	o, ok := r.byService[f.Service]
 	if !ok || o.State != canary.Running {
 		return
@@ -199,7 +199,7 @@
 }
 
 // addedTo returns a count with what a fact tells.
-func (f Fact) addedTo(c canary.Count) canary.Count {
+func (f Observation) addedTo(c canary.Count) canary.Count {
 	if f.Stage == NotAwaited {
 		c.First = c.First.WithAtLeast(f.First)
 		return c
