--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -517,16 +517,16 @@
 			return b.known.last()
 		}
 		for range 20 {
-			if f := ask(); f.First > 2 || f.Between > 2 {
+			if f := ask(); f.FirstRatio > 2 || f.Between > 2 {
 				t.Fatalf("a usual answer counts as slow: %+v", f)
 			}
 		}
 		first = 150 * time.Millisecond
-		if f := ask(); f.First < 4 || f.Between > 2 {
+		if f := ask(); f.FirstRatio < 4 || f.Between > 2 {
 			t.Errorf("a late first event counts as %+v", f)
 		}
 		first, between = 10*time.Millisecond, 40*time.Millisecond
-		if f := ask(); f.First > 2 || f.Between < 4 {
+		if f := ask(); f.FirstRatio > 2 || f.Between < 4 {
 			t.Errorf("slow events count as %+v", f)
 		}
 	})
@@ -548,7 +548,7 @@
 			t.Errorf("told so far is %+v", told)
 		}
 		time.Sleep(6 * time.Second)
-		if told := b.known.told(); len(told) != 2 || told[1].Stage != storesync.Over || told[1].First != 0 {
+		if told := b.known.told(); len(told) != 2 || told[1].Stage != storesync.Over || told[1].FirstRatio != 0 {
 			t.Errorf("told is %+v", told)
 		}
 	})
@@ -572,10 +572,10 @@
 		for i := range 40 {
 			ask(1000 * (1 + i%8))
 		}
-		if f := ask(20000); f.First > 2 {
+		if f := ask(20000); f.FirstRatio > 2 {
 			t.Errorf("a long prompt counts as %+v", f)
 		}
-		if f := ask(100); f.First > 2 {
+		if f := ask(100); f.FirstRatio > 2 {
 			t.Errorf("a short one counts as %+v", f)
 		}
 	})
@@ -598,7 +598,7 @@
 			ask()
 		}
 		first = 3 * time.Second
-		if f := ask(); f.Stage != storesync.NotAwaited || f.First < 8 {
+		if f := ask(); f.Stage != storesync.NotAwaited || f.FirstRatio < 8 {
 			t.Errorf("it counts as %+v", f)
 		}
 		// The server ends as well.
@@ -616,7 +616,7 @@
 		b.known.set(routemap.New(parts(2, "k")), b.server("b", events(1, 2, false)))
 		b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
 		// The first part of the stream came, at once: that is all that is told of it.
-		if told := b.known.facts; len(told) != 1 || told[0].Stage != storesync.Begun || told[0].Failed || told[0].First > 2 {
+		if told := b.known.facts; len(told) != 1 || told[0].Stage != storesync.Begun || told[0].Failed || told[0].FirstRatio > 2 {
 			t.Errorf("they were told as %+v", told)
 		}
 		b.known.facts = nil
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -89,7 +89,7 @@
 	all := k.told()
 	f := all[len(all)-1]
 	if f.Stage == storesync.Over {
-		f.First = all[len(all)-2].First
+		f.FirstRatio = all[len(all)-2].FirstRatio
 	}
 	return f
 }
--- a/daemon/proxy/observe.go
+++ b/daemon/proxy/observe.go
@@ -13,7 +13,7 @@
 // runs there, and is not told.
 func (j *job) observe(a *attempt, failed bool) {
 	f := j.fact(a)
-	f.Failed, f.First = failed, a.first
+	f.Failed, f.FirstRatio = failed, a.first
 	j.engine.Knowledge.Observe(f)
 }
 
@@ -21,7 +21,7 @@
 // away, while other callers meet the same version.
 func (j *job) observeBegun(a *attempt) {
 	f := j.fact(a)
-	f.First, f.Stage = a.first, storesync.Begun
+	f.FirstRatio, f.Stage = a.first, storesync.Begun
 	j.engine.Knowledge.Observe(f)
 }
 
@@ -37,7 +37,7 @@
 func (j *job) observeEnded(a *attempt) {
 	least := j.engine.settled.of(j.like(a)).Relative(a.features(), time.Since(a.sent))
 	f := j.fact(a)
-	f.First, f.Stage = least, storesync.NotAwaited
+	f.FirstRatio, f.Stage = least, storesync.NotAwaited
 	j.engine.Knowledge.Observe(f)
 }
 
--- a/daemon/storesync/evidence_test.go
+++ b/daemon/storesync/evidence_test.go
@@ -84,8 +84,8 @@
 		see := func(n int, factor float64) {
 			for i := range n {
 				k, usual := keepers[i%len(keepers)], usualTime(i)
-				k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", First: usual})
-				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", First: factor * usual, Server: "new"})
+				k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
+				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: factor * usual, Server: "new"})
 			}
 		}
 		see(60, 1)
--- a/daemon/storesync/rollout_test.go
+++ b/daemon/storesync/rollout_test.go
@@ -265,9 +265,9 @@
 				s, keepers := rollout(t, 3, 20)
 				for i := range 180 {
 					k, usual := keepers[i%len(keepers)], usualTime(i)
-					k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", First: usual})
+					k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
 					if i < 60 {
-						k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", First: c.factor * usual})
+						k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: c.factor * usual})
 					}
 				}
 				pass(10 * time.Second)
@@ -297,12 +297,12 @@
 		unlucky := slices.IndexFunc(keepers, func(k *storesync.Syncer) bool { return k.Calls.Load() <= 20 })
 		for i := range 400 {
 			k, usual := keepers[i%len(keepers)], usualTime(i)
-			k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", First: usual})
+			k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
 			switch {
 			case i%len(keepers) != unlucky:
-				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", First: usual})
+				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: usual})
 			case i < 5*len(keepers):
-				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", First: 3})
+				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: 3})
 			}
 		}
 		pass(20 * time.Second)
@@ -319,8 +319,8 @@
 		s, keepers := rollout(t, 3, 20)
 		for i := range 480 {
 			k, usual := keepers[i%len(keepers)], usualTime(i)
-			k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", First: usual})
-			k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", First: 1.45 * usual, Server: fmt.Sprint(i / 160)})
+			k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
+			k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: 1.45 * usual, Server: fmt.Sprint(i / 160)})
 		}
 		pass(4 * time.Second)
 		if p := s.progress(); p.State != canary.RolledBack {
--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -19,11 +19,11 @@
 	// Server gave the answer.
 	Server string
 	Failed bool
-	// First is how long the first part of the answer took in terms of what the
+	// FirstRatio is how long the first part of the answer took in terms of what the
 	// settled version takes for the like, Between that for the events of a
 	// stream; 0 is not known.
-	First   float64
-	Between float64
+	FirstRatio float64
+	Between    float64
 	// Stage is what of the answer it tells.
 	Stage Stage
 }
@@ -201,7 +201,7 @@
 // addedTo returns a count with what a fact tells.
 func (f Observation) addedTo(c canary.Count) canary.Count {
 	if f.Stage == NotAwaited {
-		c.First = c.First.WithAtLeast(f.First)
+		c.First = c.First.WithAtLeast(f.FirstRatio)
 		return c
 	}
 	if f.Stage != Over {
@@ -210,7 +210,7 @@
 	if f.Failed {
 		c.Failed++
 	}
-	c.First, c.Between = c.First.With(f.First), c.Between.With(f.Between)
+	c.First, c.Between = c.First.With(f.FirstRatio), c.Between.With(f.Between)
 	return c
 }
 
