--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -517,16 +517,16 @@
 			return b.known.last()
 		}
 		for range 20 {
-			if f := ask(); f.FirstRatio > 2 || f.Between > 2 {
+			if f := ask(); f.FirstRatio > 2 || f.BetweenRatio > 2 {
 				t.Fatalf("a usual answer counts as slow: %+v", f)
 			}
 		}
 		first = 150 * time.Millisecond
-		if f := ask(); f.FirstRatio < 4 || f.Between > 2 {
+		if f := ask(); f.FirstRatio < 4 || f.BetweenRatio > 2 {
 			t.Errorf("a late first event counts as %+v", f)
 		}
 		first, between = 10*time.Millisecond, 40*time.Millisecond
-		if f := ask(); f.FirstRatio > 2 || f.Between < 4 {
+		if f := ask(); f.FirstRatio > 2 || f.BetweenRatio < 4 {
 			t.Errorf("slow events count as %+v", f)
 		}
 	})
--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -22,8 +22,8 @@
 	// FirstRatio is how long the first part of the answer took in terms of what the
 	// settled version takes for the like, Between that for the events of a
 	// stream; 0 is not known.
-	FirstRatio float64
-	Between    float64
+	FirstRatio   float64
+	BetweenRatio float64
 	// Stage is what of the answer it tells.
 	Stage Stage
 }
@@ -210,7 +210,7 @@
 	if f.Failed {
 		c.Failed++
 	}
-	c.First, c.Between = c.First.With(f.FirstRatio), c.Between.With(f.Between)
+	c.First, c.Between = c.First.With(f.FirstRatio), c.Between.With(f.BetweenRatio)
 	return c
 }
 
