--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -33,8 +33,8 @@
 
 // The stages of an answer.
 const (
-	// Whole is all of an answer.
-	Whole Stage = iota
+	// Complete is all of an answer.
+	Complete Stage = iota
 	// Begun is the first part of an answer that goes on: a stream's end may come many
 	// seconds later.
 	Begun
