--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -544,7 +544,7 @@
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", paced(4, time.Second)))
 		go b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
 		time.Sleep(500 * time.Millisecond)
-		if told := b.known.told(); len(told) != 1 || told[0].Stage != storesync.Begun {
+		if told := b.known.told(); len(told) != 1 || told[0].Stage != storesync.Started {
 			t.Errorf("told so far is %+v", told)
 		}
 		time.Sleep(6 * time.Second)
@@ -616,7 +616,7 @@
 		b.known.set(routemap.New(parts(2, "k")), b.server("b", events(1, 2, false)))
 		b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
 		// The first part of the stream came, at once: that is all that is told of it.
-		if told := b.known.facts; len(told) != 1 || told[0].Stage != storesync.Begun || told[0].Failed || told[0].FirstRatio > 2 {
+		if told := b.known.facts; len(told) != 1 || told[0].Stage != storesync.Started || told[0].Failed || told[0].FirstRatio > 2 {
 			t.Errorf("they were told as %+v", told)
 		}
 		b.known.facts = nil
--- a/daemon/proxy/observe.go
+++ b/daemon/proxy/observe.go
@@ -21,7 +21,7 @@
 // away, while other callers meet the same version.
 func (j *job) observeBegun(a *attempt) {
 	f := j.fact(a)
-	f.FirstRatio, f.Stage = a.first, storesync.Begun
+	f.FirstRatio, f.Stage = a.first, storesync.Started
 	j.engine.Knowledge.Observe(f)
 }
 
--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -35,9 +35,9 @@
 const (
 	// Complete is all of an answer.
 	Complete Stage = iota
-	// Begun is the first part of an answer that goes on: a stream's end may come many
+	// Started is the first part of an answer that goes on: a stream's end may come many
 	// seconds later.
-	Begun
+	Started
 	// Over is the rest of an answer that has been told as begun.
 	Over
 	// NotAwaited is an answer that was given up: First is the least that it would have
