--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -548,7 +548,7 @@
 			t.Errorf("told so far is %+v", told)
 		}
 		time.Sleep(6 * time.Second)
-		if told := b.known.told(); len(told) != 2 || told[1].Stage != storesync.Over || told[1].FirstRatio != 0 {
+		if told := b.known.told(); len(told) != 2 || told[1].Stage != storesync.Remainder || told[1].FirstRatio != 0 {
 			t.Errorf("told is %+v", told)
 		}
 	})
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -88,7 +88,7 @@
 func (k *known) last() storesync.Observation {
 	all := k.told()
 	f := all[len(all)-1]
-	if f.Stage == storesync.Over {
+	if f.Stage == storesync.Remainder {
 		f.FirstRatio = all[len(all)-2].FirstRatio
 	}
 	return f
--- a/daemon/proxy/observe.go
+++ b/daemon/proxy/observe.go
@@ -28,7 +28,7 @@
 // observeOver tells of the rest of a stream.
 func (j *job) observeOver(a *attempt, between float64) {
 	f := j.fact(a)
-	f.BetweenRatio, f.Stage = between, storesync.Over
+	f.BetweenRatio, f.Stage = between, storesync.Remainder
 	j.engine.Knowledge.Observe(f)
 }
 
--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -38,8 +38,8 @@
 	// Started is the first part of an answer that goes on: a stream's end may come many
 	// seconds later.
 	Started
-	// Over is the rest of an answer that has been told as begun.
-	Over
+	// Remainder is the rest of an answer that has been told as begun.
+	Remainder
 	// NotAwaited is an answer that was given up: First is the least that it would have
 	// taken.
 	NotAwaited
@@ -204,7 +204,7 @@
 		c.First = c.First.WithAtLeast(f.FirstRatio)
 		return c
 	}
-	if f.Stage != Over {
+	if f.Stage != Remainder {
 		c.Answers++
 	}
 	if f.Failed {
