--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -598,7 +598,7 @@
 			ask()
 		}
 		first = 3 * time.Second
-		if f := ask(); f.Stage != storesync.NotAwaited || f.FirstRatio < 8 {
+		if f := ask(); f.Stage != storesync.Abandoned || f.FirstRatio < 8 {
 			t.Errorf("it counts as %+v", f)
 		}
 		// The server ends as well.
--- a/daemon/proxy/observe.go
+++ b/daemon/proxy/observe.go
@@ -37,7 +37,7 @@
 func (j *job) observeEnded(a *attempt) {
 	least := j.engine.settled.of(j.like(a)).Relative(a.features(), time.Since(a.sent))
 	f := j.fact(a)
-	f.FirstRatio, f.Stage = least, storesync.NotAwaited
+	f.FirstRatio, f.Stage = least, storesync.Abandoned
 	j.engine.Knowledge.Observe(f)
 }
 
--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -40,9 +40,9 @@
 	Started
 	// Remainder is the rest of an answer that has been told as begun.
 	Remainder
-	// NotAwaited is an answer that was given up: First is the least that it would have
+	// Abandoned is an answer that was given up: First is the least that it would have
 	// taken.
-	NotAwaited
+	Abandoned
 )
 
 // rollouts are the orders that a daemon knows, and what is seen of them. All
@@ -200,7 +200,7 @@
 
 // addedTo returns a count with what a fact tells.
 func (f Observation) addedTo(c canary.Count) canary.Count {
-	if f.Stage == NotAwaited {
+	if f.Stage == Abandoned {
 		c.First = c.First.WithAtLeast(f.FirstRatio)
 		return c
 	}
