--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -110,8 +110,8 @@
 // servers may be listed a moment before the order arrives.
 const unorderedVersionDelay = 1500 * time.Millisecond
 
-// Use is what a session may use of a service.
-type Use struct {
+// VersionChoice is what a session may use of a service.
+type VersionChoice struct {
 	// Allows reports whether a version may be used.
 	Allows func(version string) bool
 	// Part is the part of its servers that is used; 0 is all.
@@ -126,13 +126,13 @@
 // one applies if no server of the first is there. A new version in roll-out is
 // used on a part of its servers that is like its part of the sessions: each
 // carries what it would after the roll-out, and what it has read is used again.
-func (v *View) Versions(service string, hash uint64, now time.Time) (first, second Use) {
+func (v *View) Versions(service string, hash uint64, now time.Time) (first, second VersionChoice) {
 	r, ordered := v.rollouts[service]
 	if !ordered {
-		return Use{Allows: func(version string) bool { return v.settled(service, version, now) }}, Use{Allows: func(string) bool { return true }}
+		return VersionChoice{Allows: func(version string) bool { return v.settled(service, version, now) }}, VersionChoice{Allows: func(string) bool { return true }}
 	}
-	isNew := Use{Allows: func(version string) bool { return version == r.Order.Version }}
-	isOld := Use{Allows: func(version string) bool { return version != r.Order.Version }}
+	isNew := VersionChoice{Allows: func(version string) bool { return version == r.Order.Version }}
+	isOld := VersionChoice{Allows: func(version string) bool { return version != r.Order.Version }}
 	switch {
 	case r.State == canary.Completed:
 		// What a daemon found at the last moment counts no more: the old version's
