--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -92,11 +92,11 @@
 		j.report.Rollout = r.Describe(j.request.session(), now)
 	}
 	first, second := j.view.Versions(j.service, j.request.session(), now)
-	want.Allowed, want.Fraction, want.Progress, want.Ejected = first.Allows, first.Fraction, first.Progress, first.Aside
+	want.Allowed, want.Fraction, want.Progress, want.Ejected = first.Allows, first.Fraction, first.Progress, first.Ejected
 	if s, ok := j.view.Servers.Choose(want, now); ok {
 		return s, true
 	}
-	want.Allowed, want.Fraction, want.Progress, want.Ejected = second.Allows, second.Fraction, second.Progress, second.Aside
+	want.Allowed, want.Fraction, want.Progress, want.Ejected = second.Allows, second.Fraction, second.Progress, second.Ejected
 	return j.view.Servers.Choose(want, now)
 }
 
--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -118,8 +118,8 @@
 	Fraction float64
 	// Progress is how far that use has come, from 0 to 1.
 	Progress float64
-	// Aside are servers that go last.
-	Aside []string
+	// Ejected are servers that go last.
+	Ejected []string
 }
 
 // Versions decides what a session may use of a service, by its hash. The second
@@ -141,7 +141,7 @@
 	case r.State == canary.RolledBack || v.withdrawn[versionName(service, r.Order.Version)]:
 		return isOld, isOld
 	case r.UsesNew(hash, now) && !v.staysOnOld(r, hash, now):
-		isNew.Fraction, isNew.Progress, isNew.Aside = r.Share(now), r.Phase(now), v.ejected[service]
+		isNew.Fraction, isNew.Progress, isNew.Ejected = r.Share(now), r.Phase(now), v.ejected[service]
 		return isNew, isOld
 	case r.Share(now) > 0:
 		return isOld, isNew
