--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -80,7 +80,7 @@
 		Hall: j.engine.Hall, KeepInHall: j.request.sharesLittle(), Exclude: avoid, TimedOutHalls: j.silent,
 	}
 	if j.route.RestrictsRegions(j.holder) {
-		want.HallAllowed = func(hall string) bool { return j.view.InHome(j.route, j.holder, hall) }
+		want.HallAllowed = func(hall string) bool { return j.view.InRegions(j.route, j.holder, hall) }
 	}
 	if j.version != "" {
 		want.Allowed = func(v string) bool { return v == j.version }
--- a/daemon/storesync/halls.go
+++ b/daemon/storesync/halls.go
@@ -108,8 +108,8 @@
 	return slices.Sorted(maps.Values(k.Regions))
 }
 
-// InHome reports whether a server in a data hall may run a request of the route for an
+// InRegions reports whether a server in a data hall may run a request of the route for an
 // organisation, which may be nil.
-func (v *View) InHome(r *routemap.Route, o *routemap.Organisation, hall string) bool {
+func (v *View) InRegions(r *routemap.Route, o *routemap.Organisation, hall string) bool {
 	return r.InRegions(o, v.Regions[hall])
 }
