--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -263,7 +263,7 @@
 		}
 		at := in.Places[place]
 		switch {
-		case !v.Stays(s.Name, server.Version):
+		case !v.Stable(s.Name, server.Version):
 			at.Coming++
 		case now.Before(server.State.ColdLimit().Until):
 			at.Serving++
--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -96,9 +96,9 @@
 	return ok && r.State != canary.Completed && version == r.Order.Version
 }
 
-// Stays reports whether servers of a version are those that a service has apart from a
+// Stable reports whether servers of a version are those that a service has apart from a
 // roll-out, which the platform doubles for a while.
-func (v *View) Stays(service, version string) bool {
+func (v *View) Stable(service, version string) bool {
 	r, ok := v.rollouts[service]
 	return !ok || (r.State == canary.Completed) == (version == r.Order.Version)
 }
