--- a/daemon/gateway/dump.go
+++ b/daemon/gateway/dump.go
@@ -120,7 +120,7 @@
 	for hall, since := range v.Drained {
 		d.Emptied[hall] = now.Sub(since).Milliseconds()
 	}
-	d.Spoiled = v.Spoiled
+	d.Spoiled = v.Corrupted
 	for _, c := range v.Quarantine.Entries(now) {
 		d.Quarantine = append(d.Quarantine, CaseDump{Content: c.Content.String(), Crashes: c.Crashes, LeftMS: c.Until.Sub(now).Milliseconds()})
 	}
--- a/daemon/storesync/changes.go
+++ b/daemon/storesync/changes.go
@@ -24,7 +24,7 @@
 		k.readServers(now)
 		return
 	}
-	c := serverChanges{corrupted: maps.Clone(v.Spoiled)}
+	c := serverChanges{corrupted: maps.Clone(v.Corrupted)}
 	for key := range t.takeDirty() {
 		if !k.applyServerRow(key, &c, now) {
 			// Two servers have one address: which of them is gone shows among all of them.
@@ -35,7 +35,7 @@
 	maps.DeleteFunc(k.unlisted, func(_ fleet.Incarnation, u unlisted) bool { return now.Sub(u.since) > unlistedTTL })
 	k.recordVersions(c.added, false, now)
 	next := *v
-	next.Spoiled = c.corrupted
+	next.Corrupted = c.corrupted
 	next.Servers = v.Servers.With(c.removed, c.added).WithDrained(k.drainedHalls())
 	k.relistChangedLimits(c, now)
 	k.view.Store(&next)
--- a/daemon/storesync/read.go
+++ b/daemon/storesync/read.go
@@ -77,12 +77,12 @@
 	v := *k.view.Load()
 	first := v.Servers == nil
 	var servers []*fleet.Server
-	v.Spoiled = map[string]string{}
+	v.Corrupted = map[string]string{}
 	for _, row := range t.rows {
 		e := k.decode(row, now)
 		if e.err != nil {
 			k.malformed(gossip.Servers, row, e.err)
-			v.Spoiled[row.Key] = e.err.Error()
+			v.Corrupted[row.Key] = e.err.Error()
 			continue
 		}
 		servers = append(servers, e.server)
--- a/daemon/storesync/starts_test.go
+++ b/daemon/storesync/starts_test.go
@@ -116,7 +116,7 @@
 		s.rows.set(gossip.Servers, "a", "!")
 		pass(2 * time.Second)
 		for _, k := range []*storesync.Syncer{reader, other} {
-			if got := servers(k); len(got) != 1 || got[0] != "b" || k.Spoiled.Load() != 1 || k.View().Spoiled["a"] == "" {
+			if got := servers(k); len(got) != 1 || got[0] != "b" || k.Spoiled.Load() != 1 || k.View().Corrupted["a"] == "" {
 				t.Errorf("%s uses %v, counted are %d", k.Self.ID, got, k.Spoiled.Load())
 			}
 		}
@@ -125,7 +125,7 @@
 		}
 		s.rows.set(gossip.Servers, "a", "v1")
 		pass(2 * time.Second)
-		if got := servers(other); len(got) != 2 || len(other.View().Spoiled) > 0 {
+		if got := servers(other); len(got) != 2 || len(other.View().Corrupted) > 0 {
 			t.Errorf("good again: %v", got)
 		}
 	})
--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -33,8 +33,8 @@
 	// Regions are the regions of the data halls.
 	Regions map[string]string
 
-	// Spoiled are the entries that name no server, by their keys, and why.
-	Spoiled map[string]string
+	// Corrupted are the entries that name no server, by their keys, and why.
+	Corrupted map[string]string
 	// Quarantine has the crash counts of requests; nil holds nothing against any.
 	Quarantine *quarantine.Registry
 
