--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -467,7 +467,7 @@
 	v.ConfigAt = k.topics[gossip.Operator].confirmed
 	v.ServersAt = k.topics[gossip.Servers].confirmed
 	v.Daemons = k.daemons()
-	v.Stood, v.WokeAt = k.suspendedTotal, k.resumedAt
+	v.Stood, v.ResumedAt = k.suspendedTotal, k.resumedAt
 	v.rollouts, v.withdrawn, v.ejected, v.firstSeen = k.rollouts.snapshot(), k.rollouts.withdrawnCopy(), maps.Clone(k.rollouts.ejected), k.firstSeen
 	k.view.Store(&v)
 }
--- a/daemon/storesync/standstill.go
+++ b/daemon/storesync/standstill.go
@@ -57,5 +57,5 @@
 // Confirmed reports whether the configuration was confirmed since the VM last stood still:
 // until then what is known may be from long ago.
 func (v *View) Confirmed() bool {
-	return v.suspendedSinceView() == 0 && (v.WokeAt.IsZero() || v.ConfigAt.After(v.WokeAt))
+	return v.suspendedSinceView() == 0 && (v.ResumedAt.IsZero() || v.ConfigAt.After(v.ResumedAt))
 }
--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -42,7 +42,7 @@
 	// was made, WokeAt when it last began to run again.
 	StoodStill suspend.Clock
 	Stood      time.Duration
-	WokeAt     time.Time
+	ResumedAt  time.Time
 
 	rollouts  map[string]canary.Rollout
 	withdrawn map[string]bool
