--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -920,7 +920,7 @@
 		p := parts(1, "k")
 		p.Routes[0].Anonymous = true
 		b.known.set(routemap.New(p), b.server("a", whole(200, "x")))
-		b.known.view.StoodStill = func() time.Duration { return time.Duration(stood.Load()) }
+		b.known.view.SuspendClock = func() time.Duration { return time.Duration(stood.Load()) }
 		stood.Store(int64(3 * time.Second))
 		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x"})
 		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.Stale || out.RetryAfter <= 0 || len(b.seen()) > 0 {
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -296,7 +296,7 @@
 	}
 	k.suspendedTotal = k.StoodStill.Now()
 	v := *k.view.Load()
-	v.Regions, v.StoodStill, v.Stood = k.Regions, k.StoodStill, k.suspendedTotal
+	v.Regions, v.SuspendClock, v.Stood = k.Regions, k.StoodStill, k.suspendedTotal
 	k.view.Store(&v)
 	k.random = k.draws("keeper")
 	k.nonce = k.random.Uint64()
--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -38,11 +38,11 @@
 	// Quarantine has the crash counts of requests; nil holds nothing against any.
 	Quarantine *quarantine.Registry
 
-	// StoodStill tells how long the VM has stood still, Stood how long it had when the view
+	// SuspendClock tells how long the VM has stood still, Stood how long it had when the view
 	// was made, WokeAt when it last began to run again.
-	StoodStill suspend.Clock
-	Stood      time.Duration
-	ResumedAt  time.Time
+	SuspendClock suspend.Clock
+	Stood        time.Duration
+	ResumedAt    time.Time
 
 	rollouts  map[string]canary.Rollout
 	withdrawn map[string]bool
