--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -296,7 +296,7 @@
 	}
 	k.suspendedTotal = k.StoodStill.Now()
 	v := *k.view.Load()
-	v.Regions, v.SuspendClock, v.Stood = k.Regions, k.StoodStill, k.suspendedTotal
+	v.Regions, v.SuspendClock, v.SuspendedTotal = k.Regions, k.StoodStill, k.suspendedTotal
 	k.view.Store(&v)
 	k.random = k.draws("keeper")
 	k.nonce = k.random.Uint64()
@@ -467,7 +467,7 @@
 	v.ConfigAt = k.topics[gossip.Operator].confirmed
 	v.ServersAt = k.topics[gossip.Servers].confirmed
 	v.Daemons = k.daemons()
-	v.Stood, v.ResumedAt = k.suspendedTotal, k.resumedAt
+	v.SuspendedTotal, v.ResumedAt = k.suspendedTotal, k.resumedAt
 	v.rollouts, v.withdrawn, v.ejected, v.firstSeen = k.rollouts.snapshot(), k.rollouts.withdrawnCopy(), maps.Clone(k.rollouts.ejected), k.firstSeen
 	k.view.Store(&v)
 }
--- a/daemon/storesync/standstill.go
+++ b/daemon/storesync/standstill.go
@@ -45,7 +45,7 @@
 
 // suspendedSinceView is how long the VM has stood still since the view was made.
 func (v *View) suspendedSinceView() time.Duration {
-	if d := v.SuspendClock.Now() - v.Stood; d >= suspend.Least {
+	if d := v.SuspendClock.Now() - v.SuspendedTotal; d >= suspend.Least {
 		return d
 	}
 	return 0
--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -40,9 +40,9 @@
 
 	// SuspendClock tells how long the VM has stood still, Stood how long it had when the view
 	// was made, WokeAt when it last began to run again.
-	SuspendClock suspend.Clock
-	Stood        time.Duration
-	ResumedAt    time.Time
+	SuspendClock   suspend.Clock
+	SuspendedTotal time.Duration
+	ResumedAt      time.Time
 
 	rollouts  map[string]canary.Rollout
 	withdrawn map[string]bool
