--- a/daemon/storesync/follow.go
+++ b/daemon/storesync/follow.go
@@ -126,7 +126,7 @@
 			clock.Wait(ctx, tickInterval/2)
 			continue
 		}
-		at, stood := time.Now(), k.StoodStill.Now()
+		at, stood := time.Now(), k.SuspendClock.Now()
 		page, whole, err := k.fetch(ctx, f, known, after, hold)
 		if ctx.Err() != nil {
 			return
--- a/daemon/storesync/harness_test.go
+++ b/daemon/storesync/harness_test.go
@@ -446,7 +446,7 @@
 	s.mesh.mu.Lock()
 	s.mesh.keepers[id] = k
 	s.mesh.mu.Unlock()
-	k.StoodStill = func() time.Duration { return time.Duration(l.stood.Load()) }
+	k.SuspendClock = func() time.Duration { return time.Duration(l.stood.Load()) }
 	s.links[id] = l
 	ctx, cancel := context.WithCancel(s.t.Context())
 	s.stops = append(s.stops, cancel)
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -65,8 +65,8 @@
 	Exposure canary.Exposure
 	// Regions are the regions of the data halls.
 	Regions map[string]string
-	// StoodStill tells how long the VM has stood still; nil is never.
-	StoodStill suspend.Clock
+	// SuspendClock tells how long the VM has stood still; nil is never.
+	SuspendClock suspend.Clock
 	// ColdOverage and ColdSlack are what a cold server bears beyond the rate that its
 	// service names: a factor, and some requests more.
 	ColdOverage float64
@@ -294,9 +294,9 @@
 	if k.Seed == 0 {
 		k.Seed = rand.Uint64()
 	}
-	k.suspendedTotal = k.StoodStill.Now()
+	k.suspendedTotal = k.SuspendClock.Now()
 	v := *k.view.Load()
-	v.Regions, v.SuspendClock, v.SuspendedTotal = k.Regions, k.StoodStill, k.suspendedTotal
+	v.Regions, v.SuspendClock, v.SuspendedTotal = k.Regions, k.SuspendClock, k.suspendedTotal
 	k.view.Store(&v)
 	k.random = k.draws("keeper")
 	k.nonce = k.random.Uint64()
@@ -358,7 +358,7 @@
 // handleStoreAnswer takes an answer of the store.
 func (k *Syncer) handleStoreAnswer(e storeAnswer, now time.Time) {
 	// An answer is as old as its question, whatever the VM did meanwhile.
-	e.at = e.at.Add(e.suspendedTotal - k.StoodStill.Now())
+	e.at = e.at.Add(e.suspendedTotal - k.SuspendClock.Now())
 	t := k.topics[e.topic]
 	if e.err != nil {
 		k.handleStoreError(e, t, now)
--- a/daemon/storesync/standstill.go
+++ b/daemon/storesync/standstill.go
@@ -14,7 +14,7 @@
 // confirmed is older by that, and questions that were asked before are void: what they
 // bring may be from then.
 func (k *Syncer) detectSuspension(now time.Time) {
-	total := k.StoodStill.Now()
+	total := k.SuspendClock.Now()
 	d := total - k.suspendedTotal
 	if d < suspend.Least {
 		return
