--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -140,7 +140,7 @@
 	g.engine.Hall, g.engine.Observer, g.engine.Noticed = s.Hall, g.reporter.report, g.reporter.noticed
 	g.engine.Limited, g.keeper.Limited = g.limited, g.reporter.limited
 	g.engine.Budget = &retry.Budget{Seed: g.Start}
-	g.keeper.BeganAgain = g.engine.BeganAgain
+	g.keeper.OnServerRestart = g.engine.BeganAgain
 	g.keeper.Exposure = canary.Exposure{Share: s.ExposureShare, Slack: s.ExposureSlack}
 	g.keeper.Regions, g.keeper.ColdOverage, g.keeper.ColdSlack = s.Regions.ByHall(), s.ColdOverage, s.ColdSlack
 	g.keeper.Rate = g.engine.RequestRate
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -76,9 +76,9 @@
 	Rate func(service string) float64
 	// Usage is what daemons exchange of usage; nil is nothing.
 	Usage UsageExchange
-	// BeganAgain, if set, is told of a server that has begun again under its id, as it was
+	// OnServerRestart, if set, is told of a server that has begun again under its id, as it was
 	// before.
-	BeganAgain func(was *fleet.Server)
+	OnServerRestart func(was *fleet.Server)
 	// Limited, if set, is told of a server whose limit begins, changes or ends by what another
 	// daemon has heard.
 	Limited func(s *fleet.Server, was, is notice.LimitState)
--- a/daemon/storesync/starts.go
+++ b/daemon/storesync/starts.go
@@ -42,7 +42,7 @@
 // reportRestarts tells of servers that have begun again under their id, by what they were: what
 // this daemon has under way there is lost.
 func (k *Syncer) reportRestarts(was *fleet.List, servers []*fleet.Server) {
-	if was == nil || k.BeganAgain == nil {
+	if was == nil || k.OnServerRestart == nil {
 		return
 	}
 	before := map[string]*fleet.Server{}
@@ -60,9 +60,9 @@
 
 // reportRestart tells of one of them.
 func (k *Syncer) reportRestart(was, is *fleet.Server) {
-	if k.BeganAgain == nil {
+	if k.OnServerRestart == nil {
 		return
 	}
 	k.Log.Info().Str("server", is.ID).Int64("born", is.Born).Bool("was_leaving", was.Leaving).Msg("knowledge: a server has begun again under its id")
-	k.BeganAgain(was)
+	k.OnServerRestart(was)
 }
--- a/daemon/storesync/starts_test.go
+++ b/daemon/storesync/starts_test.go
@@ -31,7 +31,7 @@
 		s.rows.set(gossip.Servers, "a", "v1#100")
 		k := s.daemon("d")
 		var again []fleet.Incarnation
-		k.BeganAgain = func(was *fleet.Server) { again = append(again, was.Incarnation()) }
+		k.OnServerRestart = func(was *fleet.Server) { again = append(again, was.Incarnation()) }
 		pass(2 * time.Second)
 		before := only(t, k)
 		before.State.Begin(3)
