--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -138,7 +138,7 @@
 	g.engine.Knowledge, g.engine.Channels, g.engine.Dialect = g.keeper, g.channels, g.Platform.Dialect
 	g.keeper.SuspendClock, g.engine.StoodStill = suspend.Total, suspend.Total
 	g.engine.Hall, g.engine.Observer, g.engine.Noticed = s.Hall, g.reporter.report, g.reporter.noticed
-	g.engine.Limited, g.keeper.Limited = g.limited, g.reporter.limited
+	g.engine.Limited, g.keeper.OnLimitChange = g.limited, g.reporter.limited
 	g.engine.Budget = &retry.Budget{Seed: g.Start}
 	g.keeper.OnServerRestart = g.engine.BeganAgain
 	g.keeper.Exposure = canary.Exposure{Share: s.ExposureShare, Slack: s.ExposureSlack}
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -79,10 +79,10 @@
 	// OnServerRestart, if set, is told of a server that has begun again under its id, as it was
 	// before.
 	OnServerRestart func(was *fleet.Server)
-	// Limited, if set, is told of a server whose limit begins, changes or ends by what another
+	// OnLimitChange, if set, is told of a server whose limit begins, changes or ends by what another
 	// daemon has heard.
-	Limited func(s *fleet.Server, was, is notice.LimitState)
-	Log     log.Logger
+	OnLimitChange func(s *fleet.Server, was, is notice.LimitState)
+	Log           log.Logger
 	// FirstStart tells that all daemons start for the first time: nobody waits for an
 	// answer yet, and what a hall's reader reads is told to the others.
 	FirstStart bool
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -181,8 +181,8 @@
 		}
 		k.limits.known[s.Incarnation()], k.limits.changed = s, true
 		s.ApplyLimit(k.view.Load().Sharers, now)
-		if k.Limited != nil {
-			k.Limited(s, was, is)
+		if k.OnLimitChange != nil {
+			k.OnLimitChange(s, was, is)
 		}
 	}
 }
