--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -89,9 +89,9 @@
 	// Seed is what pauses and turns are drawn from; 0 draws one.
 	Seed uint64
 
-	// Lost and Regained count the times that the store stopped and began
+	// Outages and Regained count the times that the store stopped and began
 	// again to answer.
-	Lost     atomic.Int64
+	Outages  atomic.Int64
 	Regained atomic.Int64
 	// Calls counts calls to the store.
 	Calls atomic.Int64
@@ -403,7 +403,7 @@
 	}
 	if t.unavailableSince.IsZero() {
 		t.unavailableSince = now
-		k.Lost.Add(1)
+		k.Outages.Add(1)
 		k.Log.Warn().Str("topic", string(e.topic)).Err(e.err).Stringer("version", t.version).Dur("age", now.Sub(t.confirmed)).Msg("knowledge: the store does not answer")
 	}
 }
