--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -91,8 +91,8 @@
 
 	// Outages and Regained count the times that the store stopped and began
 	// again to answer.
-	Outages  atomic.Int64
-	Regained atomic.Int64
+	Outages    atomic.Int64
+	Recoveries atomic.Int64
 	// Calls counts calls to the store.
 	Calls atomic.Int64
 	// Standstills counts the times that the VM has stood still.
@@ -372,7 +372,7 @@
 		}
 	}
 	if !t.unavailableSince.IsZero() {
-		k.Regained.Add(1)
+		k.Recoveries.Add(1)
 		k.Log.Info().Str("topic", string(e.topic)).Dur("away", now.Sub(t.unavailableSince)).Stringer("version", e.page.Version).Msg("knowledge: the store answers again")
 		t.unavailableSince, t.recoveredAt = time.Time{}, now
 	}
