--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -95,8 +95,8 @@
 	Recoveries atomic.Int64
 	// Calls counts calls to the store.
 	Calls atomic.Int64
-	// Standstills counts the times that the VM has stood still.
-	Standstills atomic.Int64
+	// Suspensions counts the times that the VM has stood still.
+	Suspensions atomic.Int64
 	// Spoiled counts rows that came and do not decode.
 	Spoiled atomic.Int64
 	// Returns counts topics whose rows the store has had from a copy.
--- a/daemon/storesync/standstill.go
+++ b/daemon/storesync/standstill.go
@@ -30,7 +30,7 @@
 	clear(k.pendingRequests)
 	k.rollouts.shift(d)
 	k.publishView()
-	k.Standstills.Add(1)
+	k.Suspensions.Add(1)
 	k.Log.Warn().Dur("for", d).Msg("knowledge: the VM stood still: nothing is served until what is known is confirmed")
 }
 
--- a/daemon/storesync/standstill_test.go
+++ b/daemon/storesync/standstill_test.go
@@ -33,8 +33,8 @@
 				}
 				pass(2 * time.Second)
 				v := k.View()
-				if age := v.ConfigAge(time.Now()); age > 2*time.Second || !v.Confirmed() || v.Map.Number != 2 || k.Standstills.Load() != 1 {
-					t.Errorf("two seconds after %v: configuration %d, %v old, confirmed %v, %d times", still, v.Map.Number, age, v.Confirmed(), k.Standstills.Load())
+				if age := v.ConfigAge(time.Now()); age > 2*time.Second || !v.Confirmed() || v.Map.Number != 2 || k.Suspensions.Load() != 1 {
+					t.Errorf("two seconds after %v: configuration %d, %v old, confirmed %v, %d times", still, v.Map.Number, age, v.Confirmed(), k.Suspensions.Load())
 				}
 			})
 		}
