--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -97,8 +97,8 @@
 	Calls atomic.Int64
 	// Suspensions counts the times that the VM has stood still.
 	Suspensions atomic.Int64
-	// Spoiled counts rows that came and do not decode.
-	Spoiled atomic.Int64
+	// CorruptedRows counts rows that came and do not decode.
+	CorruptedRows atomic.Int64
 	// Returns counts topics whose rows the store has had from a copy.
 	Returns atomic.Int64
 	// Ended counts servers that ended while requests of this daemon were under way there.
--- a/daemon/storesync/read.go
+++ b/daemon/storesync/read.go
@@ -20,7 +20,7 @@
 		return
 	}
 	k.malformedSums[row.Key] = row.Sum()
-	k.Spoiled.Add(1)
+	k.CorruptedRows.Add(1)
 	k.Log.Error().Str("topic", string(topic)).Str("key", row.Key).Stringer("version", row.Version).Err(err).Msg("knowledge: a row does not decode: of a server it names none, of anything else the last good one stays in force")
 }
 
--- a/daemon/storesync/starts_test.go
+++ b/daemon/storesync/starts_test.go
@@ -116,8 +116,8 @@
 		s.rows.set(gossip.Servers, "a", "!")
 		pass(2 * time.Second)
 		for _, k := range []*storesync.Syncer{reader, other} {
-			if got := servers(k); len(got) != 1 || got[0] != "b" || k.Spoiled.Load() != 1 || k.View().Corrupted["a"] == "" {
-				t.Errorf("%s uses %v, counted are %d", k.Self.ID, got, k.Spoiled.Load())
+			if got := servers(k); len(got) != 1 || got[0] != "b" || k.CorruptedRows.Load() != 1 || k.View().Corrupted["a"] == "" {
+				t.Errorf("%s uses %v, counted are %d", k.Self.ID, got, k.CorruptedRows.Load())
 			}
 		}
 		if reader.View().Servers.Service("s")[0].State != load {
