--- a/daemon/gateway/metrics.go
+++ b/daemon/gateway/metrics.go
@@ -36,7 +36,7 @@
 	counter("store_calls_total", "Calls to the platform's store.", func() float64 { return float64(g.keeper.Calls.Load()) })
 	counter("store_lost_total", "Times that the store stopped answering.", func() float64 { return float64(g.keeper.Outages.Load()) })
 	counter("store_regained_total", "Times that the store answered again.", func() float64 { return float64(g.keeper.Recoveries.Load()) })
-	counter("store_returns_total", "Topics of the store whose rows came from a copy, since its era rose.", func() float64 { return float64(g.keeper.Returns.Load()) })
+	counter("store_returns_total", "Topics of the store whose rows came from a copy, since its era rose.", func() float64 { return float64(g.keeper.Restores.Load()) })
 	counter("connections_opened_total", "Connections opened to servers.", func() float64 { return float64(g.channels.Opened.Load()) })
 	counter("connections_reused_total", "Requests sent on kept connections.", func() float64 { return float64(g.channels.Reused.Load()) })
 	counter("surplus_answers_total", "Answers of servers that belonged to no request.", func() float64 { return float64(g.channels.Surplus.Load()) })
--- a/daemon/storesync/era.go
+++ b/daemon/storesync/era.go
@@ -152,7 +152,7 @@
 	}
 	t.restoredAt = now
 	k.Log.Warn().Str("topic", string(topic)).Stringer("version", version).Stringer("was", t.version).Msg("knowledge: the store has returned from a copy: what it has lost is held until it is written again")
-	k.Returns.Add(1)
+	k.Restores.Add(1)
 	if topic == gossip.Members && now.Sub(k.startedAt) < maxCopyAge {
 		// The copy may be older than this daemon's entry.
 		select {
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -99,8 +99,8 @@
 	Suspensions atomic.Int64
 	// CorruptedRows counts rows that came and do not decode.
 	CorruptedRows atomic.Int64
-	// Returns counts topics whose rows the store has had from a copy.
-	Returns atomic.Int64
+	// Restores counts topics whose rows the store has had from a copy.
+	Restores atomic.Int64
 	// Ended counts servers that ended while requests of this daemon were under way there.
 	Ended atomic.Int64
 
