--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -101,8 +101,8 @@
 	CorruptedRows atomic.Int64
 	// Restores counts topics whose rows the store has had from a copy.
 	Restores atomic.Int64
-	// Ended counts servers that ended while requests of this daemon were under way there.
-	Ended atomic.Int64
+	// ServerExits counts servers that ended while requests of this daemon were under way there.
+	ServerExits atomic.Int64
 
 	// republish asks for this daemon's entry to be written again; progressLost tells that the
 	// store may lack states of roll-outs.
--- a/daemon/storesync/quarantine.go
+++ b/daemon/storesync/quarantine.go
@@ -69,7 +69,7 @@
 // the other daemons.
 func (k *Syncer) ServerEnded(server string, contents []quarantine.Fingerprint) {
 	e := crashesObserved{crashes: k.registry.RecordServerExit(server, contents, time.Now())}
-	k.Ended.Add(1)
+	k.ServerExits.Add(1)
 	k.Log.Warn().Str("server", server).Int("requests", len(contents)).Int("counted", len(e.crashes)).Msg("quarantine: a server ended while requests were under way there")
 	if len(e.crashes) > 0 {
 		k.enqueue(e)
