--- a/daemon/proxy/ended.go
+++ b/daemon/proxy/ended.go
@@ -67,7 +67,7 @@
 	e.Channels.Drop(p.Addr)
 	e.runs.CancelAll(p)
 	if contents := e.runs.TakeSuspects(p, time.Now()); len(contents) > 0 && was.Usable() {
-		e.Knowledge.ServerEnded(p.Server, contents)
+		e.Knowledge.RecordServerExit(p.Server, contents)
 	}
 }
 
@@ -79,7 +79,7 @@
 	if len(contents) == 0 || !e.Knowledge.View().Serves(p.Server) {
 		return
 	}
-	e.Knowledge.ServerEnded(p.Server, contents)
+	e.Knowledge.RecordServerExit(p.Server, contents)
 	for _, f := range contents {
 		for _, other := range e.runs.AbortedAt(f, now) {
 			e.lookLater(other)
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -27,8 +27,8 @@
 	Observe(f storesync.Observation)
 	// Ran notes which version serves a session.
 	Ran(service string, session uint64, version string)
-	// ServerEnded counts a server that has ended against what was under way there.
-	ServerEnded(server string, contents []quarantine.Fingerprint)
+	// RecordServerExit counts a server that has ended against what was under way there.
+	RecordServerExit(server string, contents []quarantine.Fingerprint)
 	// Answered notes a content that a server has answered whole.
 	Answered(content quarantine.Fingerprint)
 }
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -96,7 +96,7 @@
 
 func (k *known) Ran(string, uint64, string) {}
 
-func (k *known) ServerEnded(server string, contents []quarantine.Fingerprint) {
+func (k *known) RecordServerExit(server string, contents []quarantine.Fingerprint) {
 	k.ledger.RecordServerExit(server, contents, time.Now())
 }
 
--- a/daemon/storesync/quarantine.go
+++ b/daemon/storesync/quarantine.go
@@ -65,9 +65,9 @@
 
 func (crashesObserved) event() {}
 
-// ServerEnded counts a server that has ended against what was under way there, and tells
+// RecordServerExit counts a server that has ended against what was under way there, and tells
 // the other daemons.
-func (k *Syncer) ServerEnded(server string, contents []quarantine.Fingerprint) {
+func (k *Syncer) RecordServerExit(server string, contents []quarantine.Fingerprint) {
 	e := crashesObserved{crashes: k.registry.RecordServerExit(server, contents, time.Now())}
 	k.ServerExits.Add(1)
 	k.Log.Warn().Str("server", server).Int("requests", len(contents)).Int("counted", len(e.crashes)).Msg("quarantine: a server ended while requests were under way there")
--- a/daemon/storesync/quarantine_test.go
+++ b/daemon/storesync/quarantine_test.go
@@ -46,7 +46,7 @@
 			if got := confined(daemons...); got > 0 {
 				t.Fatalf("%d daemons stop after %d servers", got, n)
 			}
-			daemons[k].ServerEnded(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
+			daemons[k].RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
 			pass(300 * time.Millisecond)
 		}
 		pass(700 * time.Millisecond)
@@ -64,7 +64,7 @@
 		daemons := halls(s, 1)
 		pass(3 * time.Second)
 		for _, k := range daemons {
-			k.ServerEnded("i-1", []quarantine.Fingerprint{deadly})
+			k.RecordServerExit("i-1", []quarantine.Fingerprint{deadly})
 		}
 		pass(2 * time.Second)
 		if got := confined(daemons...); got > 0 {
@@ -82,7 +82,7 @@
 		before := halls(s, 1)
 		pass(3 * time.Second)
 		for n := range 3 {
-			before[n].ServerEnded(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
+			before[n].RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
 		}
 		pass(time.Second)
 		s.stopAll()
@@ -108,7 +108,7 @@
 		pass(3 * time.Second)
 		s.mesh.lose(daemons[0].Self.ID)
 		for n := range 3 {
-			daemons[0].ServerEnded(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
+			daemons[0].RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
 		}
 		pass(2 * time.Second)
 		if got := confined(daemons...); got != len(daemons) {
@@ -138,7 +138,7 @@
 			}
 		}
 		for n, k := range rest[:3] {
-			k.ServerEnded(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
+			k.RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
 		}
 		pass(3 * time.Second)
 		if got := confined(rest...); got != len(rest) {
