--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -140,7 +140,7 @@
 	ctx, a.cancel = context.WithCancel(ctx)
 	timer := j.startTimer(a, patience)
 	if j.route.Sticky {
-		j.engine.Knowledge.Ran(j.service, j.request.session(), s.Version)
+		j.engine.Knowledge.RecordSession(j.service, j.request.session(), s.Version)
 	}
 	a.prompt = j.prompt
 	a.shared = pieces(s.State.PrefixCache.MissingTokens(a.prompt, a.sent) - a.prompt.UniqueTokens())
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -25,8 +25,8 @@
 type Knowledge interface {
 	View() *storesync.View
 	Observe(f storesync.Observation)
-	// Ran notes which version serves a session.
-	Ran(service string, session uint64, version string)
+	// RecordSession notes which version serves a session.
+	RecordSession(service string, session uint64, version string)
 	// RecordServerExit counts a server that has ended against what was under way there.
 	RecordServerExit(server string, contents []quarantine.Fingerprint)
 	// Answered notes a content that a server has answered whole.
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -94,7 +94,7 @@
 	return f
 }
 
-func (k *known) Ran(string, uint64, string) {}
+func (k *known) RecordSession(string, uint64, string) {}
 
 func (k *known) RecordServerExit(server string, contents []quarantine.Fingerprint) {
 	k.ledger.RecordServerExit(server, contents, time.Now())
--- a/daemon/storesync/rollout_test.go
+++ b/daemon/storesync/rollout_test.go
@@ -166,7 +166,7 @@
 			keepers = append(keepers, s.daemon(fmt.Sprintf("d%d", i)))
 		}
 		pass(12 * time.Second)
-		keepers[2].Ran("s", lowest, "v1")
+		keepers[2].RecordSession("s", lowest, "v1")
 		pass(1200 * time.Millisecond)
 		s.rows.set(gossip.Servers, "new", "v2")
 		s.rows.set(gossip.Operator, "order/s", `{"Version":"v2","Seconds":40}`)
@@ -180,7 +180,7 @@
 			}
 		}
 		// It goes on, and stays; then it pauses.
-		keepers[1].Ran("s", lowest, "v1")
+		keepers[1].RecordSession("s", lowest, "v1")
 		pass(4500 * time.Millisecond)
 		if uses(keepers[0], lowest, "v2") {
 			t.Error("the session moved without a pause")
@@ -209,7 +209,7 @@
 		}
 		pass(8 * time.Second)
 		for _, id := range ids {
-			keepers[id].Ran("s", lowest, "v1")
+			keepers[id].RecordSession("s", lowest, "v1")
 		}
 		pass(10 * time.Second)
 		s.mesh.mu.Lock()
@@ -378,7 +378,7 @@
 		}
 		const served = 40
 		for i := range uint64(served) {
-			left[i%3].Ran("s", lowest+i, "v1")
+			left[i%3].RecordSession("s", lowest+i, "v1")
 			pass(100 * time.Millisecond)
 		}
 		pass(900 * time.Millisecond)
@@ -399,7 +399,7 @@
 	inBubble(t, func(t *testing.T) {
 		s, keepers := rollout(t, 3, 20)
 		pass(16500 * time.Millisecond)
-		keepers[1].Ran("s", lowest, "v2")
+		keepers[1].RecordSession("s", lowest, "v2")
 		pass(2000 * time.Millisecond)
 		if p := s.progress(); p.State != canary.Completed {
 			t.Fatalf("the first order is %v", p)
--- a/daemon/storesync/sessions.go
+++ b/daemon/storesync/sessions.go
@@ -79,8 +79,8 @@
 // this one reads for, and to other halls.
 const sessionsInterval = 500 * time.Millisecond
 
-// Ran notes which version serves a session.
-func (k *Syncer) Ran(service string, hash uint64, version string) {
+// RecordSession notes which version serves a session.
+func (k *Syncer) RecordSession(service string, hash uint64, version string) {
 	if !canary.Eligible(hash) {
 		return
 	}
