--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -87,8 +87,8 @@
 // Knowledge is what is known of the platform.
 type Knowledge interface {
 	View() *storesync.View
-	// Reads reports whether this daemon reads the store for others.
-	Reads() bool
+	// ReadsStore reports whether this daemon reads the store for others.
+	ReadsStore() bool
 }
 
 // Leaseholder is one daemon's part in all duties. Get one from New, set the exported fields, then
@@ -291,7 +291,7 @@
 // store for their halls do, so that calls grow with halls and not with daemons. While the store
 // is away for a hall all of its daemons try to read it: none of them contends then.
 func (d *Leaseholder) contends(now time.Time) bool {
-	if now.Sub(d.began) < contendAfter || !d.Knowledge.Reads() {
+	if now.Sub(d.began) < contendAfter || !d.Knowledge.ReadsStore() {
 		return false
 	}
 	v := d.Knowledge.View()
--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -239,8 +239,8 @@
 	return &v
 }
 
-// Reads implements duties.Knowledge.
-func (known) Reads() bool { return true }
+// ReadsStore implements duties.Knowledge.
+func (known) ReadsStore() bool { return true }
 
 // view is a service in two halls with a number of servers in each.
 func view(each int) *storesync.View {
--- a/daemon/storesync/evidence_test.go
+++ b/daemon/storesync/evidence_test.go
@@ -19,7 +19,7 @@
 		s, keepers := rollout(t, 3, 90)
 		var first, second int
 		for i, k := range keepers {
-			if !k.Reads() {
+			if !k.ReadsStore() {
 				first, second = second, i
 			}
 		}
@@ -54,7 +54,7 @@
 		s.rows.set("operator", "order/s", `{"Version":"v2","Seconds":90}`)
 		pass(time.Second)
 		reader, left := a, b
-		if b.Reads() {
+		if b.ReadsStore() {
 			reader, left = b, a
 		}
 		fail(reader, 2)
@@ -65,7 +65,7 @@
 			}
 		}
 		pass(10 * time.Second)
-		if !left.Reads() {
+		if !left.ReadsStore() {
 			t.Fatal("nobody reads for the hall")
 		}
 		fail(other, 2)
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -267,8 +267,8 @@
 // View returns what is known now.
 func (k *Syncer) View() *View { return k.view.Load() }
 
-// Reads reports whether this daemon reads the store now.
-func (k *Syncer) Reads() bool { return k.reading.Load() }
+// ReadsStore reports whether this daemon reads the store now.
+func (k *Syncer) ReadsStore() bool { return k.reading.Load() }
 
 // Received takes a message of another daemon.
 func (k *Syncer) Received(from string, message any) {
--- a/daemon/storesync/quarantine_test.go
+++ b/daemon/storesync/quarantine_test.go
@@ -130,7 +130,7 @@
 		pass(3 * time.Second)
 		var rest []*storesync.Syncer
 		for _, k := range daemons {
-			if k.Reads() {
+			if k.ReadsStore() {
 				s.mesh.lose(k.Self.ID)
 				s.mesh.deafen(k.Self.ID)
 			} else {
--- a/daemon/storesync/standstill_test.go
+++ b/daemon/storesync/standstill_test.go
@@ -20,7 +20,7 @@
 				// One of the two reads the store for the other.
 				k := first
 				pass(3 * time.Second)
-				if reads != first.Reads() {
+				if reads != first.ReadsStore() {
 					k = second
 				}
 				if age := k.View().ConfigAge(time.Now()); age > 2*time.Second || !k.View().Confirmed() {
