--- a/daemon/gateway/limits.go
+++ b/daemon/gateway/limits.go
@@ -13,7 +13,7 @@
 func (g *Gateway) limited(s *fleet.Server, was, is notice.LimitState) {
 	g.reporter.limited(s, was, is)
 	if is.Rate != was.Rate {
-		g.keeper.LimitHeard(s)
+		g.keeper.AnnounceLimit(s)
 	}
 }
 
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -47,8 +47,8 @@
 
 func (limitObserved) event() {}
 
-// LimitHeard has the other daemons told what a server says of its limit.
-func (k *Syncer) LimitHeard(s *fleet.Server) { k.enqueue(limitObserved{server: s}) }
+// AnnounceLimit has the other daemons told what a server says of its limit.
+func (k *Syncer) AnnounceLimit(s *fleet.Server) { k.enqueue(limitObserved{server: s}) }
 
 func (k *Syncer) handleLimitObserved(e limitObserved) {
 	k.limits.known[e.server.Incarnation()] = e.server
--- a/daemon/storesync/limits_test.go
+++ b/daemon/storesync/limits_test.go
@@ -16,7 +16,7 @@
 	was, is := s.State.Notices.ObserveLimit(notice.Limit{Rate: rate, Lifted: rate == 0}, now.Add(-10*time.Millisecond), now, "")
 	if is.Rate != was.Rate {
 		s.ApplyLimit(k.View().Sharers, now)
-		k.LimitHeard(s)
+		k.AnnounceLimit(s)
 	}
 }
 
