--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -126,7 +126,7 @@
 	g.keeper = storesync.New()
 	keys.Trusted = g.keeper.PublicKey
 	g.peers = &peer.Transport{Addr: s.Peers, Keys: keys, Log: g.log, Deliver: func(in peer.Incoming) {
-		g.keeper.Received(in.From, in.Message)
+		g.keeper.HandleMessage(in.From, in.Message)
 	}}
 	g.keeper.Store, g.keeper.Decoder, g.keeper.Peers, g.keeper.Log = g.Platform.Store, g.Platform.Decoder, sender{g.peers}, g.log
 	g.keeper.InForceWithin, g.keeper.SessionPause, g.keeper.FirstStart = s.InForceWithin, s.SessionPause, s.FirstStart
--- a/daemon/storesync/harness_test.go
+++ b/daemon/storesync/harness_test.go
@@ -364,7 +364,7 @@
 	if k == nil || s.mesh.gone[s.from] {
 		return
 	}
-	deliver := func() { k.Received(s.from, m) }
+	deliver := func() { k.HandleMessage(s.from, m) }
 	if s.mesh.holding[id] {
 		s.mesh.held[id] = append(s.mesh.held[id], deliver)
 		return
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -270,8 +270,8 @@
 // ReadsStore reports whether this daemon reads the store now.
 func (k *Syncer) ReadsStore() bool { return k.reading.Load() }
 
-// Received takes a message of another daemon.
-func (k *Syncer) Received(from string, message any) {
+// HandleMessage takes a message of another daemon.
+func (k *Syncer) HandleMessage(from string, message any) {
 	k.enqueue(peerMessage{from: from, message: message})
 }
 
