--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -67,11 +67,11 @@
 	if len(preferred) == 0 {
 		preferred = fallback
 	}
-	r := newSelector(w, now)
+	sel := newSelector(w, now)
 	for _, s := range l.subset(preferred, w) {
-		r.consider(s, s.State.snapshot(now))
+		sel.consider(s, s.State.snapshot(now))
 	}
-	return best(r, newSelector(w, now))
+	return best(sel, newSelector(w, now))
 }
 
 // best returns the winner of the preferred servers, or else that of the fallback
@@ -89,11 +89,11 @@
 	s.mu.Lock()
 	ok := s.limit.take(now)
 	if ok {
-		s.cold.taken(now)
+		s.cold.recordRequest(now)
 	}
 	s.mu.Unlock()
 	if ok {
-		s.hall.taken(now)
+		s.hall.recordRequest(now)
 	}
 	return ok
 }
@@ -155,49 +155,49 @@
 }
 
 // consider compares one more server with the best so far.
-func (r *selector) consider(s *Server, seen snapshot) {
+func (sel *selector) consider(s *Server, seen snapshot) {
 	c := (seen.load + 1) * seen.slowness
-	if s.Hall != r.criteria.Hall {
+	if s.Hall != sel.criteria.Hall {
 		c += otherHallCost
 	}
-	hash := rendezvousHash(s, r.criteria.Affinity)
-	if r.criteria.Affinity != 0 {
-		r.updatePreferred(s, seen, hash)
-		if c+r.ownCost >= r.cost {
+	hash := rendezvousHash(s, sel.criteria.Affinity)
+	if sel.criteria.Affinity != 0 {
+		sel.updatePreferred(s, seen, hash)
+		if c+sel.ownCost >= sel.cost {
 			// Every server has to process at least the request's own part.
 			return
 		}
-		c += r.criteria.BlockCost * float64(s.State.PrefixCache.MissingTokens(r.criteria.Prompt, r.now)) / BlockTokens
+		c += sel.criteria.BlockCost * float64(s.State.PrefixCache.MissingTokens(sel.criteria.Prompt, sel.now)) / BlockTokens
 	}
-	if c < r.cost || (c == r.cost && hash > r.hash) {
-		r.best, r.cost, r.hash = s, c, hash
+	if c < sel.cost || (c == sel.cost && hash > sel.hash) {
+		sel.best, sel.cost, sel.hash = s, c, hash
 	}
 }
 
 // updatePreferred records the server if its rendezvous hash is the highest so far.
-func (r *selector) updatePreferred(s *Server, seen snapshot, hash uint64) {
-	f := preferredServer{server: s, hash: hash, load: seen.load * seen.slowness}
-	if r.overall.server == nil || hash > r.overall.hash {
-		r.overall = f
+func (sel *selector) updatePreferred(s *Server, seen snapshot, hash uint64) {
+	p := preferredServer{server: s, hash: hash, load: seen.load * seen.slowness}
+	if sel.overall.server == nil || hash > sel.overall.hash {
+		sel.overall = p
 	}
-	if s.Hall == r.criteria.Hall && (r.inHall.server == nil || hash > r.inHall.hash) {
-		r.inHall = f
+	if s.Hall == sel.criteria.Hall && (sel.inHall.server == nil || hash > sel.inHall.hash) {
+		sel.inHall = p
 	}
 }
 
 // winner returns the best server, or nil if there is none.
-func (r *selector) winner() *Server {
-	preferred := r.overall
-	if r.criteria.KeepInHall && r.inHall.server != nil {
-		preferred = r.inHall
+func (sel *selector) winner() *Server {
+	preferred := sel.overall
+	if sel.criteria.KeepInHall && sel.inHall.server != nil {
+		preferred = sel.inHall
 	}
 	if preferred.server == nil {
-		return r.best
+		return sel.best
 	}
-	if c := preferred.load + r.ownCost; c < r.cost || (c == r.cost && preferred.hash > r.hash) {
+	if c := preferred.load + sel.ownCost; c < sel.cost || (c == sel.cost && preferred.hash > sel.hash) {
 		return preferred.server
 	}
-	return r.best
+	return sel.best
 }
 
 // rendezvousHash returns the hash of a server for a key (rendezvous hashing): the
--- a/core/fleet/cold.go
+++ b/core/fleet/cold.go
@@ -75,8 +75,8 @@
 	return now.Before(c.From) || c.MaxRequests <= 0 || len(c.sent) >= c.MaxRequests && now.Sub(c.sent[len(c.sent)-c.MaxRequests]) < ColdWindow
 }
 
-// taken counts a request.
-func (c *coldState) taken(now time.Time) {
+// recordRequest counts a request.
+func (c *coldState) recordRequest(now time.Time) {
 	if !now.Before(c.Until) || c.MaxRequests <= 0 {
 		return
 	}
--- a/core/fleet/cold_test.go
+++ b/core/fleet/cold_test.go
@@ -116,8 +116,8 @@
 func TestColdSharesStayWithinCapacity(t *testing.T) {
 	rate, overage, slack := 13.0, 1.5, 5.0
 	most := fleet.ColdCapacity(rate, overage, slack)
-	if bears := int(rate*overage + slack); most > bears || most < bears*3/4 {
-		t.Fatalf("planned capacity is %d requests of %d", most, bears)
+	if capacity := int(rate*overage + slack); most > capacity || most < capacity*3/4 {
+		t.Fatalf("planned capacity is %d requests of %d", most, capacity)
 	}
 	for _, n := range []int{1, 6, 7, 19, 20, 65, 295, 1000} {
 		daemons := make([]string, n)
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -111,7 +111,7 @@
 func (l *List) With(removed, added []*Server) *List {
 	out := &List{byService: maps.Clone(l.byService)}
 	copied := map[string]bool{}
-	of := func(service string) []*Server {
+	serversOf := func(service string) []*Server {
 		if !copied[service] {
 			copied[service] = true
 			out.byService[service] = slices.Clone(out.byService[service])
@@ -119,14 +119,14 @@
 		return out.byService[service]
 	}
 	for _, s := range removed {
-		servers := of(s.Service)
+		servers := serversOf(s.Service)
 		if at, found := position(servers, s.ID); found {
 			out.byService[s.Service] = slices.Delete(servers, at, at+1)
 		}
 	}
 	for _, s := range added {
 		s.identify()
-		servers := of(s.Service)
+		servers := serversOf(s.Service)
 		at, _ := position(servers, s.ID)
 		out.byService[s.Service] = slices.Insert(servers, at, s)
 	}
--- a/core/fleet/hall.go
+++ b/core/fleet/hall.go
@@ -63,9 +63,9 @@
 	h.backoffUntil(now.Add(h.backoff))
 }
 
-// taken records that a request is sent to the hall. If it probes a hall after its
-// back-off, other requests wait for the result.
-func (h *HallState) taken(now time.Time) {
+// recordRequest records that a request is sent to the hall. If it probes a hall after
+// its back-off, other requests wait for the result.
+func (h *HallState) recordRequest(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.failed) >= hallFailureThreshold && !h.inBackoff(now) {
--- a/core/fleet/limit.go
+++ b/core/fleet/limit.go
@@ -47,20 +47,20 @@
 // ApplyLimit reads the limit that the server has announced, and takes this daemon's
 // share of it.
 func (s *Server) ApplyLimit(among quota.Daemons, now time.Time) {
-	l := s.State
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	state := s.State
+	state.mu.Lock()
+	defer state.mu.Unlock()
 	// Several answers may arrive at once. The limit is read under the lock, so that the
 	// last reader applies the latest limit.
-	rate := l.Notices.State().Limit.Rate
+	rate := state.Notices.State().Limit.Rate
 	if rate == 0 {
-		l.limit = limit{}
+		state.limit = limit{}
 		return
 	}
-	if !l.limit.active {
-		l.limit = limit{active: true, since: now}
+	if !state.limit.active {
+		state.limit = limit{active: true, since: now}
 	}
-	l.limit.bucket = l.limit.bucket.With(among.Share(s.Incarnation().String(), s.Hall, rate), now)
+	state.limit.bucket = state.limit.bucket.With(among.Share(s.Incarnation().String(), s.Hall, rate), now)
 }
 
 // Quota returns what this daemon may send to the server, and whether the server
--- a/core/fleet/notice_test.go
+++ b/core/fleet/notice_test.go
@@ -17,21 +17,21 @@
 // servers in their back-off, and 16 of 400 requests were refused.
 func TestServersInRequestedBackoffReceiveNoRequests(t *testing.T) {
 	const backoff = 3 * time.Second
-	asked := map[string]time.Time{}
+	declinedAt := map[string]time.Time{}
 	early := 0
 	declined := func(s *fleet.Server, at time.Time) {
-		if was, ok := asked[s.ID]; ok && at.Sub(was) < backoff {
+		if was, ok := declinedAt[s.ID]; ok && at.Sub(was) < backoff {
 			early++
 		}
-		asked[s.ID] = at
+		declinedAt[s.ID] = at
 		s.State.Notices.Observe(notice.Notice{Backoff: backoff}, at)
 	}
 	refused, end := replayDeclines(declined)
 	if early > 0 || refused > 1 {
 		t.Errorf("%d requests reached servers in back-off, %d were refused", early, refused)
 	}
-	if len(asked) != 4 || end.Sub(asked["e00"]) > 2*backoff {
-		t.Errorf("servers are not tried again after their back-off: %v", asked)
+	if len(declinedAt) != 4 || end.Sub(declinedAt["e00"]) > 2*backoff {
+		t.Errorf("servers are not tried again after their back-off: %v", declinedAt)
 	}
 }
 
--- a/core/fleet/remote_test.go
+++ b/core/fleet/remote_test.go
@@ -38,15 +38,15 @@
 	servers := pool(8)
 	list := fleet.NewList(servers)
 	home, _ := list.Choose(sharedPrompt(), now)
-	work := equalLoad(servers)
-	at := reportLoad(list, work)
+	load := equalLoad(servers)
+	at := reportLoad(list, load)
 	if s, _ := list.Choose(sharedPrompt(), at); s != home {
 		t.Errorf("with equal load on all servers the prompt goes to %s, not %s", s.ID, home.ID)
 	}
-	work[home.ID] = 40
-	at = reportLoad(list, work)
+	load[home.ID] = 40
+	at = reportLoad(list, load)
 	if s, _ := list.Choose(sharedPrompt(), at); s == home {
-		t.Errorf("the prompt goes to %s with a remote load of %v, while the other servers have 10", s.ID, work[s.ID])
+		t.Errorf("the prompt goes to %s with a remote load of %v, while the other servers have 10", s.ID, load[s.ID])
 	}
 	if s, _ := list.Choose(sharedPrompt(), at.Add(10*time.Second)); s != home {
 		t.Errorf("ten seconds after the last report of the load the prompt still goes to %s", s.ID)
@@ -60,9 +60,9 @@
 	list := fleet.NewList(servers)
 	home, _ := list.Choose(sharedPrompt(), now)
 	at := reportLoad(list, equalLoad(servers))
-	work := equalLoad(servers)
-	work[home.ID] = 20
-	list.SetRemoteLoad(work, at)
+	load := equalLoad(servers)
+	load[home.ID] = 20
+	list.SetRemoteLoad(load, at)
 	if s, _ := list.Choose(sharedPrompt(), at); s != home {
 		t.Errorf("the prompt goes to %s", s.ID)
 	}
