--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -1,12 +1,12 @@
-// Package autoscaling decides how many backend servers of a service stand in each data hall,
-// where the platform starts and ends them by order.
+// Package autoscaling decides how many backend servers of a service run in each data hall, where the
+// platform starts and stops servers on request.
 //
-// The load that it answers is one that rises within seconds, by half or more, while a server
-// takes seconds to start, and a provider that takes all spot servers of a hall back at once
-// and has no others there for a while. What is needed is judged by the work under way, which
-// grows both with the requests and with how long each takes; it is lowered by the peak of a
-// while, so that a wave does not end servers that the next one needs. Spot servers are spread
-// so that the others carry everything when any one hall's are taken back.
+// It handles load that rises by half or more within seconds, while a server takes seconds to start, and a
+// provider that reclaims all spot servers of a hall at once and has no replacements there for some time.
+// The number of servers is derived from the load in flight, which grows both with the request rate and with
+// the duration of the requests. Servers are removed according to the recent peak of that load, so that a
+// wave does not stop servers that the next one needs. Spot servers are distributed so that the other halls
+// can carry the whole load when those of any one hall are reclaimed.
 package autoscaling
 
 import (
@@ -14,95 +14,95 @@
 	"time"
 )
 
-// Terms are what the operator allows and the provider asks.
+// Terms are the limits set by the operator and the prices of the provider.
 type Terms struct {
-	// Least and Most bound the servers of a service in one hall, of both kinds together.
+	// Least and Most bound the number of servers of a service in one hall, both kinds together.
 	Least int
 	Most  int
-	// Boot is how long a server takes from its order until it serves.
+	// Boot is the time from ordering a server until it serves requests.
 	Boot time.Duration
-	// SpotPrice is what a spot server costs in terms of another one; 0 is none to be had.
+	// SpotPrice is the price of a spot server relative to an on-demand server; 0 means that there are no spot
+	// servers.
 	SpotPrice float64
-	// HallPrices are what a server costs in a hall in terms of one elsewhere; a hall that is
-	// missing has 1.
+	// HallPrices are the prices of servers by hall, relative to the other halls. The default is 1.
 	HallPrices map[string]float64
 }
 
-// Ordered reports whether servers are started and ended by order at all.
+// Ordered reports whether autoscaling is configured.
 func (t Terms) Ordered() bool { return t.Most > 0 }
 
-// easyUse is the part of their slots that the work under way is to come to on spot servers.
-// What requests lose by waiting falls with the number of servers, what those cost grows with
-// it: the sum is least where the number grows with the root of one over the price.
-func (t Terms) easyUse() float64 { return fullUse * math.Sqrt(t.SpotPrice) }
+// spotUtilization is the target utilization of slots on spot servers. The waiting time of requests falls
+// with the number of servers and their cost grows with it; the sum is least where the number grows with the
+// square root of 1/price.
+func (t Terms) spotUtilization() float64 { return maxUtilization * math.Sqrt(t.SpotPrice) }
 
-// Kind is what a server's place is paid as.
+// Kind is the pricing model of a server.
 type Kind string
 
-// The kinds.
+// Kinds of servers.
 const (
-	// Regular servers stay until they are given back.
+	// Regular servers are on-demand servers, which run until they are stopped.
 	Regular Kind = "regular"
-	// Spot servers cost less, and the provider may take them back.
+	// Spot servers are cheaper, and the provider may reclaim them.
 	Spot Kind = "spot"
 )
 
-// Place is where servers of a kind stand.
+// Place identifies the servers of one kind in one data hall.
 type Place struct {
 	Hall string
 	Kind Kind
 }
 
-// Standing is what is known of a place.
+// Standing is the observed state of a pool.
 type Standing struct {
-	// Serving are the servers that take requests and stay; Warm are those of them that are
-	// up to speed.
+	// Serving is the number of servers that accept requests and are not leaving. Warm is how many of them have
+	// reached their full speed.
 	Serving int
 	Warm    int
-	// Ordered is the number last ordered, if Asked.
+	// Ordered is the number of servers that was ordered last, if Asked.
 	Ordered int
 	Asked   bool
-	// Short is since when fewer serve than were ordered, zero if enough do; Lost tells that
-	// servers which served since the last order are gone or about to go.
+	// Short is the time since which fewer servers serve than were ordered, zero if enough do. Lost is set if
+	// servers that have served since the last order are gone or leaving.
 	Short time.Time
 	Lost  bool
-	// None tells that there were none to be had a moment ago.
+	// None is set if the provider recently had no servers for this pool.
 	None bool
-	// Coming are servers of a version that is brought in, or that one has just taken the place
-	// of: they count against the bound of the hall.
+	// Coming is the number of servers of a version that is being rolled out, or of the one that it has just
+	// replaced. They count towards the limit of the hall.
 	Coming int
 }
 
-// Input is what an order is decided by.
+// Input holds everything that a decision depends on.
 type Input struct {
 	Now   time.Time
 	Terms Terms
-	// Halls are the data halls of the service, in order; Emptied are those that get nothing.
+	// Halls are the data halls of the service, in order. Servers in the halls of Emptied are not counted and
+	// none are ordered there.
 	Halls   []string
 	Emptied map[string]bool
-	// Places is what stands.
+	// Places is the state of each pool.
 	Places map[Place]Standing
-	// Slots is how many requests one server works on; without it nothing is ordered.
+	// Slots is the number of requests that one server processes concurrently. If it is 0 nothing is ordered.
 	Slots int
-	// Peak is the most work that was under way at once lately, with a small request as 1.
-	// Known is false if there has been no work yet, Settled while it has been watched for a
-	// shorter time than a peak counts.
+	// Peak is the maximum load in flight in the recent past, where a small request counts 1. Known is set once
+	// there has been load, and Settled once the load has been observed for the whole peak window.
 	Peak    float64
 	Known   bool
 	Settled bool
-	// Planned is how many servers were last found to be needed, 0 if nobody has found yet.
+	// Planned is the number of servers that the last decision needed, 0 if there was none.
 	Planned int
-	// EndedAt is when servers were last ended.
+	// EndedAt is when servers were last stopped.
 	EndedAt time.Time
-	// Steady tells that as many servers as now have stood for a while.
+	// Steady is set if the number of servers has not changed for some time.
 	Steady bool
 }
 
-// Order asks for a number of servers in a place.
+// Order sets the number of servers of a pool.
 type Order struct {
 	Place Place
 	Count int
-	// Fewer tells that servers are ended by it, Why in a few words what it rests on.
+	// Fewer is set if the order stops servers. Why is a short reason for the log.
 	Fewer bool
 	Why   string
 }
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -7,35 +7,34 @@
 	"ladderridge.example/core/autoscaling"
 )
 
-// site is a provider of servers in three halls, as far as the decision sees it. Its time moves
-// in steps.
+// site simulates a provider of servers in three halls. Its time advances in steps.
 type site struct {
 	now     time.Time
 	halls   []string
-	places  map[autoscaling.Place]*stock
-	emptied map[string]bool
-	dry     map[string]bool
+	places  map[autoscaling.Place]*simPool
+	drained map[string]bool
+	noSpot  map[string]bool
 	demand  autoscaling.Demand
-	stands  autoscaling.Stand
+	counts  autoscaling.Stand
 	planned int
 	ended   time.Time
 	terms   autoscaling.Terms
-	// given are the orders that were carried out.
-	given int
-	// lateBy is how much later than it is given an order is carried out.
-	lateBy time.Duration
+	// executed counts the orders that were carried out.
+	executed int
+	// orderDelay is how long the provider waits before it carries out an order.
+	orderDelay time.Duration
 }
 
-// stock is what a place has: servers that serve, and those that start, by when they serve.
-type stock struct {
-	serving  int
-	starting []time.Time
-	ordered  int
-	asked    bool
-	none     time.Time
-	most     int
-	short    time.Time
-	orderAt  time.Time
+// simPool is the state of a pool: the number of servers that serve, and when those that start will serve.
+type simPool struct {
+	serving   int
+	starting  []time.Time
+	ordered   int
+	asked     bool
+	noneUntil time.Time
+	peak      int
+	short     time.Time
+	orderAt   time.Time
 }
 
 const (
@@ -46,21 +45,21 @@
 
 func newSite(each int) *site {
 	s := &site{
-		now: time.Unix(1000, 0), halls: []string{"a", "b", "c"}, places: map[autoscaling.Place]*stock{}, emptied: map[string]bool{}, dry: map[string]bool{},
+		now: time.Unix(1000, 0), halls: []string{"a", "b", "c"}, places: map[autoscaling.Place]*simPool{}, drained: map[string]bool{}, noSpot: map[string]bool{},
 		terms: autoscaling.Terms{Least: 1, Most: 40, Boot: boot, SpotPrice: 0.2},
 	}
 	for _, hall := range s.halls {
-		s.places[autoscaling.Place{Hall: hall, Kind: autoscaling.Regular}] = &stock{serving: each}
-		s.places[autoscaling.Place{Hall: hall, Kind: autoscaling.Spot}] = &stock{}
+		s.places[autoscaling.Place{Hall: hall, Kind: autoscaling.Regular}] = &simPool{serving: each}
+		s.places[autoscaling.Place{Hall: hall, Kind: autoscaling.Spot}] = &simPool{}
 	}
 	return s
 }
 
-// run plays a while with as much work under way.
-func (s *site) run(d time.Duration, work float64) {
+// run simulates a period with constant load in flight.
+func (s *site) run(d time.Duration, load float64) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(step) {
 		s.start()
-		s.demand.Note(work, s.now)
+		s.demand.Note(load, s.now)
 		in := s.input()
 		for _, o := range autoscaling.Decide(in) {
 			s.carryOut(o)
@@ -69,7 +68,7 @@
 	}
 }
 
-// start lets servers serve that have started.
+// start makes servers serve that have started.
 func (s *site) start() {
 	for _, at := range s.places {
 		var left []time.Time
@@ -86,27 +85,27 @@
 
 func (s *site) carryOut(o autoscaling.Order) {
 	at := s.places[o.Place]
-	if o.Place.Kind == autoscaling.Spot && s.dry[o.Place.Hall] {
-		at.none, at.asked = s.now.Add(2*time.Second), false
+	if o.Place.Kind == autoscaling.Spot && s.noSpot[o.Place.Hall] {
+		at.noneUntil, at.asked = s.now.Add(2*time.Second), false
 		return
 	}
-	s.given++
+	s.executed++
 	if o.Fewer {
 		s.ended = s.now
 	}
-	at.ordered, at.asked, at.most, at.orderAt, at.short = o.Count, true, 0, s.now, time.Time{}
+	at.ordered, at.asked, at.peak, at.orderAt, at.short = o.Count, true, 0, s.now, time.Time{}
 	for at.serving+len(at.starting) < o.Count {
-		at.starting = append(at.starting, s.now.Add(boot+s.lateBy))
+		at.starting = append(at.starting, s.now.Add(boot+s.orderDelay))
 	}
 	at.starting = at.starting[:min(len(at.starting), max(0, o.Count-at.serving))]
 	at.serving = min(at.serving, o.Count)
 }
 
 func (s *site) input() autoscaling.Input {
-	in := autoscaling.Input{Now: s.now, Terms: s.terms, Halls: s.halls, Emptied: s.emptied, Slots: slots, Planned: s.planned, EndedAt: s.ended, Places: map[autoscaling.Place]autoscaling.Standing{}}
+	in := autoscaling.Input{Now: s.now, Terms: s.terms, Halls: s.halls, Emptied: s.drained, Slots: slots, Planned: s.planned, EndedAt: s.ended, Places: map[autoscaling.Place]autoscaling.Standing{}}
 	standing := 0
 	for p, at := range s.places {
-		at.most = max(at.most, at.serving)
+		at.peak = max(at.peak, at.serving)
 		switch {
 		case !at.asked || at.serving >= at.ordered:
 			at.short = time.Time{}
@@ -116,26 +115,26 @@
 		standing += at.serving
 		in.Places[p] = autoscaling.Standing{
 			Serving: at.serving, Warm: at.serving, Ordered: at.ordered, Asked: at.asked, Short: at.short,
-			Lost: at.asked && at.serving < min(at.most, at.ordered), None: s.now.Before(at.none),
+			Lost: at.asked && at.serving < min(at.peak, at.ordered), None: s.now.Before(at.noneUntil),
 		}
 	}
-	in.Steady = s.stands.Note(standing, s.now)
+	in.Steady = s.counts.Note(standing, s.now)
 	in.Peak, in.Known = s.demand.Peak()
 	in.Settled = s.demand.Settled(s.now)
 	return in
 }
 
-// reclaim takes all spot servers of a hall back; for a while there are no others.
+// reclaim makes the provider reclaim all spot servers of a hall, without replacements for some time.
 func (s *site) reclaim(hall string) {
-	s.dry[hall] = true
+	s.noSpot[hall] = true
 	s.places[autoscaling.Place{Hall: hall, Kind: autoscaling.Spot}].serving = 0
 }
 
-// serving counts servers of a kind, in one hall or in all.
+// serving returns the number of servers of a kind, in one hall or in all.
 func (s *site) serving(kind autoscaling.Kind, halls ...string) int {
 	sum := 0
 	for p, at := range s.places {
-		if p.Kind == kind && (len(halls) == 0 || p.Hall == halls[0]) && !s.emptied[p.Hall] {
+		if p.Kind == kind && (len(halls) == 0 || p.Hall == halls[0]) && !s.drained[p.Hall] {
 			sum += at.serving
 		}
 	}
@@ -144,8 +143,8 @@
 
 func (s *site) all() int { return s.serving(autoscaling.Regular) + s.serving(autoscaling.Spot) }
 
-// Servers of a site that starts are listed one after the other. The first three were taken for
-// all of them, and the rest was ended before anybody called.
+// The servers of a new site appear in the VM list one after the other. The first three were taken for all of them,
+// and the rest was stopped before there was any request.
 func TestNothingIsOrderedWhileServersAreStillBeingListed(t *testing.T) {
 	s := newSite(1)
 	for _, at := range s.places {
@@ -155,24 +154,24 @@
 	}
 	s.run(15*time.Second, 0)
 	if n := s.all(); n < 40 {
-		t.Errorf("%d servers stand before anybody has called", n)
+		t.Errorf("%d servers run before the first request", n)
 	}
 }
 
-func TestSpotServersTakeThePlaceOfDearOnes(t *testing.T) {
+func TestSpotServersReplaceOnDemandServers(t *testing.T) {
 	s := newSite(20)
 	s.run(15*time.Second, 0)
 	if n := s.serving(autoscaling.Regular); n > 0 {
-		t.Errorf("%d dear servers stand", n)
+		t.Errorf("%d on-demand servers run", n)
 	}
 	for _, hall := range s.halls {
 		if n := s.serving(autoscaling.Spot, hall); n != 20 {
-			t.Errorf("%d spot servers in %s: any two halls are to carry what any two did", n, hall)
+			t.Errorf("%d spot servers in %s: any two halls must carry as much as before", n, hall)
 		}
 	}
 }
 
-func TestDearServersAreKeptWhereSpotServersCostAsMuch(t *testing.T) {
+func TestOnDemandServersAreKeptWhereSpotServersCostAsMuch(t *testing.T) {
 	s := newSite(20)
 	s.terms.SpotPrice = 1
 	s.run(30*time.Second, 500)
@@ -180,29 +179,30 @@
 		t.Errorf("%d spot servers", n)
 	}
 	if n := s.serving(autoscaling.Regular); n == 0 || n >= 60 {
-		t.Errorf("%d servers carry what eight can", n)
+		t.Errorf("%d servers carry a load for eight", n)
 	}
 }
 
-// A wave of load whose crest is less than a peak counts apart must not end servers in its trough.
-func TestWaveEndsNoServers(t *testing.T) {
+// A periodic load whose crests are closer together than the peak window must not cause servers to be stopped in its
+// troughs.
+func TestPeriodicLoadStopsNoServers(t *testing.T) {
 	s := newSite(20)
 	s.run(15*time.Second, 0)
 	for range 4 {
 		s.run(6*time.Second, 1500)
 		s.run(6*time.Second, 800)
 	}
-	before := s.given
+	before := s.executed
 	for range 4 {
 		s.run(6*time.Second, 1500)
 		s.run(6*time.Second, 800)
 	}
-	if s.given != before {
-		t.Errorf("%d orders in a wave that has been seen", s.given-before)
+	if s.executed != before {
+		t.Errorf("%d orders during a load wave that has been observed before", s.executed-before)
 	}
 }
 
-func TestJumpIsAnsweredWithinTheTimeToStart(t *testing.T) {
+func TestLoadJumpIsMetWithinTheBootTime(t *testing.T) {
 	s := newSite(20)
 	s.run(15*time.Second, 0)
 	s.run(25*time.Second, 800)
@@ -217,9 +217,8 @@
 	}
 }
 
-// All spot servers of a hall are taken back at the peak, and there are no others for ten
-// seconds.
-func TestAnyHallsSpotServersMayBeTakenBack(t *testing.T) {
+// All spot servers of a hall are reclaimed at peak load, and there are no replacements for ten seconds.
+func TestSpotServersOfAnyHallMayBeReclaimed(t *testing.T) {
 	s := newSite(20)
 	s.run(15*time.Second, 0)
 	s.run(30*time.Second, 1500)
@@ -229,24 +228,24 @@
 			t.Errorf("%d servers without %s", n, hall)
 		}
 		s.run(10*time.Second, 1500)
-		s.dry[hall] = false
+		s.noSpot[hall] = false
 		s.run(15*time.Second, 1500)
 		if n := s.serving(autoscaling.Spot, hall); n == 0 {
-			t.Errorf("nothing stands in %s again", hall)
+			t.Errorf("no spot servers run in %s again", hall)
 		}
 	}
 	if n := s.serving(autoscaling.Regular); n > 0 {
-		t.Errorf("%d dear servers", n)
+		t.Errorf("%d on-demand servers", n)
 	}
 }
 
-// One hall was emptied when the spot servers of another were taken back, and what stood in the
-// third carried a third of the requests.
-func TestHallMayBeLostWhileAnotherIsEmptied(t *testing.T) {
+// One hall was drained when the spot servers of another were reclaimed, and the servers of the third hall carried a
+// third of the load only.
+func TestHallMayBeLostWhileAnotherIsDrained(t *testing.T) {
 	s := newSite(20)
 	s.run(15*time.Second, 0)
 	s.run(30*time.Second, 1500)
-	s.emptied["a"] = true
+	s.drained["a"] = true
 	s.run(8*time.Second, 1500)
 	s.reclaim("b")
 	if n := s.all(); n*slots < 1500 {
@@ -254,7 +253,7 @@
 	}
 }
 
-func TestDearServersStandInWhereNoSpotServersAreToBeHad(t *testing.T) {
+func TestOnDemandServersReplaceUnavailableSpotServers(t *testing.T) {
 	s := newSite(20)
 	s.run(15*time.Second, 0)
 	for _, hall := range s.halls {
@@ -264,39 +263,39 @@
 	if n := s.serving(autoscaling.Regular); n*slots < 1500 {
 		t.Errorf("%d servers", n)
 	}
-	clear(s.dry)
+	clear(s.noSpot)
 	s.run(60*time.Second, 1500)
 	if n := s.serving(autoscaling.Regular); n > 0 {
-		t.Errorf("%d dear servers still stand", n)
+		t.Errorf("%d on-demand servers still run", n)
 	}
 }
 
-func TestOrdersThatAreCarriedOutLateAreNotGivenManyTimes(t *testing.T) {
+func TestSlowOrdersAreNotRepeatedOften(t *testing.T) {
 	s := newSite(20)
-	s.lateBy = 3 * time.Second
+	s.orderDelay = 3 * time.Second
 	s.run(15*time.Second, 0)
-	before := s.given
+	before := s.executed
 	s.run(10*time.Second, 3000)
-	if n := s.given - before; n > 9 {
+	if n := s.executed - before; n > 9 {
 		t.Errorf("%d orders for one rise", n)
 	}
 }
 
-// A holder of the duty that knows nothing yet of the work under way ended most of the servers.
+// A new holder of the duty, which did not know the load in flight yet, stopped most of the servers.
 func TestNewHolderKeepsWhatWasNeeded(t *testing.T) {
 	s := newSite(20)
 	s.run(15*time.Second, 0)
 	s.run(30*time.Second, 2500)
 	stood := s.all()
-	s.demand, s.stands = autoscaling.Demand{}, autoscaling.Stand{}
+	s.demand, s.counts = autoscaling.Demand{}, autoscaling.Stand{}
 	s.run(15*time.Second, 50)
 	if n := s.all(); n < stood*2/3 {
 		t.Errorf("%d servers of %d are left to a new holder", n, stood)
 	}
 }
 
-// A version that had been brought in came with servers of its own. They were more than had
-// been ordered, and an order for one more ended them.
+// A version that was rolled out brought its own servers. There were then more than had been ordered, and an order for
+// one more stopped them.
 func TestServersBeyondTheOrderAreNotEndedByAnOrderForMore(t *testing.T) {
 	in := newSite(20).input()
 	in.Known, in.Settled, in.Peak = true, true, 4000
@@ -311,18 +310,18 @@
 	}
 }
 
-func TestBoundOfAHallHoldsForAllThatStandsThere(t *testing.T) {
+func TestHallLimitCoversAllServersThere(t *testing.T) {
 	in := newSite(20).input()
 	in.Known, in.Settled, in.Peak = true, true, 20000
 	in.Places[autoscaling.Place{Hall: "a", Kind: autoscaling.Regular}] = autoscaling.Standing{Serving: 10, Warm: 10, Coming: 20}
 	for _, o := range autoscaling.Decide(in) {
 		if o.Place.Hall == "a" && o.Place.Kind == autoscaling.Spot && o.Count > 10 {
-			t.Errorf("%+v: 30 stand there, and 40 may", o)
+			t.Errorf("%+v: 30 servers run there, and the limit is 40", o)
 		}
 	}
 }
 
-func TestServicesWithoutTermsGetNoOrders(t *testing.T) {
+func TestServicesWithoutAPolicyGetNoOrders(t *testing.T) {
 	in := newSite(20).input()
 	in.Terms, in.Steady = autoscaling.Terms{}, true
 	if orders := autoscaling.Decide(in); len(orders) > 0 {
@@ -330,8 +329,8 @@
 	}
 }
 
-// Without the number of a server's slots the work under way says nothing of how many are needed,
-// and one server seemed to be enough.
+// Without the number of slots of a server the load in flight does not show how many servers are needed, and one
+// seemed to be enough.
 func TestServersOfUnknownSlotsAreLeftAlone(t *testing.T) {
 	in := newSite(20).input()
 	in.Slots, in.Known, in.Settled, in.Peak = 0, true, true, 1500
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Decide returns the orders to give now: first those for more.
+// Decide returns the orders to send now. Those that start servers come first.
 func Decide(in Input) []Order {
 	if !in.Terms.Ordered() || in.Slots == 0 {
 		return nil
 	}
-	if in.first() && !in.Steady {
-		// Servers that start together are listed one after the other.
+	if in.firstDecision() && !in.Steady {
+		// Servers that start together appear in the VM list one after the other.
 		return nil
 	}
 	wanted := in.Wanted()
-	var ends map[Place]int
-	if in.Now.Sub(in.EndedAt) >= endEvery {
-		ends = in.ends(wanted)
+	var downTo map[Place]int
+	if in.Now.Sub(in.EndedAt) >= scaleDownInterval {
+		downTo = in.scaleDown(wanted)
 	}
 	var out []Order
 	for place, n := range wanted {
-		if o, ok := in.order(place, n, ends); ok {
+		if o, ok := in.order(place, n, downTo); ok {
 			out = append(out, o)
 		}
 	}
@@ -32,20 +32,20 @@
 	return out
 }
 
-// first reports whether nothing is known yet: neither how many are needed nor what was ordered.
-func (in Input) first() bool { return !in.Known && in.Planned == 0 }
+// firstDecision reports whether neither the load nor an earlier decision is known.
+func (in Input) firstDecision() bool { return !in.Known && in.Planned == 0 }
 
-// rank puts orders for more before those for fewer.
+// rank sorts orders that start servers before those that stop servers.
 func (in Input) rank(o Order) int {
-	if o.Count > in.stands(o.Place) {
+	if o.Count > in.size(o.Place) {
 		return 0
 	}
 	return 1
 }
 
-// stands is how many servers a place has or is to have by the last order. There may be more
-// than were ordered: a version that was brought in comes with servers of its own.
-func (in Input) stands(p Place) int {
+// size returns the number of servers that a pool has or will have after the last order. It may have more than
+// were ordered, since a version that is rolled out brings its own servers.
+func (in Input) size(p Place) int {
 	s := in.Places[p]
 	if s.Asked {
 		return max(s.Ordered, s.Serving)
@@ -53,94 +53,93 @@
 	return s.Serving
 }
 
-// order is what is asked of one place, if anything. ends has the places where servers may be
-// ended, by how many are to stay.
-func (in Input) order(p Place, n int, ends map[Place]int) (Order, bool) {
+// order returns the order for one pool, if any. downTo holds the pools whose servers may be stopped, with the
+// number that remains.
+func (in Input) order(p Place, n int, downTo map[Place]int) (Order, bool) {
 	s := in.Places[p]
-	// Both kinds together have a bound: more of one wait until the other has gone.
-	stands := in.stands(p)
-	n = min(n, max(stands, in.Terms.Most-in.other(p)))
-	stay, mayEnd := ends[p]
+	// The limit applies to both kinds together, so one kind only grows after the other has shrunk.
+	size := in.size(p)
+	n = min(n, max(size, in.Terms.Most-in.otherServers(p)))
+	remaining, mayStop := downTo[p]
 	switch {
 	case s.None:
 		return Order{}, false
 	case s.Lost && n > 0:
-		return Order{Place: p, Count: n, Why: "servers were taken back"}, true
-	case n > stands:
-		return Order{Place: p, Count: n, Why: "more are needed"}, true
-	case mayEnd:
-		return Order{Place: p, Count: stay, Fewer: true, Why: "fewer carry it"}, true
-	case s.Asked && !s.Short.IsZero() && in.Now.Sub(s.Short).Seconds() > againAfter*in.Terms.Boot.Seconds():
-		return Order{Place: p, Count: stands, Why: "what was ordered has not come"}, true
+		return Order{Place: p, Count: n, Why: "servers were lost"}, true
+	case n > size:
+		return Order{Place: p, Count: n, Why: "more servers are needed"}, true
+	case mayStop:
+		return Order{Place: p, Count: remaining, Fewer: true, Why: "fewer servers carry the load"}, true
+	case s.Asked && !s.Short.IsZero() && in.Now.Sub(s.Short).Seconds() > reorderFactor*in.Terms.Boot.Seconds():
+		return Order{Place: p, Count: size, Why: "ordered servers have not started in time"}, true
 	}
 	return Order{}, false
 }
 
-// other is how many servers a hall has besides those of a place.
-func (in Input) other(p Place) int {
+// otherServers returns the number of servers in the hall that do not belong to the pool.
+func (in Input) otherServers(p Place) int {
 	regular, spot := Place{p.Hall, Regular}, Place{p.Hall, Spot}
 	sum := in.Places[regular].Coming + in.Places[spot].Coming
 	if p.Kind == Spot {
-		return sum + in.stands(regular)
+		return sum + in.size(regular)
 	}
-	return sum + in.stands(spot)
+	return sum + in.size(spot)
 }
 
 const (
-	// againAfter is how many times the time to start a server an order may take until it is
-	// given again.
-	againAfter = 1.5
-	// endSteps is in how many steps servers that are too many may be ended.
-	endSteps = 4
-	// endEvery is the least time between two of them: what was ended must show in what
-	// requests take before more are.
-	endEvery = 5 * time.Second
+	// reorderFactor is how long an order may take, as a multiple of the boot time, before it is repeated.
+	reorderFactor = 1.5
+	// scaleDownSteps is the number of steps in which surplus servers may be stopped.
+	scaleDownSteps = 4
+	// scaleDownInterval is the minimum time between two of these steps. The effect of one step must show in the
+	// latency of requests before the next one.
+	scaleDownInterval = 5 * time.Second
 )
 
-// ends returns the places where servers are to be ended, by how many stay: as many as leave
-// enough that are up to speed to carry what is needed without any one hall. Where spot servers
-// take the place of others, and both do not fit into a hall, that goes by steps.
-func (in Input) ends(wanted map[Place]int) map[Place]int {
-	for step := range endSteps {
-		stay := map[Place]int{}
+// scaleDown returns the pools whose servers are to be stopped, with the number that remains. Enough warm
+// servers remain to carry the load without any one hall. Where spot servers replace on-demand servers and a hall
+// has no room for both, this takes several steps.
+func (in Input) scaleDown(wanted map[Place]int) map[Place]int {
+	for step := range scaleDownSteps {
+		remaining := map[Place]int{}
 		for p, n := range wanted {
-			// A new holder does not know yet how many of those that cost little are needed.
-			if stands := in.stands(p); n < stands && (in.Settled || p.Kind == Regular) {
-				stay[p] = n + (stands-n)*step/endSteps
+			// A new holder of the duty does not know yet how many of the cheap servers are needed.
+			if size := in.size(p); n < size && (in.Settled || p.Kind == Regular) {
+				remaining[p] = n + (size-n)*step/scaleDownSteps
 			}
 		}
-		if in.suffices(stay) {
-			return stay
+		if in.suffices(remaining) {
+			return remaining
 		}
 	}
 	return nil
 }
 
-// suffices reports whether what stays carries what is needed without any one hall.
-func (in Input) suffices(stay map[Place]int) bool {
+// suffices reports whether the servers that remain can carry the load without any one hall.
+func (in Input) suffices(remaining map[Place]int) bool {
 	sum, largest := 0, 0
-	for _, hall := range in.open() {
-		of := 0
+	for _, hall := range in.openHalls() {
+		warmInHall := 0
 		for _, kind := range []Kind{Regular, Spot} {
 			p := Place{hall, kind}
 			warm := in.Places[p].Warm
-			if n, fewer := stay[p]; fewer {
+			if n, fewer := remaining[p]; fewer {
 				warm = min(warm, n)
 			}
-			of += warm
+			warmInHall += warm
 		}
-		sum, largest = sum+of, max(largest, of)
+		sum, largest = sum+warmInHall, max(largest, warmInHall)
 	}
-	if in.lost() {
+	if in.hallLost() {
 		largest = 0
 	}
-	return sum-largest >= min(in.Need(), in.Terms.Most*in.bearing())
+	return sum-largest >= min(in.Need(), in.Terms.Most*in.carryingHalls())
 }
 
-// lost reports whether a hall is lost already, so that no other one need be spared: it has no
-// servers and gets none.
-func (in Input) lost() bool {
-	open := in.open()
+// hallLost reports whether a hall is lost already, so that the loss of another one need not be covered: it has no
+// servers and cannot get any.
+func (in Input) hallLost() bool {
+	open := in.openHalls()
 	return len(open) == 1 || slices.ContainsFunc(open, func(hall string) bool {
 		regular, spot := in.Places[Place{hall, Regular}], in.Places[Place{hall, Spot}]
 		return spot.None && regular.Warm+spot.Warm == 0
--- a/core/autoscaling/demand.go
+++ b/core/autoscaling/demand.go
@@ -3,55 +3,55 @@
 import "time"
 
 const (
-	// peakFor is how long the peak of the work under way counts: longer than a wave of load
-	// and the time to start servers again.
-	peakFor = 20 * time.Second
-	// sampleEvery is the least time between two samples.
-	sampleEvery = 500 * time.Millisecond
+	// peakWindow is the time over which the peak load is taken. It is longer than a wave of load and longer than it
+	// takes to start servers again.
+	peakWindow = 20 * time.Second
+	// sampleInterval is the minimum time between two samples.
+	sampleInterval = 500 * time.Millisecond
 )
 
-// steadyFor is how long as many servers must have stood before any are ordered without work
-// that tells how many are needed.
-const steadyFor = 2 * time.Second
+// steadyTime is how long the number of servers must not have changed before any are ordered while the load is not
+// known.
+const steadyTime = 2 * time.Second
 
-// Stand watches how many servers stand. It has one owner.
+// Stand observes the number of servers. It must be used by one goroutine at a time.
 type Stand struct {
 	count int
 	since time.Time
 }
 
-// Note takes how many servers stand now, and reports whether as many have for a while.
+// Note records the current number of servers and reports whether it has not changed for some time.
 func (s *Stand) Note(count int, now time.Time) (steady bool) {
 	if count != s.count || s.since.IsZero() {
 		s.count, s.since = count, now
 	}
-	return now.Sub(s.since) >= steadyFor
+	return now.Sub(s.since) >= steadyTime
 }
 
-// Demand is the work that was under way lately. It has one owner.
+// Demand keeps the recent load in flight. It must be used by one goroutine at a time.
 type Demand struct {
 	samples []sample
 	known   bool
-	// since is when there was work for the first time.
+	// since is when there was load for the first time.
 	since time.Time
 }
 
 type sample struct {
 	at   time.Time
-	work float64
+	load float64
 }
 
-// Note takes the work that is under way now.
-func (d *Demand) Note(work float64, now time.Time) {
-	if !d.known && work < 1 {
+// Note records the current load in flight.
+func (d *Demand) Note(load float64, now time.Time) {
+	if !d.known && load < 1 {
 		return
 	}
-	if n := len(d.samples); n > 0 && now.Sub(d.samples[n-1].at) < sampleEvery {
-		d.samples[n-1].work = max(d.samples[n-1].work, work)
+	if n := len(d.samples); n > 0 && now.Sub(d.samples[n-1].at) < sampleInterval {
+		d.samples[n-1].load = max(d.samples[n-1].load, load)
 	} else {
-		d.samples = append(d.samples, sample{at: now, work: work})
+		d.samples = append(d.samples, sample{at: now, load: load})
 	}
-	for len(d.samples) > 0 && now.Sub(d.samples[0].at) > peakFor {
+	for len(d.samples) > 0 && now.Sub(d.samples[0].at) > peakWindow {
 		d.samples = d.samples[1:]
 	}
 	if !d.known {
@@ -59,13 +59,13 @@
 	}
 }
 
-// Peak is the most work under way at once lately; ok is false if there was none yet.
-func (d *Demand) Peak() (work float64, ok bool) {
+// Peak returns the maximum load in flight in the peak window; ok is false if there has been no load yet.
+func (d *Demand) Peak() (load float64, ok bool) {
 	for _, s := range d.samples {
-		work = max(work, s.work)
+		load = max(load, s.load)
 	}
-	return work, d.known
+	return load, d.known
 }
 
-// Settled reports whether work has been watched for as long as a peak counts.
-func (d *Demand) Settled(now time.Time) bool { return d.known && now.Sub(d.since) >= peakFor }
+// Settled reports whether the load has been observed for the whole peak window.
+func (d *Demand) Settled(now time.Time) bool { return d.known && now.Sub(d.since) >= peakWindow }
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// fullUse is the part of a server's slots that the work under way may come to at its peak:
-// beyond it requests wait, so that servers are ordered at any price.
-const fullUse = 1.0
+// maxUtilization is the utilization of a server's slots that the peak load may reach. Above it requests wait, so
+// that servers are ordered at any price.
+const maxUtilization = 1.0
 
-// Need is how many servers carry what is under way at its peak, if they are full. Until that
-// has been watched for long enough it is at least what was needed before, or what now stands
-// without its largest hall: what stands was meant to bear that.
+// Need returns how many servers carry the peak load when fully utilized. Until the load has been observed for the
+// whole peak window, the result is at least the number of the last decision or, if there was none, the number of
+// servers that serve now without the largest hall: they were sized to survive its loss.
 func (in Input) Need() int {
-	need := in.carry(fullUse)
+	need := in.serversFor(maxUtilization)
 	switch {
 	case in.Settled:
 		return need
@@ -28,15 +28,15 @@
 	return max(need, sum-largest)
 }
 
-// carry is how many servers carry what is under way at its peak with a part of their slots.
-func (in Input) carry(use float64) int {
+// serversFor returns how many servers carry the peak load at the given utilization.
+func (in Input) serversFor(utilization float64) int {
 	if !in.Known {
 		return 1
 	}
-	return max(1, int(math.Ceil(in.Peak/(use*float64(in.Slots)))))
+	return max(1, int(math.Ceil(in.Peak/(utilization*float64(in.Slots)))))
 }
 
-// Wanted is how many servers are to stand in each place of the halls that are not emptied.
+// Wanted returns the number of servers to run in each pool of the halls that are not drained.
 func (in Input) Wanted() map[Place]int {
 	out := map[Place]int{}
 	kind, halls := in.kind()
@@ -45,10 +45,10 @@
 	}
 	need := in.Need()
 	if kind == Spot {
-		need = max(need, in.carry(in.Terms.easyUse()))
+		need = max(need, in.serversFor(in.Terms.spotUtilization()))
 	}
-	each := int(math.Ceil(float64(need) / float64(min(len(halls), in.bearing()))))
-	for _, hall := range in.open() {
+	each := int(math.Ceil(float64(need) / float64(min(len(halls), in.carryingHalls()))))
+	for _, hall := range in.openHalls() {
 		for _, k := range []Kind{Regular, Spot} {
 			out[Place{hall, k}] = 0
 		}
@@ -62,37 +62,37 @@
 	return out
 }
 
-// bearing is how many halls are to carry everything: all that are not emptied but one, so that
-// any one may be lost while another is emptied.
-func (in Input) bearing() int { return max(1, len(in.open())-1) }
+// carryingHalls returns the number of halls that have to carry the whole load: all open halls except one, so that
+// one may be lost while another one is drained.
+func (in Input) carryingHalls() int { return max(1, len(in.openHalls())-1) }
 
-// open are the halls that are not emptied.
-func (in Input) open() []string {
+// openHalls returns the halls that are not drained.
+func (in Input) openHalls() []string {
 	return slices.DeleteFunc(slices.Clone(in.Halls), func(h string) bool { return in.Emptied[h] })
 }
 
-// kind is what is ordered, and where it is to be had: spot servers where they cost less, and
-// others if there are none of them anywhere and what stands does not carry everything.
+// kind returns the kind of servers to order and the halls that can provide it: spot servers where they are cheaper,
+// and on-demand servers if no hall has any and the running servers do not carry the load.
 func (in Input) kind() (Kind, []string) {
-	open := in.open()
+	open := in.openHalls()
 	if in.Terms.SpotPrice == 0 || in.Terms.SpotPrice >= 1 {
-		return Regular, in.having(open, Regular)
+		return Regular, in.available(open, Regular)
 	}
-	if halls := in.having(open, Spot); len(halls) > 0 || in.carries() {
+	if halls := in.available(open, Spot); len(halls) > 0 || in.carriesLoad() {
 		return Spot, halls
 	}
-	return Regular, in.having(open, Regular)
+	return Regular, in.available(open, Regular)
 }
 
-// carries reports whether what stands carries everything, with no hall to spare.
-func (in Input) carries() bool {
+// carriesLoad reports whether the running servers carry the load, without a hall in reserve.
+func (in Input) carriesLoad() bool {
 	sum := 0
-	for _, hall := range in.open() {
+	for _, hall := range in.openHalls() {
 		sum += in.Places[Place{hall, Regular}].Serving + in.Places[Place{hall, Spot}].Serving
 	}
 	return sum >= in.Need()
 }
 
-func (in Input) having(halls []string, kind Kind) []string {
+func (in Input) available(halls []string, kind Kind) []string {
 	return slices.DeleteFunc(slices.Clone(halls), func(h string) bool { return in.Places[Place{h, kind}].None })
 }
