--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -47,8 +47,8 @@
 	Spot Kind = "spot"
 )
 
-// Place identifies the servers of one kind in one data hall.
-type Place struct {
+// Pool identifies the servers of one kind in one data hall.
+type Pool struct {
 	Hall string
 	Kind Kind
 }
@@ -82,7 +82,7 @@
 	Halls   []string
 	Emptied map[string]bool
 	// Places is the state of each pool.
-	Places map[Place]Standing
+	Places map[Pool]Standing
 	// Slots is the number of requests that one server processes concurrently. If it is 0 nothing is ordered.
 	Slots int
 	// Peak is the maximum load in flight in the recent past, where a small request counts 1. Known is set once
@@ -100,7 +100,7 @@
 
 // Order sets the number of servers of a pool.
 type Order struct {
-	Place Place
+	Place Pool
 	Count int
 	// Fewer is set if the order stops servers. Why is a short reason for the log.
 	Fewer bool
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -11,7 +11,7 @@
 type site struct {
 	now     time.Time
 	halls   []string
-	places  map[autoscaling.Place]*simPool
+	places  map[autoscaling.Pool]*simPool
 	drained map[string]bool
 	noSpot  map[string]bool
 	demand  autoscaling.Demand
@@ -45,12 +45,12 @@
 
 func newSite(each int) *site {
 	s := &site{
-		now: time.Unix(1000, 0), halls: []string{"a", "b", "c"}, places: map[autoscaling.Place]*simPool{}, drained: map[string]bool{}, noSpot: map[string]bool{},
+		now: time.Unix(1000, 0), halls: []string{"a", "b", "c"}, places: map[autoscaling.Pool]*simPool{}, drained: map[string]bool{}, noSpot: map[string]bool{},
 		terms: autoscaling.Terms{Least: 1, Most: 40, Boot: boot, SpotPrice: 0.2},
 	}
 	for _, hall := range s.halls {
-		s.places[autoscaling.Place{Hall: hall, Kind: autoscaling.Regular}] = &simPool{serving: each}
-		s.places[autoscaling.Place{Hall: hall, Kind: autoscaling.Spot}] = &simPool{}
+		s.places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Regular}] = &simPool{serving: each}
+		s.places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = &simPool{}
 	}
 	return s
 }
@@ -102,7 +102,7 @@
 }
 
 func (s *site) input() autoscaling.Input {
-	in := autoscaling.Input{Now: s.now, Terms: s.terms, Halls: s.halls, Emptied: s.drained, Slots: slots, Planned: s.planned, EndedAt: s.ended, Places: map[autoscaling.Place]autoscaling.Standing{}}
+	in := autoscaling.Input{Now: s.now, Terms: s.terms, Halls: s.halls, Emptied: s.drained, Slots: slots, Planned: s.planned, EndedAt: s.ended, Places: map[autoscaling.Pool]autoscaling.Standing{}}
 	standing := 0
 	for p, at := range s.places {
 		at.peak = max(at.peak, at.serving)
@@ -127,7 +127,7 @@
 // reclaim makes the provider reclaim all spot servers of a hall, without replacements for some time.
 func (s *site) reclaim(hall string) {
 	s.noSpot[hall] = true
-	s.places[autoscaling.Place{Hall: hall, Kind: autoscaling.Spot}].serving = 0
+	s.places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}].serving = 0
 }
 
 // serving returns the number of servers of a kind, in one hall or in all.
@@ -300,8 +300,8 @@
 	in := newSite(20).input()
 	in.Known, in.Settled, in.Peak = true, true, 4000
 	for _, hall := range in.Halls {
-		in.Places[autoscaling.Place{Hall: hall, Kind: autoscaling.Spot}] = autoscaling.Standing{None: true}
-		in.Places[autoscaling.Place{Hall: hall, Kind: autoscaling.Regular}] = autoscaling.Standing{Serving: 20, Warm: 20, Asked: true}
+		in.Places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = autoscaling.Standing{None: true}
+		in.Places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Regular}] = autoscaling.Standing{Serving: 20, Warm: 20, Asked: true}
 	}
 	for _, o := range autoscaling.Decide(in) {
 		if o.Count < 20 {
@@ -313,7 +313,7 @@
 func TestHallLimitCoversAllServersThere(t *testing.T) {
 	in := newSite(20).input()
 	in.Known, in.Settled, in.Peak = true, true, 20000
-	in.Places[autoscaling.Place{Hall: "a", Kind: autoscaling.Regular}] = autoscaling.Standing{Serving: 10, Warm: 10, Coming: 20}
+	in.Places[autoscaling.Pool{Hall: "a", Kind: autoscaling.Regular}] = autoscaling.Standing{Serving: 10, Warm: 10, Coming: 20}
 	for _, o := range autoscaling.Decide(in) {
 		if o.Place.Hall == "a" && o.Place.Kind == autoscaling.Spot && o.Count > 10 {
 			t.Errorf("%+v: 30 servers run there, and the limit is 40", o)
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -16,7 +16,7 @@
 		return nil
 	}
 	wanted := in.Wanted()
-	var downTo map[Place]int
+	var downTo map[Pool]int
 	if in.Now.Sub(in.EndedAt) >= scaleDownInterval {
 		downTo = in.scaleDown(wanted)
 	}
@@ -45,7 +45,7 @@
 
 // size returns the number of servers that a pool has or will have after the last order. It may have more than
 // were ordered, since a version that is rolled out brings its own servers.
-func (in Input) size(p Place) int {
+func (in Input) size(p Pool) int {
 	s := in.Places[p]
 	if s.Asked {
 		return max(s.Ordered, s.Serving)
@@ -55,7 +55,7 @@
 
 // order returns the order for one pool, if any. downTo holds the pools whose servers may be stopped, with the
 // number that remains.
-func (in Input) order(p Place, n int, downTo map[Place]int) (Order, bool) {
+func (in Input) order(p Pool, n int, downTo map[Pool]int) (Order, bool) {
 	s := in.Places[p]
 	// The limit applies to both kinds together, so one kind only grows after the other has shrunk.
 	size := in.size(p)
@@ -77,8 +77,8 @@
 }
 
 // otherServers returns the number of servers in the hall that do not belong to the pool.
-func (in Input) otherServers(p Place) int {
-	regular, spot := Place{p.Hall, Regular}, Place{p.Hall, Spot}
+func (in Input) otherServers(p Pool) int {
+	regular, spot := Pool{p.Hall, Regular}, Pool{p.Hall, Spot}
 	sum := in.Places[regular].Coming + in.Places[spot].Coming
 	if p.Kind == Spot {
 		return sum + in.size(regular)
@@ -99,9 +99,9 @@
 // scaleDown returns the pools whose servers are to be stopped, with the number that remains. Enough warm
 // servers remain to carry the load without any one hall. Where spot servers replace on-demand servers and a hall
 // has no room for both, this takes several steps.
-func (in Input) scaleDown(wanted map[Place]int) map[Place]int {
+func (in Input) scaleDown(wanted map[Pool]int) map[Pool]int {
 	for step := range scaleDownSteps {
-		remaining := map[Place]int{}
+		remaining := map[Pool]int{}
 		for p, n := range wanted {
 			// A new holder of the duty does not know yet how many of the cheap servers are needed.
 			if size := in.size(p); n < size && (in.Settled || p.Kind == Regular) {
@@ -116,12 +116,12 @@
 }
 
 // suffices reports whether the servers that remain can carry the load without any one hall.
-func (in Input) suffices(remaining map[Place]int) bool {
+func (in Input) suffices(remaining map[Pool]int) bool {
 	sum, largest := 0, 0
 	for _, hall := range in.openHalls() {
 		warmInHall := 0
 		for _, kind := range []Kind{Regular, Spot} {
-			p := Place{hall, kind}
+			p := Pool{hall, kind}
 			warm := in.Places[p].Warm
 			if n, fewer := remaining[p]; fewer {
 				warm = min(warm, n)
@@ -141,7 +141,7 @@
 func (in Input) hallLost() bool {
 	open := in.openHalls()
 	return len(open) == 1 || slices.ContainsFunc(open, func(hall string) bool {
-		regular, spot := in.Places[Place{hall, Regular}], in.Places[Place{hall, Spot}]
+		regular, spot := in.Places[Pool{hall, Regular}], in.Places[Pool{hall, Spot}]
 		return spot.None && regular.Warm+spot.Warm == 0
 	})
 }
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -22,7 +22,7 @@
 	}
 	sum, largest := 0, 0
 	for _, hall := range in.Halls {
-		n := in.Places[Place{hall, Regular}].Serving + in.Places[Place{hall, Spot}].Serving
+		n := in.Places[Pool{hall, Regular}].Serving + in.Places[Pool{hall, Spot}].Serving
 		sum, largest = sum+n, max(largest, n)
 	}
 	return max(need, sum-largest)
@@ -37,8 +37,8 @@
 }
 
 // Wanted returns the number of servers to run in each pool of the halls that are not drained.
-func (in Input) Wanted() map[Place]int {
-	out := map[Place]int{}
+func (in Input) Wanted() map[Pool]int {
+	out := map[Pool]int{}
 	kind, halls := in.kind()
 	if len(halls) == 0 {
 		return out
@@ -50,14 +50,14 @@
 	each := int(math.Ceil(float64(need) / float64(min(len(halls), in.carryingHalls()))))
 	for _, hall := range in.openHalls() {
 		for _, k := range []Kind{Regular, Spot} {
-			out[Place{hall, k}] = 0
+			out[Pool{hall, k}] = 0
 		}
-		if at := (Place{hall, kind}); !in.Places[at].None {
+		if at := (Pool{hall, kind}); !in.Places[at].None {
 			out[at] = in.Terms.Least
 		}
 	}
 	for _, hall := range halls {
-		out[Place{hall, kind}] = min(in.Terms.Most, max(in.Terms.Least, each))
+		out[Pool{hall, kind}] = min(in.Terms.Most, max(in.Terms.Least, each))
 	}
 	return out
 }
@@ -88,11 +88,11 @@
 func (in Input) carriesLoad() bool {
 	sum := 0
 	for _, hall := range in.openHalls() {
-		sum += in.Places[Place{hall, Regular}].Serving + in.Places[Place{hall, Spot}].Serving
+		sum += in.Places[Pool{hall, Regular}].Serving + in.Places[Pool{hall, Spot}].Serving
 	}
 	return sum >= in.Need()
 }
 
 func (in Input) available(halls []string, kind Kind) []string {
-	return slices.DeleteFunc(slices.Clone(halls), func(h string) bool { return in.Places[Place{h, kind}].None })
+	return slices.DeleteFunc(slices.Clone(halls), func(h string) bool { return in.Places[Pool{h, kind}].None })
 }
--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -205,7 +205,7 @@
 }
 
 // newest is the count last ordered in a place, -1 for none.
-func (p *platform) newest(at autoscaling.Place) int {
+func (p *platform) newest(at autoscaling.Pool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, o := range slices.Backward(p.orders) {
--- a/daemon/duties/leaseholder_test.go
+++ b/daemon/duties/leaseholder_test.go
@@ -127,7 +127,7 @@
 		s.start(t.Context())
 		time.Sleep(10 * time.Second)
 		for _, hall := range []string{"hall-a", "hall-b"} {
-			if n := s.platform.newest(autoscaling.Place{Hall: hall, Kind: autoscaling.Spot}); n != 4 {
+			if n := s.platform.newest(autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}); n != 4 {
 				t.Errorf("%d spot servers are ordered in %s", n, hall)
 			}
 		}
@@ -163,10 +163,10 @@
 		if s.holder(duty.Autoscaling) == nil {
 			t.Error("nobody holds the duty")
 		}
-		if n := s.platform.newest(autoscaling.Place{Hall: "hall-b", Kind: autoscaling.Spot}); n < 4 {
+		if n := s.platform.newest(autoscaling.Pool{Hall: "hall-b", Kind: autoscaling.Spot}); n < 4 {
 			t.Errorf("%d spot servers are ordered where there are some", n)
 		}
-		if n := s.platform.newest(autoscaling.Place{Hall: "hall-a", Kind: autoscaling.Regular}); n >= 0 {
+		if n := s.platform.newest(autoscaling.Pool{Hall: "hall-a", Kind: autoscaling.Regular}); n >= 0 {
 			t.Errorf("%d dear servers are left in hall-a, and nothing has taken their place", n)
 		}
 	})
@@ -183,7 +183,7 @@
 		if s.holder(duty.Autoscaling) == nil || orders == 0 {
 			t.Fatalf("nobody holds the duty, or none was ordered before: %d", orders)
 		}
-		place := autoscaling.Place{Hall: "hall-a", Kind: autoscaling.Spot}
+		place := autoscaling.Pool{Hall: "hall-a", Kind: autoscaling.Spot}
 		if n := s.platform.newest(place); n != 4 {
 			t.Errorf("%d are ordered by the next holder", n)
 		}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -37,7 +37,7 @@
 type serviceOrders struct {
 	demand autoscaling.Demand
 	stands autoscaling.Stand
-	places map[autoscaling.Place]*placeOrders
+	places map[autoscaling.Pool]*placeOrders
 	// planned is how many servers were last found to be needed.
 	planned int
 	toldAt  time.Time
@@ -64,12 +64,12 @@
 
 func (w *ordering) service(name string) *serviceOrders {
 	if w.services[name] == nil {
-		w.services[name] = &serviceOrders{places: map[autoscaling.Place]*placeOrders{}}
+		w.services[name] = &serviceOrders{places: map[autoscaling.Pool]*placeOrders{}}
 	}
 	return w.services[name]
 }
 
-func (o *serviceOrders) place(p autoscaling.Place) *placeOrders {
+func (o *serviceOrders) place(p autoscaling.Pool) *placeOrders {
 	if o.places[p] == nil {
 		o.places[p] = &placeOrders{}
 	}
@@ -116,7 +116,7 @@
 		w.service(name).planned = n
 	}
 	for _, o := range left.Orders {
-		p := w.service(o.Service).place(autoscaling.Place{Hall: o.Hall, Kind: o.Kind})
+		p := w.service(o.Service).place(autoscaling.Pool{Hall: o.Hall, Kind: o.Kind})
 		p.count, p.asked, p.at = o.Count, true, time.Now()
 	}
 }
@@ -214,7 +214,7 @@
 	var text []string
 	for _, hall := range in.Halls {
 		for _, kind := range []autoscaling.Kind{autoscaling.Regular, autoscaling.Spot} {
-			p := autoscaling.Place{Hall: hall, Kind: kind}
+			p := autoscaling.Pool{Hall: hall, Kind: kind}
 			at := in.Places[p]
 			text = append(text, fmt.Sprintf("%s %s: %d of %d, %d warm, %d of another version", hall, kind, at.Serving, at.Ordered, at.Warm, at.Coming))
 		}
@@ -247,7 +247,7 @@
 
 // input is what an order for the service is decided by.
 func (o *serviceOrders) input(s *routemap.Service, v *storesync.View, now time.Time) autoscaling.Input {
-	in := autoscaling.Input{Now: now, Terms: s.Autoscaling, Slots: s.Slots, Emptied: map[string]bool{}, Places: map[autoscaling.Place]autoscaling.Standing{}}
+	in := autoscaling.Input{Now: now, Terms: s.Autoscaling, Slots: s.Slots, Emptied: map[string]bool{}, Places: map[autoscaling.Pool]autoscaling.Standing{}}
 	for hall := range v.Drained {
 		in.Emptied[hall] = true
 	}
@@ -311,9 +311,9 @@
 }
 
 // placeOf is where a server stands.
-func placeOf(s *fleet.Server) autoscaling.Place {
+func placeOf(s *fleet.Server) autoscaling.Pool {
 	if s.Spot {
-		return autoscaling.Place{Hall: s.Hall, Kind: autoscaling.Spot}
+		return autoscaling.Pool{Hall: s.Hall, Kind: autoscaling.Spot}
 	}
-	return autoscaling.Place{Hall: s.Hall, Kind: autoscaling.Regular}
+	return autoscaling.Pool{Hall: s.Hall, Kind: autoscaling.Regular}
 }
