--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -53,8 +53,8 @@
 	Kind Kind
 }
 
-// Standing is the observed state of a pool.
-type Standing struct {
+// PoolState is the observed state of a pool.
+type PoolState struct {
 	// Serving is the number of servers that accept requests and are not leaving. Warm is how many of them have
 	// reached their full speed.
 	Serving int
@@ -82,7 +82,7 @@
 	Halls   []string
 	Emptied map[string]bool
 	// Places is the state of each pool.
-	Places map[Pool]Standing
+	Places map[Pool]PoolState
 	// Slots is the number of requests that one server processes concurrently. If it is 0 nothing is ordered.
 	Slots int
 	// Peak is the maximum load in flight in the recent past, where a small request counts 1. Known is set once
