--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -60,8 +60,8 @@
 	Serving int
 	Warm    int
 	// Ordered is the number of servers that was ordered last, if Asked.
-	Ordered int
-	Asked   bool
+	Ordered  int
+	HasOrder bool
 	// Short is the time since which fewer servers serve than were ordered, zero if enough do. Lost is set if
 	// servers that have served since the last order are gone or leaving.
 	Short time.Time
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -114,7 +114,7 @@
 		}
 		standing += at.serving
 		in.Places[p] = autoscaling.PoolState{
-			Serving: at.serving, Warm: at.serving, Ordered: at.ordered, Asked: at.asked, Short: at.short,
+			Serving: at.serving, Warm: at.serving, Ordered: at.ordered, HasOrder: at.asked, Short: at.short,
 			Lost: at.asked && at.serving < min(at.peak, at.ordered), None: s.now.Before(at.noneUntil),
 		}
 	}
@@ -301,7 +301,7 @@
 	in.Known, in.Settled, in.Peak = true, true, 4000
 	for _, hall := range in.Halls {
 		in.Places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = autoscaling.PoolState{None: true}
-		in.Places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 20, Warm: 20, Asked: true}
+		in.Places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 20, Warm: 20, HasOrder: true}
 	}
 	for _, o := range autoscaling.Decide(in) {
 		if o.Count < 20 {
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -47,7 +47,7 @@
 // were ordered, since a version that is rolled out brings its own servers.
 func (in Input) size(p Pool) int {
 	s := in.Places[p]
-	if s.Asked {
+	if s.HasOrder {
 		return max(s.Ordered, s.Serving)
 	}
 	return s.Serving
@@ -70,7 +70,7 @@
 		return Order{Place: p, Count: n, Why: "more servers are needed"}, true
 	case mayStop:
 		return Order{Place: p, Count: remaining, Fewer: true, Why: "fewer servers carry the load"}, true
-	case s.Asked && !s.Short.IsZero() && in.Now.Sub(s.Short).Seconds() > reorderFactor*in.Terms.Boot.Seconds():
+	case s.HasOrder && !s.Short.IsZero() && in.Now.Sub(s.Short).Seconds() > reorderFactor*in.Terms.Boot.Seconds():
 		return Order{Place: p, Count: size, Why: "ordered servers have not started in time"}, true
 	}
 	return Order{}, false
