--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -62,10 +62,10 @@
 	// Ordered is the number of servers that was ordered last, if Asked.
 	Ordered  int
 	HasOrder bool
-	// Short is the time since which fewer servers serve than were ordered, zero if enough do. Lost is set if
+	// ShortSince is the time since which fewer servers serve than were ordered, zero if enough do. Lost is set if
 	// servers that have served since the last order are gone or leaving.
-	Short time.Time
-	Lost  bool
+	ShortSince time.Time
+	Lost       bool
 	// None is set if the provider recently had no servers for this pool.
 	None bool
 	// Coming is the number of servers of a version that is being rolled out, or of the one that it has just
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -114,7 +114,7 @@
 		}
 		standing += at.serving
 		in.Places[p] = autoscaling.PoolState{
-			Serving: at.serving, Warm: at.serving, Ordered: at.ordered, HasOrder: at.asked, Short: at.short,
+			Serving: at.serving, Warm: at.serving, Ordered: at.ordered, HasOrder: at.asked, ShortSince: at.short,
 			Lost: at.asked && at.serving < min(at.peak, at.ordered), None: s.now.Before(at.noneUntil),
 		}
 	}
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -70,7 +70,7 @@
 		return Order{Place: p, Count: n, Why: "more servers are needed"}, true
 	case mayStop:
 		return Order{Place: p, Count: remaining, Fewer: true, Why: "fewer servers carry the load"}, true
-	case s.HasOrder && !s.Short.IsZero() && in.Now.Sub(s.Short).Seconds() > reorderFactor*in.Terms.Boot.Seconds():
+	case s.HasOrder && !s.ShortSince.IsZero() && in.Now.Sub(s.ShortSince).Seconds() > reorderFactor*in.Terms.Boot.Seconds():
 		return Order{Place: p, Count: size, Why: "ordered servers have not started in time"}, true
 	}
 	return Order{}, false
