--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -64,8 +64,8 @@
 	HasOrder bool
 	// ShortSince is the time since which fewer servers serve than were ordered, zero if enough do. Lost is set if
 	// servers that have served since the last order are gone or leaving.
-	ShortSince time.Time
-	Lost       bool
+	ShortSince  time.Time
+	ServersLost bool
 	// None is set if the provider recently had no servers for this pool.
 	None bool
 	// Coming is the number of servers of a version that is being rolled out, or of the one that it has just
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -115,7 +115,7 @@
 		standing += at.serving
 		in.Places[p] = autoscaling.PoolState{
 			Serving: at.serving, Warm: at.serving, Ordered: at.ordered, HasOrder: at.asked, ShortSince: at.short,
-			Lost: at.asked && at.serving < min(at.peak, at.ordered), None: s.now.Before(at.noneUntil),
+			ServersLost: at.asked && at.serving < min(at.peak, at.ordered), None: s.now.Before(at.noneUntil),
 		}
 	}
 	in.Steady = s.counts.Note(standing, s.now)
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -64,7 +64,7 @@
 	switch {
 	case s.None:
 		return Order{}, false
-	case s.Lost && n > 0:
+	case s.ServersLost && n > 0:
 		return Order{Place: p, Count: n, Why: "servers were lost"}, true
 	case n > size:
 		return Order{Place: p, Count: n, Why: "more servers are needed"}, true
