--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -66,8 +66,8 @@
 	// servers that have served since the last order are gone or leaving.
 	ShortSince  time.Time
 	ServersLost bool
-	// None is set if the provider recently had no servers for this pool.
-	None bool
+	// Unavailable is set if the provider recently had no servers for this pool.
+	Unavailable bool
 	// Coming is the number of servers of a version that is being rolled out, or of the one that it has just
 	// replaced. They count towards the limit of the hall.
 	Coming int
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -115,7 +115,7 @@
 		standing += at.serving
 		in.Places[p] = autoscaling.PoolState{
 			Serving: at.serving, Warm: at.serving, Ordered: at.ordered, HasOrder: at.asked, ShortSince: at.short,
-			ServersLost: at.asked && at.serving < min(at.peak, at.ordered), None: s.now.Before(at.noneUntil),
+			ServersLost: at.asked && at.serving < min(at.peak, at.ordered), Unavailable: s.now.Before(at.noneUntil),
 		}
 	}
 	in.Steady = s.counts.Note(standing, s.now)
@@ -300,7 +300,7 @@
 	in := newSite(20).input()
 	in.Known, in.Settled, in.Peak = true, true, 4000
 	for _, hall := range in.Halls {
-		in.Places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = autoscaling.PoolState{None: true}
+		in.Places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = autoscaling.PoolState{Unavailable: true}
 		in.Places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 20, Warm: 20, HasOrder: true}
 	}
 	for _, o := range autoscaling.Decide(in) {
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -62,7 +62,7 @@
 	n = min(n, max(size, in.Terms.Most-in.otherServers(p)))
 	remaining, mayStop := downTo[p]
 	switch {
-	case s.None:
+	case s.Unavailable:
 		return Order{}, false
 	case s.ServersLost && n > 0:
 		return Order{Place: p, Count: n, Why: "servers were lost"}, true
@@ -142,6 +142,6 @@
 	open := in.openHalls()
 	return len(open) == 1 || slices.ContainsFunc(open, func(hall string) bool {
 		regular, spot := in.Places[Pool{hall, Regular}], in.Places[Pool{hall, Spot}]
-		return spot.None && regular.Warm+spot.Warm == 0
+		return spot.Unavailable && regular.Warm+spot.Warm == 0
 	})
 }
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -52,7 +52,7 @@
 		for _, k := range []Kind{Regular, Spot} {
 			out[Pool{hall, k}] = 0
 		}
-		if at := (Pool{hall, kind}); !in.Places[at].None {
+		if at := (Pool{hall, kind}); !in.Places[at].Unavailable {
 			out[at] = in.Terms.Least
 		}
 	}
@@ -94,5 +94,5 @@
 }
 
 func (in Input) available(halls []string, kind Kind) []string {
-	return slices.DeleteFunc(slices.Clone(halls), func(h string) bool { return in.Places[Pool{h, kind}].None })
+	return slices.DeleteFunc(slices.Clone(halls), func(h string) bool { return in.Places[Pool{h, kind}].Unavailable })
 }
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -305,7 +305,7 @@
 		}
 		at.Ordered, at.HasOrder, at.ShortSince = p.count, p.asked, p.short
 		at.ServersLost = p.asked && at.Serving < min(p.most, p.count) && now.Sub(p.at) >= lostAgain
-		at.None = now.Before(p.none)
+		at.Unavailable = now.Before(p.none)
 		in.Places[place] = at
 	}
 }
