--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -68,9 +68,9 @@
 	ServersLost bool
 	// Unavailable is set if the provider recently had no servers for this pool.
 	Unavailable bool
-	// Coming is the number of servers of a version that is being rolled out, or of the one that it has just
+	// RollingOut is the number of servers of a version that is being rolled out, or of the one that it has just
 	// replaced. They count towards the limit of the hall.
-	Coming int
+	RollingOut int
 }
 
 // Input holds everything that a decision depends on.
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -313,7 +313,7 @@
 func TestHallLimitCoversAllServersThere(t *testing.T) {
 	in := newSite(20).input()
 	in.Known, in.Settled, in.Peak = true, true, 20000
-	in.Places[autoscaling.Pool{Hall: "a", Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 10, Warm: 10, Coming: 20}
+	in.Places[autoscaling.Pool{Hall: "a", Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 10, Warm: 10, RollingOut: 20}
 	for _, o := range autoscaling.Decide(in) {
 		if o.Place.Hall == "a" && o.Place.Kind == autoscaling.Spot && o.Count > 10 {
 			t.Errorf("%+v: 30 servers run there, and the limit is 40", o)
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -79,7 +79,7 @@
 // otherServers returns the number of servers in the hall that do not belong to the pool.
 func (in Input) otherServers(p Pool) int {
 	regular, spot := Pool{p.Hall, Regular}, Pool{p.Hall, Spot}
-	sum := in.Places[regular].Coming + in.Places[spot].Coming
+	sum := in.Places[regular].RollingOut + in.Places[spot].RollingOut
 	if p.Kind == Spot {
 		return sum + in.size(regular)
 	}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -216,7 +216,7 @@
 		for _, kind := range []autoscaling.Kind{autoscaling.Regular, autoscaling.Spot} {
 			p := autoscaling.Pool{Hall: hall, Kind: kind}
 			at := in.Places[p]
-			text = append(text, fmt.Sprintf("%s %s: %d of %d, %d warm, %d of another version", hall, kind, at.Serving, at.Ordered, at.Warm, at.Coming))
+			text = append(text, fmt.Sprintf("%s %s: %d of %d, %d warm, %d of another version", hall, kind, at.Serving, at.Ordered, at.Warm, at.RollingOut))
 		}
 	}
 	d.Log.Info().Str("service", name).Int("need", in.Need()).Float64("peak", in.Peak).Bool("settled", in.Settled).Str("stands", strings.Join(text, "; ")).Msg("duty: what stands")
@@ -264,7 +264,7 @@
 		at := in.Places[place]
 		switch {
 		case !v.Stable(s.Name, server.Version):
-			at.Coming++
+			at.RollingOut++
 		case now.Before(server.State.ColdLimit().Until):
 			at.Serving++
 		default:
