--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -81,8 +81,8 @@
 	// none are ordered there.
 	Halls   []string
 	Emptied map[string]bool
-	// Places is the state of each pool.
-	Places map[Pool]PoolState
+	// Pools is the state of each pool.
+	Pools map[Pool]PoolState
 	// Slots is the number of requests that one server processes concurrently. If it is 0 nothing is ordered.
 	Slots int
 	// Peak is the maximum load in flight in the recent past, where a small request counts 1. Known is set once
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -102,7 +102,7 @@
 }
 
 func (s *site) input() autoscaling.Input {
-	in := autoscaling.Input{Now: s.now, Terms: s.terms, Halls: s.halls, Emptied: s.drained, Slots: slots, Planned: s.planned, EndedAt: s.ended, Places: map[autoscaling.Pool]autoscaling.PoolState{}}
+	in := autoscaling.Input{Now: s.now, Terms: s.terms, Halls: s.halls, Emptied: s.drained, Slots: slots, Planned: s.planned, EndedAt: s.ended, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
 	standing := 0
 	for p, at := range s.places {
 		at.peak = max(at.peak, at.serving)
@@ -113,7 +113,7 @@
 			at.short = s.now
 		}
 		standing += at.serving
-		in.Places[p] = autoscaling.PoolState{
+		in.Pools[p] = autoscaling.PoolState{
 			Serving: at.serving, Warm: at.serving, Ordered: at.ordered, HasOrder: at.asked, ShortSince: at.short,
 			ServersLost: at.asked && at.serving < min(at.peak, at.ordered), Unavailable: s.now.Before(at.noneUntil),
 		}
@@ -300,8 +300,8 @@
 	in := newSite(20).input()
 	in.Known, in.Settled, in.Peak = true, true, 4000
 	for _, hall := range in.Halls {
-		in.Places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = autoscaling.PoolState{Unavailable: true}
-		in.Places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 20, Warm: 20, HasOrder: true}
+		in.Pools[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = autoscaling.PoolState{Unavailable: true}
+		in.Pools[autoscaling.Pool{Hall: hall, Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 20, Warm: 20, HasOrder: true}
 	}
 	for _, o := range autoscaling.Decide(in) {
 		if o.Count < 20 {
@@ -313,7 +313,7 @@
 func TestHallLimitCoversAllServersThere(t *testing.T) {
 	in := newSite(20).input()
 	in.Known, in.Settled, in.Peak = true, true, 20000
-	in.Places[autoscaling.Pool{Hall: "a", Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 10, Warm: 10, RollingOut: 20}
+	in.Pools[autoscaling.Pool{Hall: "a", Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 10, Warm: 10, RollingOut: 20}
 	for _, o := range autoscaling.Decide(in) {
 		if o.Place.Hall == "a" && o.Place.Kind == autoscaling.Spot && o.Count > 10 {
 			t.Errorf("%+v: 30 servers run there, and the limit is 40", o)
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -46,7 +46,7 @@
 // size returns the number of servers that a pool has or will have after the last order. It may have more than
 // were ordered, since a version that is rolled out brings its own servers.
 func (in Input) size(p Pool) int {
-	s := in.Places[p]
+	s := in.Pools[p]
 	if s.HasOrder {
 		return max(s.Ordered, s.Serving)
 	}
@@ -56,7 +56,7 @@
 // order returns the order for one pool, if any. downTo holds the pools whose servers may be stopped, with the
 // number that remains.
 func (in Input) order(p Pool, n int, downTo map[Pool]int) (Order, bool) {
-	s := in.Places[p]
+	s := in.Pools[p]
 	// The limit applies to both kinds together, so one kind only grows after the other has shrunk.
 	size := in.size(p)
 	n = min(n, max(size, in.Terms.Most-in.otherServers(p)))
@@ -79,7 +79,7 @@
 // otherServers returns the number of servers in the hall that do not belong to the pool.
 func (in Input) otherServers(p Pool) int {
 	regular, spot := Pool{p.Hall, Regular}, Pool{p.Hall, Spot}
-	sum := in.Places[regular].RollingOut + in.Places[spot].RollingOut
+	sum := in.Pools[regular].RollingOut + in.Pools[spot].RollingOut
 	if p.Kind == Spot {
 		return sum + in.size(regular)
 	}
@@ -122,7 +122,7 @@
 		warmInHall := 0
 		for _, kind := range []Kind{Regular, Spot} {
 			p := Pool{hall, kind}
-			warm := in.Places[p].Warm
+			warm := in.Pools[p].Warm
 			if n, fewer := remaining[p]; fewer {
 				warm = min(warm, n)
 			}
@@ -141,7 +141,7 @@
 func (in Input) hallLost() bool {
 	open := in.openHalls()
 	return len(open) == 1 || slices.ContainsFunc(open, func(hall string) bool {
-		regular, spot := in.Places[Pool{hall, Regular}], in.Places[Pool{hall, Spot}]
+		regular, spot := in.Pools[Pool{hall, Regular}], in.Pools[Pool{hall, Spot}]
 		return spot.Unavailable && regular.Warm+spot.Warm == 0
 	})
 }
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -22,7 +22,7 @@
 	}
 	sum, largest := 0, 0
 	for _, hall := range in.Halls {
-		n := in.Places[Pool{hall, Regular}].Serving + in.Places[Pool{hall, Spot}].Serving
+		n := in.Pools[Pool{hall, Regular}].Serving + in.Pools[Pool{hall, Spot}].Serving
 		sum, largest = sum+n, max(largest, n)
 	}
 	return max(need, sum-largest)
@@ -52,7 +52,7 @@
 		for _, k := range []Kind{Regular, Spot} {
 			out[Pool{hall, k}] = 0
 		}
-		if at := (Pool{hall, kind}); !in.Places[at].Unavailable {
+		if at := (Pool{hall, kind}); !in.Pools[at].Unavailable {
 			out[at] = in.Terms.Least
 		}
 	}
@@ -88,11 +88,11 @@
 func (in Input) carriesLoad() bool {
 	sum := 0
 	for _, hall := range in.openHalls() {
-		sum += in.Places[Pool{hall, Regular}].Serving + in.Places[Pool{hall, Spot}].Serving
+		sum += in.Pools[Pool{hall, Regular}].Serving + in.Pools[Pool{hall, Spot}].Serving
 	}
 	return sum >= in.Need()
 }
 
 func (in Input) available(halls []string, kind Kind) []string {
-	return slices.DeleteFunc(slices.Clone(halls), func(h string) bool { return in.Places[Pool{h, kind}].Unavailable })
+	return slices.DeleteFunc(slices.Clone(halls), func(h string) bool { return in.Pools[Pool{h, kind}].Unavailable })
 }
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -191,7 +191,7 @@
 			p := service.place(o.Place)
 			p.count, p.asked, p.at, p.most, p.short = o.Count, true, now, 0, time.Time{}
 			d.Log.Info().Str("service", s.Name).Str("hall", o.Place.Hall).Str("kind", string(o.Place.Kind)).Int("count", o.Count).Str("why", o.Why).
-				Int("need", in.Need()).Float64("peak", in.Peak).Bool("known", in.Known).Int("serving", in.Places[o.Place].Serving).Msg("duty: servers are ordered")
+				Int("need", in.Need()).Float64("peak", in.Peak).Bool("known", in.Known).Int("serving", in.Pools[o.Place].Serving).Msg("duty: servers are ordered")
 		}
 		if len(service.due) > 0 {
 			changed, service.planned = true, in.Need()
@@ -215,7 +215,7 @@
 	for _, hall := range in.Halls {
 		for _, kind := range []autoscaling.Kind{autoscaling.Regular, autoscaling.Spot} {
 			p := autoscaling.Pool{Hall: hall, Kind: kind}
-			at := in.Places[p]
+			at := in.Pools[p]
 			text = append(text, fmt.Sprintf("%s %s: %d of %d, %d warm, %d of another version", hall, kind, at.Serving, at.Ordered, at.Warm, at.RollingOut))
 		}
 	}
@@ -247,7 +247,7 @@
 
 // input is what an order for the service is decided by.
 func (o *serviceOrders) input(s *routemap.Service, v *storesync.View, now time.Time) autoscaling.Input {
-	in := autoscaling.Input{Now: now, Terms: s.Autoscaling, Slots: s.Slots, Emptied: map[string]bool{}, Places: map[autoscaling.Pool]autoscaling.PoolState{}}
+	in := autoscaling.Input{Now: now, Terms: s.Autoscaling, Slots: s.Slots, Emptied: map[string]bool{}, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
 	for hall := range v.Drained {
 		in.Emptied[hall] = true
 	}
@@ -261,7 +261,7 @@
 		if !server.Usable() {
 			continue
 		}
-		at := in.Places[place]
+		at := in.Pools[place]
 		switch {
 		case !v.Stable(s.Name, server.Version):
 			at.RollingOut++
@@ -271,7 +271,7 @@
 			at.Serving++
 			at.Warm++
 		}
-		in.Places[place] = at
+		in.Pools[place] = at
 	}
 	for place := range o.places {
 		if !slices.Contains(in.Halls, place.Hall) {
@@ -280,7 +280,7 @@
 	}
 	slices.Sort(in.Halls)
 	standing := 0
-	for _, at := range in.Places {
+	for _, at := range in.Pools {
 		standing += at.Serving
 	}
 	in.Planned, in.EndedAt = o.planned, o.endedAt
@@ -295,7 +295,7 @@
 // stand adds what was ordered to what stands.
 func (o *serviceOrders) stand(in *autoscaling.Input, now time.Time) {
 	for place, p := range o.places {
-		at := in.Places[place]
+		at := in.Pools[place]
 		p.most = max(p.most, at.Serving)
 		switch {
 		case !p.asked || at.Serving >= p.count:
@@ -306,7 +306,7 @@
 		at.Ordered, at.HasOrder, at.ShortSince = p.count, p.asked, p.short
 		at.ServersLost = p.asked && at.Serving < min(p.most, p.count) && now.Sub(p.at) >= lostAgain
 		at.Unavailable = now.Before(p.none)
-		in.Places[place] = at
+		in.Pools[place] = at
 	}
 }
 
