--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -100,7 +100,7 @@
 
 // Order sets the number of servers of a pool.
 type Order struct {
-	Place Pool
+	Pool  Pool
 	Count int
 	// Fewer is set if the order stops servers. Why is a short reason for the log.
 	Fewer bool
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -84,8 +84,8 @@
 }
 
 func (s *site) carryOut(o autoscaling.Order) {
-	at := s.places[o.Place]
-	if o.Place.Kind == autoscaling.Spot && s.noSpot[o.Place.Hall] {
+	at := s.places[o.Pool]
+	if o.Pool.Kind == autoscaling.Spot && s.noSpot[o.Pool.Hall] {
 		at.noneUntil, at.asked = s.now.Add(2*time.Second), false
 		return
 	}
@@ -315,7 +315,7 @@
 	in.Known, in.Settled, in.Peak = true, true, 20000
 	in.Pools[autoscaling.Pool{Hall: "a", Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 10, Warm: 10, RollingOut: 20}
 	for _, o := range autoscaling.Decide(in) {
-		if o.Place.Hall == "a" && o.Place.Kind == autoscaling.Spot && o.Count > 10 {
+		if o.Pool.Hall == "a" && o.Pool.Kind == autoscaling.Spot && o.Count > 10 {
 			t.Errorf("%+v: 30 servers run there, and the limit is 40", o)
 		}
 	}
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -27,7 +27,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Order) int {
-		return cmp.Or(cmp.Compare(in.rank(a), in.rank(b)), cmp.Compare(a.Place.Hall, b.Place.Hall), cmp.Compare(a.Place.Kind, b.Place.Kind))
+		return cmp.Or(cmp.Compare(in.rank(a), in.rank(b)), cmp.Compare(a.Pool.Hall, b.Pool.Hall), cmp.Compare(a.Pool.Kind, b.Pool.Kind))
 	})
 	return out
 }
@@ -37,7 +37,7 @@
 
 // rank sorts orders that start servers before those that stop servers.
 func (in Input) rank(o Order) int {
-	if o.Count > in.size(o.Place) {
+	if o.Count > in.size(o.Pool) {
 		return 0
 	}
 	return 1
@@ -65,13 +65,13 @@
 	case s.Unavailable:
 		return Order{}, false
 	case s.ServersLost && n > 0:
-		return Order{Place: p, Count: n, Why: "servers were lost"}, true
+		return Order{Pool: p, Count: n, Why: "servers were lost"}, true
 	case n > size:
-		return Order{Place: p, Count: n, Why: "more servers are needed"}, true
+		return Order{Pool: p, Count: n, Why: "more servers are needed"}, true
 	case mayStop:
-		return Order{Place: p, Count: remaining, Fewer: true, Why: "fewer servers carry the load"}, true
+		return Order{Pool: p, Count: remaining, Fewer: true, Why: "fewer servers carry the load"}, true
 	case s.HasOrder && !s.ShortSince.IsZero() && in.Now.Sub(s.ShortSince).Seconds() > reorderFactor*in.Terms.Boot.Seconds():
-		return Order{Place: p, Count: size, Why: "ordered servers have not started in time"}, true
+		return Order{Pool: p, Count: size, Why: "ordered servers have not started in time"}, true
 	}
 	return Order{}, false
 }
--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -171,10 +171,10 @@
 }
 
 func (p *platform) carryOut(by duties.Signature, service string, o autoscaling.Order) error {
-	if err := p.admit(service+" "+o.Place.Hall, by); err != nil {
+	if err := p.admit(service+" "+o.Pool.Hall, by); err != nil {
 		return err
 	}
-	if p.none[o.Place.Hall] && o.Place.Kind == autoscaling.Spot {
+	if p.none[o.Pool.Hall] && o.Pool.Kind == autoscaling.Spot {
 		return &duties.Error{Op: "order", Kind: duties.Forbidden}
 	}
 	p.orders = append(p.orders, o)
@@ -209,7 +209,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, o := range slices.Backward(p.orders) {
-		if o.Place == at {
+		if o.Pool == at {
 			return o.Count
 		}
 	}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -188,10 +188,10 @@
 			if o.Fewer {
 				service.endedAt = now
 			}
-			p := service.place(o.Place)
+			p := service.place(o.Pool)
 			p.count, p.asked, p.at, p.most, p.short = o.Count, true, now, 0, time.Time{}
-			d.Log.Info().Str("service", s.Name).Str("hall", o.Place.Hall).Str("kind", string(o.Place.Kind)).Int("count", o.Count).Str("why", o.Why).
-				Int("need", in.Need()).Float64("peak", in.Peak).Bool("known", in.Known).Int("serving", in.Pools[o.Place].Serving).Msg("duty: servers are ordered")
+			d.Log.Info().Str("service", s.Name).Str("hall", o.Pool.Hall).Str("kind", string(o.Pool.Kind)).Int("count", o.Count).Str("why", o.Why).
+				Int("need", in.Need()).Float64("peak", in.Peak).Bool("known", in.Known).Int("serving", in.Pools[o.Pool].Serving).Msg("duty: servers are ordered")
 		}
 		if len(service.due) > 0 {
 			changed, service.planned = true, in.Need()
@@ -226,7 +226,7 @@
 func (d *Leaseholder) send(ctx context.Context, h *holding, name string, service *serviceOrders) {
 	o := service.due[0]
 	d.call(ctx, h, func(ctx context.Context, by Signature) error { return d.Platform.Order(ctx, by, name, o) }, func(err error) {
-		p := service.place(o.Place)
+		p := service.place(o.Pool)
 		switch {
 		case err == nil:
 			d.Orders.Add(1)
