--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -41,8 +41,8 @@
 
 // Kinds of servers.
 const (
-	// Regular servers are on-demand servers, which run until they are stopped.
-	Regular Kind = "regular"
+	// OnDemand servers are on-demand servers, which run until they are stopped.
+	OnDemand Kind = "regular"
 	// Spot servers are cheaper, and the provider may reclaim them.
 	Spot Kind = "spot"
 )
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -49,7 +49,7 @@
 		terms: autoscaling.Terms{Least: 1, Most: 40, Boot: boot, SpotPrice: 0.2},
 	}
 	for _, hall := range s.halls {
-		s.places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Regular}] = &simPool{serving: each}
+		s.places[autoscaling.Pool{Hall: hall, Kind: autoscaling.OnDemand}] = &simPool{serving: each}
 		s.places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = &simPool{}
 	}
 	return s
@@ -141,7 +141,7 @@
 	return sum
 }
 
-func (s *site) all() int { return s.serving(autoscaling.Regular) + s.serving(autoscaling.Spot) }
+func (s *site) all() int { return s.serving(autoscaling.OnDemand) + s.serving(autoscaling.Spot) }
 
 // The servers of a new site appear in the VM list one after the other. The first three were taken for all of them,
 // and the rest was stopped before there was any request.
@@ -161,7 +161,7 @@
 func TestSpotServersReplaceOnDemandServers(t *testing.T) {
 	s := newSite(20)
 	s.run(15*time.Second, 0)
-	if n := s.serving(autoscaling.Regular); n > 0 {
+	if n := s.serving(autoscaling.OnDemand); n > 0 {
 		t.Errorf("%d on-demand servers run", n)
 	}
 	for _, hall := range s.halls {
@@ -178,7 +178,7 @@
 	if n := s.serving(autoscaling.Spot); n > 0 {
 		t.Errorf("%d spot servers", n)
 	}
-	if n := s.serving(autoscaling.Regular); n == 0 || n >= 60 {
+	if n := s.serving(autoscaling.OnDemand); n == 0 || n >= 60 {
 		t.Errorf("%d servers carry a load for eight", n)
 	}
 }
@@ -234,7 +234,7 @@
 			t.Errorf("no spot servers run in %s again", hall)
 		}
 	}
-	if n := s.serving(autoscaling.Regular); n > 0 {
+	if n := s.serving(autoscaling.OnDemand); n > 0 {
 		t.Errorf("%d on-demand servers", n)
 	}
 }
@@ -260,12 +260,12 @@
 		s.reclaim(hall)
 	}
 	s.run(8*time.Second, 1500)
-	if n := s.serving(autoscaling.Regular); n*slots < 1500 {
+	if n := s.serving(autoscaling.OnDemand); n*slots < 1500 {
 		t.Errorf("%d servers", n)
 	}
 	clear(s.noSpot)
 	s.run(60*time.Second, 1500)
-	if n := s.serving(autoscaling.Regular); n > 0 {
+	if n := s.serving(autoscaling.OnDemand); n > 0 {
 		t.Errorf("%d on-demand servers still run", n)
 	}
 }
@@ -301,7 +301,7 @@
 	in.Known, in.Settled, in.Peak = true, true, 4000
 	for _, hall := range in.Halls {
 		in.Pools[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = autoscaling.PoolState{Unavailable: true}
-		in.Pools[autoscaling.Pool{Hall: hall, Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 20, Warm: 20, HasOrder: true}
+		in.Pools[autoscaling.Pool{Hall: hall, Kind: autoscaling.OnDemand}] = autoscaling.PoolState{Serving: 20, Warm: 20, HasOrder: true}
 	}
 	for _, o := range autoscaling.Decide(in) {
 		if o.Count < 20 {
@@ -313,7 +313,7 @@
 func TestHallLimitCoversAllServersThere(t *testing.T) {
 	in := newSite(20).input()
 	in.Known, in.Settled, in.Peak = true, true, 20000
-	in.Pools[autoscaling.Pool{Hall: "a", Kind: autoscaling.Regular}] = autoscaling.PoolState{Serving: 10, Warm: 10, RollingOut: 20}
+	in.Pools[autoscaling.Pool{Hall: "a", Kind: autoscaling.OnDemand}] = autoscaling.PoolState{Serving: 10, Warm: 10, RollingOut: 20}
 	for _, o := range autoscaling.Decide(in) {
 		if o.Pool.Hall == "a" && o.Pool.Kind == autoscaling.Spot && o.Count > 10 {
 			t.Errorf("%+v: 30 servers run there, and the limit is 40", o)
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -78,7 +78,7 @@
 
 // otherServers returns the number of servers in the hall that do not belong to the pool.
 func (in Input) otherServers(p Pool) int {
-	regular, spot := Pool{p.Hall, Regular}, Pool{p.Hall, Spot}
+	regular, spot := Pool{p.Hall, OnDemand}, Pool{p.Hall, Spot}
 	sum := in.Pools[regular].RollingOut + in.Pools[spot].RollingOut
 	if p.Kind == Spot {
 		return sum + in.size(regular)
@@ -104,7 +104,7 @@
 		remaining := map[Pool]int{}
 		for p, n := range wanted {
 			// A new holder of the duty does not know yet how many of the cheap servers are needed.
-			if size := in.size(p); n < size && (in.Settled || p.Kind == Regular) {
+			if size := in.size(p); n < size && (in.Settled || p.Kind == OnDemand) {
 				remaining[p] = n + (size-n)*step/scaleDownSteps
 			}
 		}
@@ -120,7 +120,7 @@
 	sum, largest := 0, 0
 	for _, hall := range in.openHalls() {
 		warmInHall := 0
-		for _, kind := range []Kind{Regular, Spot} {
+		for _, kind := range []Kind{OnDemand, Spot} {
 			p := Pool{hall, kind}
 			warm := in.Pools[p].Warm
 			if n, fewer := remaining[p]; fewer {
@@ -141,7 +141,7 @@
 func (in Input) hallLost() bool {
 	open := in.openHalls()
 	return len(open) == 1 || slices.ContainsFunc(open, func(hall string) bool {
-		regular, spot := in.Pools[Pool{hall, Regular}], in.Pools[Pool{hall, Spot}]
+		regular, spot := in.Pools[Pool{hall, OnDemand}], in.Pools[Pool{hall, Spot}]
 		return spot.Unavailable && regular.Warm+spot.Warm == 0
 	})
 }
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -22,7 +22,7 @@
 	}
 	sum, largest := 0, 0
 	for _, hall := range in.Halls {
-		n := in.Pools[Pool{hall, Regular}].Serving + in.Pools[Pool{hall, Spot}].Serving
+		n := in.Pools[Pool{hall, OnDemand}].Serving + in.Pools[Pool{hall, Spot}].Serving
 		sum, largest = sum+n, max(largest, n)
 	}
 	return max(need, sum-largest)
@@ -49,7 +49,7 @@
 	}
 	each := int(math.Ceil(float64(need) / float64(min(len(halls), in.carryingHalls()))))
 	for _, hall := range in.openHalls() {
-		for _, k := range []Kind{Regular, Spot} {
+		for _, k := range []Kind{OnDemand, Spot} {
 			out[Pool{hall, k}] = 0
 		}
 		if at := (Pool{hall, kind}); !in.Pools[at].Unavailable {
@@ -76,19 +76,19 @@
 func (in Input) kind() (Kind, []string) {
 	open := in.openHalls()
 	if in.Terms.SpotPrice == 0 || in.Terms.SpotPrice >= 1 {
-		return Regular, in.available(open, Regular)
+		return OnDemand, in.available(open, OnDemand)
 	}
 	if halls := in.available(open, Spot); len(halls) > 0 || in.carriesLoad() {
 		return Spot, halls
 	}
-	return Regular, in.available(open, Regular)
+	return OnDemand, in.available(open, OnDemand)
 }
 
 // carriesLoad reports whether the running servers carry the load, without a hall in reserve.
 func (in Input) carriesLoad() bool {
 	sum := 0
 	for _, hall := range in.openHalls() {
-		sum += in.Pools[Pool{hall, Regular}].Serving + in.Pools[Pool{hall, Spot}].Serving
+		sum += in.Pools[Pool{hall, OnDemand}].Serving + in.Pools[Pool{hall, Spot}].Serving
 	}
 	return sum >= in.Need()
 }
--- a/daemon/duties/leaseholder_test.go
+++ b/daemon/duties/leaseholder_test.go
@@ -166,7 +166,7 @@
 		if n := s.platform.newest(autoscaling.Pool{Hall: "hall-b", Kind: autoscaling.Spot}); n < 4 {
 			t.Errorf("%d spot servers are ordered where there are some", n)
 		}
-		if n := s.platform.newest(autoscaling.Pool{Hall: "hall-a", Kind: autoscaling.Regular}); n >= 0 {
+		if n := s.platform.newest(autoscaling.Pool{Hall: "hall-a", Kind: autoscaling.OnDemand}); n >= 0 {
 			t.Errorf("%d dear servers are left in hall-a, and nothing has taken their place", n)
 		}
 	})
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -213,7 +213,7 @@
 	service.toldAt = now
 	var text []string
 	for _, hall := range in.Halls {
-		for _, kind := range []autoscaling.Kind{autoscaling.Regular, autoscaling.Spot} {
+		for _, kind := range []autoscaling.Kind{autoscaling.OnDemand, autoscaling.Spot} {
 			p := autoscaling.Pool{Hall: hall, Kind: kind}
 			at := in.Pools[p]
 			text = append(text, fmt.Sprintf("%s %s: %d of %d, %d warm, %d of another version", hall, kind, at.Serving, at.Ordered, at.Warm, at.RollingOut))
@@ -315,5 +315,5 @@
 	if s.Spot {
 		return autoscaling.Pool{Hall: s.Hall, Kind: autoscaling.Spot}
 	}
-	return autoscaling.Pool{Hall: s.Hall, Kind: autoscaling.Regular}
+	return autoscaling.Pool{Hall: s.Hall, Kind: autoscaling.OnDemand}
 }
