--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -80,7 +80,7 @@
 	// Halls are the data halls of the service, in order. Servers in the halls of Emptied are not counted and
 	// none are ordered there.
 	Halls   []string
-	Emptied map[string]bool
+	Drained map[string]bool
 	// Pools is the state of each pool.
 	Pools map[Pool]PoolState
 	// Slots is the number of requests that one server processes concurrently. If it is 0 nothing is ordered.
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -68,7 +68,7 @@
 
 // openHalls returns the halls that are not drained.
 func (in Input) openHalls() []string {
-	return slices.DeleteFunc(slices.Clone(in.Halls), func(h string) bool { return in.Emptied[h] })
+	return slices.DeleteFunc(slices.Clone(in.Halls), func(h string) bool { return in.Drained[h] })
 }
 
 // kind returns the kind of servers to order and the halls that can provide it: spot servers where they are cheaper,
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -247,9 +247,9 @@
 
 // input is what an order for the service is decided by.
 func (o *serviceOrders) input(s *routemap.Service, v *storesync.View, now time.Time) autoscaling.Input {
-	in := autoscaling.Input{Now: now, Terms: s.Autoscaling, Slots: s.Slots, Emptied: map[string]bool{}, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
+	in := autoscaling.Input{Now: now, Terms: s.Autoscaling, Slots: s.Slots, Drained: map[string]bool{}, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
 	for hall := range v.Drained {
-		in.Emptied[hall] = true
+		in.Drained[hall] = true
 	}
 	work := 0.0
 	for _, server := range v.Servers.Service(s.Name) {
