--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -30,7 +30,7 @@
 
 // serversFor returns how many servers carry the peak load at the given utilization.
 func (in Input) serversFor(utilization float64) int {
-	if !in.Known {
+	if !in.HasLoad {
 		return 1
 	}
 	return max(1, int(math.Ceil(in.Peak/(utilization*float64(in.Slots)))))
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -191,7 +191,7 @@
 			p := service.place(o.Pool)
 			p.count, p.asked, p.at, p.most, p.short = o.Count, true, now, 0, time.Time{}
 			d.Log.Info().Str("service", s.Name).Str("hall", o.Pool.Hall).Str("kind", string(o.Pool.Kind)).Int("count", o.Count).Str("why", o.Why).
-				Int("need", in.Need()).Float64("peak", in.Peak).Bool("known", in.Known).Int("serving", in.Pools[o.Pool].Serving).Msg("duty: servers are ordered")
+				Int("need", in.Need()).Float64("peak", in.Peak).Bool("known", in.HasLoad).Int("serving", in.Pools[o.Pool].Serving).Msg("duty: servers are ordered")
 		}
 		if len(service.due) > 0 {
 			changed, service.planned = true, in.Need()
@@ -286,7 +286,7 @@
 	in.Planned, in.EndedAt = o.planned, o.endedAt
 	in.Steady = o.stands.Note(standing, now)
 	o.demand.Note(work, now)
-	in.Peak, in.Known = o.demand.Peak()
+	in.Peak, in.HasLoad = o.demand.Peak()
 	in.Settled = o.demand.Settled(now)
 	o.stand(&in, now)
 	return in
