--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -87,9 +87,9 @@
 	Slots int
 	// Peak is the maximum load in flight in the recent past, where a small request counts 1. Known is set once
 	// there has been load, and Settled once the load has been observed for the whole peak window.
-	Peak    float64
-	HasLoad bool
-	Settled bool
+	Peak        float64
+	HasLoad     bool
+	PeakSettled bool
 	// Planned is the number of servers that the last decision needed, 0 if there was none.
 	Planned int
 	// EndedAt is when servers were last stopped.
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -120,7 +120,7 @@
 	}
 	in.Steady = s.counts.Note(standing, s.now)
 	in.Peak, in.HasLoad = s.demand.Peak()
-	in.Settled = s.demand.Settled(s.now)
+	in.PeakSettled = s.demand.Settled(s.now)
 	return in
 }
 
@@ -298,7 +298,7 @@
 // one more stopped them.
 func TestServersBeyondTheOrderAreNotEndedByAnOrderForMore(t *testing.T) {
 	in := newSite(20).input()
-	in.HasLoad, in.Settled, in.Peak = true, true, 4000
+	in.HasLoad, in.PeakSettled, in.Peak = true, true, 4000
 	for _, hall := range in.Halls {
 		in.Pools[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = autoscaling.PoolState{Unavailable: true}
 		in.Pools[autoscaling.Pool{Hall: hall, Kind: autoscaling.OnDemand}] = autoscaling.PoolState{Serving: 20, Warm: 20, HasOrder: true}
@@ -312,7 +312,7 @@
 
 func TestHallLimitCoversAllServersThere(t *testing.T) {
 	in := newSite(20).input()
-	in.HasLoad, in.Settled, in.Peak = true, true, 20000
+	in.HasLoad, in.PeakSettled, in.Peak = true, true, 20000
 	in.Pools[autoscaling.Pool{Hall: "a", Kind: autoscaling.OnDemand}] = autoscaling.PoolState{Serving: 10, Warm: 10, RollingOut: 20}
 	for _, o := range autoscaling.Decide(in) {
 		if o.Pool.Hall == "a" && o.Pool.Kind == autoscaling.Spot && o.Count > 10 {
@@ -333,7 +333,7 @@
 // seemed to be enough.
 func TestServersOfUnknownSlotsAreLeftAlone(t *testing.T) {
 	in := newSite(20).input()
-	in.Slots, in.HasLoad, in.Settled, in.Peak = 0, true, true, 1500
+	in.Slots, in.HasLoad, in.PeakSettled, in.Peak = 0, true, true, 1500
 	if orders := autoscaling.Decide(in); len(orders) > 0 {
 		t.Errorf("%+v", orders)
 	}
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -104,7 +104,7 @@
 		remaining := map[Pool]int{}
 		for p, n := range wanted {
 			// A new holder of the duty does not know yet how many of the cheap servers are needed.
-			if size := in.size(p); n < size && (in.Settled || p.Kind == OnDemand) {
+			if size := in.size(p); n < size && (in.PeakSettled || p.Kind == OnDemand) {
 				remaining[p] = n + (size-n)*step/scaleDownSteps
 			}
 		}
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -15,7 +15,7 @@
 func (in Input) Need() int {
 	need := in.serversFor(maxUtilization)
 	switch {
-	case in.Settled:
+	case in.PeakSettled:
 		return need
 	case in.Planned > 0:
 		return max(need, in.Planned)
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -219,7 +219,7 @@
 			text = append(text, fmt.Sprintf("%s %s: %d of %d, %d warm, %d of another version", hall, kind, at.Serving, at.Ordered, at.Warm, at.RollingOut))
 		}
 	}
-	d.Log.Info().Str("service", name).Int("need", in.Need()).Float64("peak", in.Peak).Bool("settled", in.Settled).Str("stands", strings.Join(text, "; ")).Msg("duty: what stands")
+	d.Log.Info().Str("service", name).Int("need", in.Need()).Float64("peak", in.Peak).Bool("settled", in.PeakSettled).Str("stands", strings.Join(text, "; ")).Msg("duty: what stands")
 }
 
 // send sends the first order that is due.
@@ -287,7 +287,7 @@
 	in.Steady = o.stands.Note(standing, now)
 	o.demand.Note(work, now)
 	in.Peak, in.HasLoad = o.demand.Peak()
-	in.Settled = o.demand.Settled(now)
+	in.PeakSettled = o.demand.Settled(now)
 	o.stand(&in, now)
 	return in
 }
