--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -90,8 +90,8 @@
 	Peak        float64
 	HasLoad     bool
 	PeakSettled bool
-	// Planned is the number of servers that the last decision needed, 0 if there was none.
-	Planned int
+	// LastNeed is the number of servers that the last decision needed, 0 if there was none.
+	LastNeed int
 	// EndedAt is when servers were last stopped.
 	EndedAt time.Time
 	// Steady is set if the number of servers has not changed for some time.
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -33,7 +33,7 @@
 }
 
 // firstDecision reports whether neither the load nor an earlier decision is known.
-func (in Input) firstDecision() bool { return !in.HasLoad && in.Planned == 0 }
+func (in Input) firstDecision() bool { return !in.HasLoad && in.LastNeed == 0 }
 
 // rank sorts orders that start servers before those that stop servers.
 func (in Input) rank(o Order) int {
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -17,8 +17,8 @@
 	switch {
 	case in.PeakSettled:
 		return need
-	case in.Planned > 0:
-		return max(need, in.Planned)
+	case in.LastNeed > 0:
+		return max(need, in.LastNeed)
 	}
 	sum, largest := 0, 0
 	for _, hall := range in.Halls {
