--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -92,8 +92,8 @@
 	PeakSettled bool
 	// LastNeed is the number of servers that the last decision needed, 0 if there was none.
 	LastNeed int
-	// EndedAt is when servers were last stopped.
-	EndedAt time.Time
+	// ScaledDownAt is when servers were last stopped.
+	ScaledDownAt time.Time
 	// Steady is set if the number of servers has not changed for some time.
 	Steady bool
 }
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -102,7 +102,7 @@
 }
 
 func (s *site) input() autoscaling.Input {
-	in := autoscaling.Input{Now: s.now, Terms: s.terms, Halls: s.halls, Drained: s.drained, Slots: slots, LastNeed: s.planned, EndedAt: s.ended, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
+	in := autoscaling.Input{Now: s.now, Terms: s.terms, Halls: s.halls, Drained: s.drained, Slots: slots, LastNeed: s.planned, ScaledDownAt: s.ended, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
 	standing := 0
 	for p, at := range s.places {
 		at.peak = max(at.peak, at.serving)
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -17,7 +17,7 @@
 	}
 	wanted := in.Wanted()
 	var downTo map[Pool]int
-	if in.Now.Sub(in.EndedAt) >= scaleDownInterval {
+	if in.Now.Sub(in.ScaledDownAt) >= scaleDownInterval {
 		downTo = in.scaleDown(wanted)
 	}
 	var out []Order
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -283,7 +283,7 @@
 	for _, at := range in.Pools {
 		standing += at.Serving
 	}
-	in.LastNeed, in.EndedAt = o.planned, o.endedAt
+	in.LastNeed, in.ScaledDownAt = o.planned, o.endedAt
 	in.Steady = o.stands.Note(standing, now)
 	o.demand.Note(work, now)
 	in.Peak, in.HasLoad = o.demand.Peak()
