--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -94,8 +94,8 @@
 	LastNeed int
 	// ScaledDownAt is when servers were last stopped.
 	ScaledDownAt time.Time
-	// Steady is set if the number of servers has not changed for some time.
-	Steady bool
+	// CountSteady is set if the number of servers has not changed for some time.
+	CountSteady bool
 }
 
 // Order sets the number of servers of a pool.
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -118,7 +118,7 @@
 			ServersLost: at.asked && at.serving < min(at.peak, at.ordered), Unavailable: s.now.Before(at.noneUntil),
 		}
 	}
-	in.Steady = s.counts.Note(standing, s.now)
+	in.CountSteady = s.counts.Note(standing, s.now)
 	in.Peak, in.HasLoad = s.demand.Peak()
 	in.PeakSettled = s.demand.Settled(s.now)
 	return in
@@ -323,7 +323,7 @@
 
 func TestServicesWithoutAPolicyGetNoOrders(t *testing.T) {
 	in := newSite(20).input()
-	in.Terms, in.Steady = autoscaling.Terms{}, true
+	in.Terms, in.CountSteady = autoscaling.Terms{}, true
 	if orders := autoscaling.Decide(in); len(orders) > 0 {
 		t.Errorf("%+v", orders)
 	}
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -11,7 +11,7 @@
 	if !in.Terms.Ordered() || in.Slots == 0 {
 		return nil
 	}
-	if in.firstDecision() && !in.Steady {
+	if in.firstDecision() && !in.CountSteady {
 		// Servers that start together appear in the VM list one after the other.
 		return nil
 	}
