--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -102,7 +102,7 @@
 type Order struct {
 	Pool  Pool
 	Count int
-	// Fewer is set if the order stops servers. Why is a short reason for the log.
-	Fewer bool
-	Why   string
+	// ScaleDown is set if the order stops servers. Why is a short reason for the log.
+	ScaleDown bool
+	Why       string
 }
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -90,7 +90,7 @@
 		return
 	}
 	s.executed++
-	if o.Fewer {
+	if o.ScaleDown {
 		s.ended = s.now
 	}
 	at.ordered, at.asked, at.peak, at.orderAt, at.short = o.Count, true, 0, s.now, time.Time{}
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -69,7 +69,7 @@
 	case n > size:
 		return Order{Pool: p, Count: n, Why: "more servers are needed"}, true
 	case mayStop:
-		return Order{Pool: p, Count: remaining, Fewer: true, Why: "fewer servers carry the load"}, true
+		return Order{Pool: p, Count: remaining, ScaleDown: true, Why: "fewer servers carry the load"}, true
 	case s.HasOrder && !s.ShortSince.IsZero() && in.Now.Sub(s.ShortSince).Seconds() > reorderFactor*in.Terms.Boot.Seconds():
 		return Order{Pool: p, Count: size, Why: "ordered servers have not started in time"}, true
 	}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -185,7 +185,7 @@
 		d.tellStands(s.Name, service, in, now)
 		service.due = autoscaling.Decide(in)
 		for _, o := range service.due {
-			if o.Fewer {
+			if o.ScaleDown {
 				service.endedAt = now
 			}
 			p := service.place(o.Pool)
