--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -104,5 +104,5 @@
 	Count int
 	// ScaleDown is set if the order stops servers. Why is a short reason for the log.
 	ScaleDown bool
-	Why       string
+	Reason    string
 }
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -65,13 +65,13 @@
 	case s.Unavailable:
 		return Order{}, false
 	case s.ServersLost && n > 0:
-		return Order{Pool: p, Count: n, Why: "servers were lost"}, true
+		return Order{Pool: p, Count: n, Reason: "servers were lost"}, true
 	case n > size:
-		return Order{Pool: p, Count: n, Why: "more servers are needed"}, true
+		return Order{Pool: p, Count: n, Reason: "more servers are needed"}, true
 	case mayStop:
-		return Order{Pool: p, Count: remaining, ScaleDown: true, Why: "fewer servers carry the load"}, true
+		return Order{Pool: p, Count: remaining, ScaleDown: true, Reason: "fewer servers carry the load"}, true
 	case s.HasOrder && !s.ShortSince.IsZero() && in.Now.Sub(s.ShortSince).Seconds() > reorderFactor*in.Terms.Boot.Seconds():
-		return Order{Pool: p, Count: size, Why: "ordered servers have not started in time"}, true
+		return Order{Pool: p, Count: size, Reason: "ordered servers have not started in time"}, true
 	}
 	return Order{}, false
 }
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -190,7 +190,7 @@
 			}
 			p := service.place(o.Pool)
 			p.count, p.asked, p.at, p.most, p.short = o.Count, true, now, 0, time.Time{}
-			d.Log.Info().Str("service", s.Name).Str("hall", o.Pool.Hall).Str("kind", string(o.Pool.Kind)).Int("count", o.Count).Str("why", o.Why).
+			d.Log.Info().Str("service", s.Name).Str("hall", o.Pool.Hall).Str("kind", string(o.Pool.Kind)).Int("count", o.Count).Str("why", o.Reason).
 				Int("need", in.Need()).Float64("peak", in.Peak).Bool("known", in.HasLoad).Int("serving", in.Pools[o.Pool].Serving).Msg("duty: servers are ordered")
 		}
 		if len(service.due) > 0 {
