--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -16,9 +16,9 @@
 
 // Terms are the limits set by the operator and the prices of the provider.
 type Terms struct {
-	// Least and Most bound the number of servers of a service in one hall, both kinds together.
-	Least int
-	Most  int
+	// MinServers and Most bound the number of servers of a service in one hall, both kinds together.
+	MinServers int
+	Most       int
 	// Boot is the time from ordering a server until it serves requests.
 	Boot time.Duration
 	// SpotPrice is the price of a spot server relative to an on-demand server; 0 means that there are no spot
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -53,11 +53,11 @@
 			out[Pool{hall, k}] = 0
 		}
 		if at := (Pool{hall, kind}); !in.Pools[at].Unavailable {
-			out[at] = in.Terms.Least
+			out[at] = in.Terms.MinServers
 		}
 	}
 	for _, hall := range halls {
-		out[Pool{hall, kind}] = min(in.Terms.Most, max(in.Terms.Least, each))
+		out[Pool{hall, kind}] = min(in.Terms.Most, max(in.Terms.MinServers, each))
 	}
 	return out
 }
