--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -18,7 +18,7 @@
 type Terms struct {
 	// MinServers and Most bound the number of servers of a service in one hall, both kinds together.
 	MinServers int
-	Most       int
+	MaxServers int
 	// Boot is the time from ordering a server until it serves requests.
 	Boot time.Duration
 	// SpotPrice is the price of a spot server relative to an on-demand server; 0 means that there are no spot
@@ -29,7 +29,7 @@
 }
 
 // Ordered reports whether autoscaling is configured.
-func (t Terms) Ordered() bool { return t.Most > 0 }
+func (t Terms) Ordered() bool { return t.MaxServers > 0 }
 
 // spotUtilization is the target utilization of slots on spot servers. The waiting time of requests falls
 // with the number of servers and their cost grows with it; the sum is least where the number grows with the
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -59,7 +59,7 @@
 	s := in.Pools[p]
 	// The limit applies to both kinds together, so one kind only grows after the other has shrunk.
 	size := in.size(p)
-	n = min(n, max(size, in.Terms.Most-in.otherServers(p)))
+	n = min(n, max(size, in.Terms.MaxServers-in.otherServers(p)))
 	remaining, mayStop := downTo[p]
 	switch {
 	case s.Unavailable:
@@ -133,7 +133,7 @@
 	if in.hallLost() {
 		largest = 0
 	}
-	return sum-largest >= min(in.Need(), in.Terms.Most*in.carryingHalls())
+	return sum-largest >= min(in.Need(), in.Terms.MaxServers*in.carryingHalls())
 }
 
 // hallLost reports whether a hall is lost already, so that the loss of another one need not be covered: it has no
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -57,7 +57,7 @@
 		}
 	}
 	for _, hall := range halls {
-		out[Pool{hall, kind}] = min(in.Terms.Most, max(in.Terms.MinServers, each))
+		out[Pool{hall, kind}] = min(in.Terms.MaxServers, max(in.Terms.MinServers, each))
 	}
 	return out
 }
