--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -19,8 +19,8 @@
 	// MinServers and Most bound the number of servers of a service in one hall, both kinds together.
 	MinServers int
 	MaxServers int
-	// Boot is the time from ordering a server until it serves requests.
-	Boot time.Duration
+	// BootTime is the time from ordering a server until it serves requests.
+	BootTime time.Duration
 	// SpotPrice is the price of a spot server relative to an on-demand server; 0 means that there are no spot
 	// servers.
 	SpotPrice float64
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -46,7 +46,7 @@
 func newSite(each int) *site {
 	s := &site{
 		now: time.Unix(1000, 0), halls: []string{"a", "b", "c"}, places: map[autoscaling.Pool]*simPool{}, drained: map[string]bool{}, noSpot: map[string]bool{},
-		terms: autoscaling.Terms{MinServers: 1, MaxServers: 40, Boot: boot, SpotPrice: 0.2},
+		terms: autoscaling.Terms{MinServers: 1, MaxServers: 40, BootTime: boot, SpotPrice: 0.2},
 	}
 	for _, hall := range s.halls {
 		s.places[autoscaling.Pool{Hall: hall, Kind: autoscaling.OnDemand}] = &simPool{serving: each}
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -70,7 +70,7 @@
 		return Order{Pool: p, Count: n, Reason: "more servers are needed"}, true
 	case mayStop:
 		return Order{Pool: p, Count: remaining, ScaleDown: true, Reason: "fewer servers carry the load"}, true
-	case s.HasOrder && !s.ShortSince.IsZero() && in.Now.Sub(s.ShortSince).Seconds() > reorderFactor*in.Terms.Boot.Seconds():
+	case s.HasOrder && !s.ShortSince.IsZero() && in.Now.Sub(s.ShortSince).Seconds() > reorderFactor*in.Terms.BootTime.Seconds():
 		return Order{Pool: p, Count: size, Reason: "ordered servers have not started in time"}, true
 	}
 	return Order{}, false
