--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -28,8 +28,8 @@
 	HallPrices map[string]float64
 }
 
-// Ordered reports whether autoscaling is configured.
-func (t Terms) Ordered() bool { return t.MaxServers > 0 }
+// Enabled reports whether autoscaling is configured.
+func (t Terms) Enabled() bool { return t.MaxServers > 0 }
 
 // spotUtilization is the target utilization of slots on spot servers. The waiting time of requests falls
 // with the number of servers and their cost grows with it; the sum is least where the number grows with the
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -8,7 +8,7 @@
 
 // Decide returns the orders to send now. Those that start servers come first.
 func Decide(in Input) []Order {
-	if !in.Terms.Ordered() || in.Slots == 0 {
+	if !in.Terms.Enabled() || in.Slots == 0 {
 		return nil
 	}
 	if in.firstDecision() && !in.CountSteady {
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -177,7 +177,7 @@
 func (d *Leaseholder) decide(h *holding, w *ordering, v *storesync.View, now time.Time) {
 	changed := false
 	for _, s := range v.Map.Services() {
-		if !s.Autoscaling.Ordered() {
+		if !s.Autoscaling.Enabled() {
 			continue
 		}
 		service := w.service(s.Name)
