--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -75,8 +75,8 @@
 
 // Input holds everything that a decision depends on.
 type Input struct {
-	Now   time.Time
-	Terms Terms
+	Now    time.Time
+	Policy Terms
 	// Halls are the data halls of the service, in order. Servers in the halls of Emptied are not counted and
 	// none are ordered there.
 	Halls   []string
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -102,7 +102,7 @@
 }
 
 func (s *site) input() autoscaling.Input {
-	in := autoscaling.Input{Now: s.now, Terms: s.terms, Halls: s.halls, Drained: s.drained, Slots: slots, LastNeed: s.planned, ScaledDownAt: s.ended, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
+	in := autoscaling.Input{Now: s.now, Policy: s.terms, Halls: s.halls, Drained: s.drained, Slots: slots, LastNeed: s.planned, ScaledDownAt: s.ended, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
 	standing := 0
 	for p, at := range s.places {
 		at.peak = max(at.peak, at.serving)
@@ -323,7 +323,7 @@
 
 func TestServicesWithoutAPolicyGetNoOrders(t *testing.T) {
 	in := newSite(20).input()
-	in.Terms, in.CountSteady = autoscaling.Terms{}, true
+	in.Policy, in.CountSteady = autoscaling.Terms{}, true
 	if orders := autoscaling.Decide(in); len(orders) > 0 {
 		t.Errorf("%+v", orders)
 	}
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -8,7 +8,7 @@
 
 // Decide returns the orders to send now. Those that start servers come first.
 func Decide(in Input) []Order {
-	if !in.Terms.Enabled() || in.Slots == 0 {
+	if !in.Policy.Enabled() || in.Slots == 0 {
 		return nil
 	}
 	if in.firstDecision() && !in.CountSteady {
@@ -59,7 +59,7 @@
 	s := in.Pools[p]
 	// The limit applies to both kinds together, so one kind only grows after the other has shrunk.
 	size := in.size(p)
-	n = min(n, max(size, in.Terms.MaxServers-in.otherServers(p)))
+	n = min(n, max(size, in.Policy.MaxServers-in.otherServers(p)))
 	remaining, mayStop := downTo[p]
 	switch {
 	case s.Unavailable:
@@ -70,7 +70,7 @@
 		return Order{Pool: p, Count: n, Reason: "more servers are needed"}, true
 	case mayStop:
 		return Order{Pool: p, Count: remaining, ScaleDown: true, Reason: "fewer servers carry the load"}, true
-	case s.HasOrder && !s.ShortSince.IsZero() && in.Now.Sub(s.ShortSince).Seconds() > reorderFactor*in.Terms.BootTime.Seconds():
+	case s.HasOrder && !s.ShortSince.IsZero() && in.Now.Sub(s.ShortSince).Seconds() > reorderFactor*in.Policy.BootTime.Seconds():
 		return Order{Pool: p, Count: size, Reason: "ordered servers have not started in time"}, true
 	}
 	return Order{}, false
@@ -133,7 +133,7 @@
 	if in.hallLost() {
 		largest = 0
 	}
-	return sum-largest >= min(in.Need(), in.Terms.MaxServers*in.carryingHalls())
+	return sum-largest >= min(in.Need(), in.Policy.MaxServers*in.carryingHalls())
 }
 
 // hallLost reports whether a hall is lost already, so that the loss of another one need not be covered: it has no
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -45,7 +45,7 @@
 	}
 	need := in.Need()
 	if kind == Spot {
-		need = max(need, in.serversFor(in.Terms.spotUtilization()))
+		need = max(need, in.serversFor(in.Policy.spotUtilization()))
 	}
 	each := int(math.Ceil(float64(need) / float64(min(len(halls), in.carryingHalls()))))
 	for _, hall := range in.openHalls() {
@@ -53,11 +53,11 @@
 			out[Pool{hall, k}] = 0
 		}
 		if at := (Pool{hall, kind}); !in.Pools[at].Unavailable {
-			out[at] = in.Terms.MinServers
+			out[at] = in.Policy.MinServers
 		}
 	}
 	for _, hall := range halls {
-		out[Pool{hall, kind}] = min(in.Terms.MaxServers, max(in.Terms.MinServers, each))
+		out[Pool{hall, kind}] = min(in.Policy.MaxServers, max(in.Policy.MinServers, each))
 	}
 	return out
 }
@@ -75,7 +75,7 @@
 // and on-demand servers if no hall has any and the running servers do not carry the load.
 func (in Input) kind() (Kind, []string) {
 	open := in.openHalls()
-	if in.Terms.SpotPrice == 0 || in.Terms.SpotPrice >= 1 {
+	if in.Policy.SpotPrice == 0 || in.Policy.SpotPrice >= 1 {
 		return OnDemand, in.available(open, OnDemand)
 	}
 	if halls := in.available(open, Spot); len(halls) > 0 || in.carriesLoad() {
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -247,7 +247,7 @@
 
 // input is what an order for the service is decided by.
 func (o *serviceOrders) input(s *routemap.Service, v *storesync.View, now time.Time) autoscaling.Input {
-	in := autoscaling.Input{Now: now, Terms: s.Autoscaling, Slots: s.Slots, Drained: map[string]bool{}, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
+	in := autoscaling.Input{Now: now, Policy: s.Autoscaling, Slots: s.Slots, Drained: map[string]bool{}, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
 	for hall := range v.Drained {
 		in.Drained[hall] = true
 	}
