--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Terms are the limits set by the operator and the prices of the provider.
-type Terms struct {
+// Policy are the limits set by the operator and the prices of the provider.
+type Policy struct {
 	// MinServers and Most bound the number of servers of a service in one hall, both kinds together.
 	MinServers int
 	MaxServers int
@@ -29,12 +29,12 @@
 }
 
 // Enabled reports whether autoscaling is configured.
-func (t Terms) Enabled() bool { return t.MaxServers > 0 }
+func (t Policy) Enabled() bool { return t.MaxServers > 0 }
 
 // spotUtilization is the target utilization of slots on spot servers. The waiting time of requests falls
 // with the number of servers and their cost grows with it; the sum is least where the number grows with the
 // square root of 1/price.
-func (t Terms) spotUtilization() float64 { return maxUtilization * math.Sqrt(t.SpotPrice) }
+func (t Policy) spotUtilization() float64 { return maxUtilization * math.Sqrt(t.SpotPrice) }
 
 // Kind is the pricing model of a server.
 type Kind string
@@ -76,7 +76,7 @@
 // Input holds everything that a decision depends on.
 type Input struct {
 	Now    time.Time
-	Policy Terms
+	Policy Policy
 	// Halls are the data halls of the service, in order. Servers in the halls of Emptied are not counted and
 	// none are ordered there.
 	Halls   []string
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -18,7 +18,7 @@
 	counts  autoscaling.Stand
 	planned int
 	ended   time.Time
-	terms   autoscaling.Terms
+	terms   autoscaling.Policy
 	// executed counts the orders that were carried out.
 	executed int
 	// orderDelay is how long the provider waits before it carries out an order.
@@ -46,7 +46,7 @@
 func newSite(each int) *site {
 	s := &site{
 		now: time.Unix(1000, 0), halls: []string{"a", "b", "c"}, places: map[autoscaling.Pool]*simPool{}, drained: map[string]bool{}, noSpot: map[string]bool{},
-		terms: autoscaling.Terms{MinServers: 1, MaxServers: 40, BootTime: boot, SpotPrice: 0.2},
+		terms: autoscaling.Policy{MinServers: 1, MaxServers: 40, BootTime: boot, SpotPrice: 0.2},
 	}
 	for _, hall := range s.halls {
 		s.places[autoscaling.Pool{Hall: hall, Kind: autoscaling.OnDemand}] = &simPool{serving: each}
@@ -323,7 +323,7 @@
 
 func TestServicesWithoutAPolicyGetNoOrders(t *testing.T) {
 	in := newSite(20).input()
-	in.Policy, in.CountSteady = autoscaling.Terms{}, true
+	in.Policy, in.CountSteady = autoscaling.Policy{}, true
 	if orders := autoscaling.Decide(in); len(orders) > 0 {
 		t.Errorf("%+v", orders)
 	}
--- a/core/routemap/routemap.go
+++ b/core/routemap/routemap.go
@@ -94,7 +94,7 @@
 	Models   []Model
 	// Autoscaling holds the limits and prices by which the number of its servers
 	// is scaled.
-	Autoscaling autoscaling.Terms
+	Autoscaling autoscaling.Policy
 }
 
 // Organisation is a customer with its keys.
--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -244,7 +244,7 @@
 
 // view is a service in two halls with a number of servers in each.
 func view(each int) *storesync.View {
-	terms := autoscaling.Terms{MinServers: 1, MaxServers: 40, BootTime: 4 * time.Second, SpotPrice: 0.2}
+	terms := autoscaling.Policy{MinServers: 1, MaxServers: 40, BootTime: 4 * time.Second, SpotPrice: 0.2}
 	m := routemap.New(routemap.Parts{Number: 1, Services: []routemap.Service{{Name: "llm", Slots: 10, Autoscaling: terms}}})
 	var servers []*fleet.Server
 	for _, hall := range []string{"hall-a", "hall-b"} {
