--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -118,7 +118,7 @@
 			ServersLost: at.asked && at.serving < min(at.peak, at.ordered), Unavailable: s.now.Before(at.noneUntil),
 		}
 	}
-	in.CountSteady = s.counts.Note(standing, s.now)
+	in.CountSteady = s.counts.Observe(standing, s.now)
 	in.Peak, in.HasLoad = s.demand.Peak()
 	in.PeakSettled = s.demand.Settled(s.now)
 	return in
--- a/core/autoscaling/demand.go
+++ b/core/autoscaling/demand.go
@@ -20,8 +20,8 @@
 	since time.Time
 }
 
-// Note records the current number of servers and reports whether it has not changed for some time.
-func (s *Stand) Note(count int, now time.Time) (steady bool) {
+// Observe records the current number of servers and reports whether it has not changed for some time.
+func (s *Stand) Observe(count int, now time.Time) (steady bool) {
 	if count != s.count || s.since.IsZero() {
 		s.count, s.since = count, now
 	}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -284,7 +284,7 @@
 		standing += at.Serving
 	}
 	in.LastNeed, in.ScaledDownAt = o.planned, o.endedAt
-	in.CountSteady = o.stands.Note(standing, now)
+	in.CountSteady = o.stands.Observe(standing, now)
 	o.demand.Note(work, now)
 	in.Peak, in.HasLoad = o.demand.Peak()
 	in.PeakSettled = o.demand.Settled(now)
