--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -59,7 +59,7 @@
 func (s *site) run(d time.Duration, load float64) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(step) {
 		s.start()
-		s.demand.Note(load, s.now)
+		s.demand.Observe(load, s.now)
 		in := s.input()
 		for _, o := range autoscaling.Decide(in) {
 			s.carryOut(o)
--- a/core/autoscaling/demand.go
+++ b/core/autoscaling/demand.go
@@ -41,8 +41,8 @@
 	load float64
 }
 
-// Note records the current load in flight.
-func (d *Demand) Note(load float64, now time.Time) {
+// Observe records the current load in flight.
+func (d *Demand) Observe(load float64, now time.Time) {
 	if !d.known && load < 1 {
 		return
 	}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -285,7 +285,7 @@
 	}
 	in.LastNeed, in.ScaledDownAt = o.planned, o.endedAt
 	in.CountSteady = o.stands.Observe(standing, now)
-	o.demand.Note(work, now)
+	o.demand.Observe(work, now)
 	in.Peak, in.HasLoad = o.demand.Peak()
 	in.PeakSettled = o.demand.Settled(now)
 	o.stand(&in, now)
