--- a/core/autoscaling/demand.go
+++ b/core/autoscaling/demand.go
@@ -14,14 +14,14 @@
 // known.
 const steadyTime = 2 * time.Second
 
-// Stand observes the number of servers. It must be used by one goroutine at a time.
-type Stand struct {
+// CountWatch observes the number of servers. It must be used by one goroutine at a time.
+type CountWatch struct {
 	count int
 	since time.Time
 }
 
 // Observe records the current number of servers and reports whether it has not changed for some time.
-func (s *Stand) Observe(count int, now time.Time) (steady bool) {
+func (s *CountWatch) Observe(count int, now time.Time) (steady bool) {
 	if count != s.count || s.since.IsZero() {
 		s.count, s.since = count, now
 	}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -36,7 +36,7 @@
 // serviceOrders is what was ordered for one service.
 type serviceOrders struct {
 	demand autoscaling.Demand
-	stands autoscaling.Stand
+	stands autoscaling.CountWatch
 	places map[autoscaling.Pool]*placeOrders
 	// planned is how many servers were last found to be needed.
 	planned int
