--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -14,7 +14,7 @@
 	places  map[autoscaling.Pool]*simPool
 	drained map[string]bool
 	noSpot  map[string]bool
-	demand  autoscaling.Demand
+	demand  autoscaling.PeakLoad
 	counts  autoscaling.CountWatch
 	planned int
 	ended   time.Time
@@ -287,7 +287,7 @@
 	s.run(15*time.Second, 0)
 	s.run(30*time.Second, 2500)
 	stood := s.all()
-	s.demand, s.counts = autoscaling.Demand{}, autoscaling.CountWatch{}
+	s.demand, s.counts = autoscaling.PeakLoad{}, autoscaling.CountWatch{}
 	s.run(15*time.Second, 50)
 	if n := s.all(); n < stood*2/3 {
 		t.Errorf("%d servers of %d are left to a new holder", n, stood)
--- a/core/autoscaling/demand.go
+++ b/core/autoscaling/demand.go
@@ -28,8 +28,8 @@
 	return now.Sub(s.since) >= steadyTime
 }
 
-// Demand keeps the recent load in flight. It must be used by one goroutine at a time.
-type Demand struct {
+// PeakLoad keeps the recent load in flight. It must be used by one goroutine at a time.
+type PeakLoad struct {
 	samples []sample
 	known   bool
 	// since is when there was load for the first time.
@@ -42,7 +42,7 @@
 }
 
 // Observe records the current load in flight.
-func (d *Demand) Observe(load float64, now time.Time) {
+func (d *PeakLoad) Observe(load float64, now time.Time) {
 	if !d.known && load < 1 {
 		return
 	}
@@ -60,7 +60,7 @@
 }
 
 // Peak returns the maximum load in flight in the peak window; ok is false if there has been no load yet.
-func (d *Demand) Peak() (load float64, ok bool) {
+func (d *PeakLoad) Peak() (load float64, ok bool) {
 	for _, s := range d.samples {
 		load = max(load, s.load)
 	}
@@ -68,4 +68,4 @@
 }
 
 // Settled reports whether the load has been observed for the whole peak window.
-func (d *Demand) Settled(now time.Time) bool { return d.known && now.Sub(d.since) >= peakWindow }
+func (d *PeakLoad) Settled(now time.Time) bool { return d.known && now.Sub(d.since) >= peakWindow }
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -35,7 +35,7 @@
 
 // serviceOrders is what was ordered for one service.
 type serviceOrders struct {
-	demand autoscaling.Demand
+	demand autoscaling.PeakLoad
 	stands autoscaling.CountWatch
 	places map[autoscaling.Pool]*placeOrders
 	// planned is how many servers were last found to be needed.
