--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -15,7 +15,7 @@
 		// Servers that start together appear in the VM list one after the other.
 		return nil
 	}
-	wanted := in.Wanted()
+	wanted := in.Targets()
 	var downTo map[Pool]int
 	if in.Now.Sub(in.ScaledDownAt) >= scaleDownInterval {
 		downTo = in.scaleDown(wanted)
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -36,8 +36,8 @@
 	return max(1, int(math.Ceil(in.Peak/(utilization*float64(in.Slots)))))
 }
 
-// Wanted returns the number of servers to run in each pool of the halls that are not drained.
-func (in Input) Wanted() map[Pool]int {
+// Targets returns the number of servers to run in each pool of the halls that are not drained.
+func (in Input) Targets() map[Pool]int {
 	out := map[Pool]int{}
 	kind, halls := in.kind()
 	if len(halls) == 0 {
