--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -16,7 +16,7 @@
 
 // Policy are the limits set by the operator and the prices of the provider.
 type Policy struct {
-	// MinServers and Most bound the number of servers of a service in one hall, both kinds together.
+	// MinServers and MaxServers bound the number of servers of a service in one hall, both kinds together.
 	MinServers int
 	MaxServers int
 	// BootTime is the time from ordering a server until it serves requests.
@@ -29,19 +29,19 @@
 }
 
 // Enabled reports whether autoscaling is configured.
-func (t Policy) Enabled() bool { return t.MaxServers > 0 }
+func (p Policy) Enabled() bool { return p.MaxServers > 0 }
 
 // spotUtilization is the target utilization of slots on spot servers. The waiting time of requests falls
 // with the number of servers and their cost grows with it; the sum is least where the number grows with the
 // square root of 1/price.
-func (t Policy) spotUtilization() float64 { return maxUtilization * math.Sqrt(t.SpotPrice) }
+func (p Policy) spotUtilization() float64 { return maxUtilization * math.Sqrt(p.SpotPrice) }
 
 // Kind is the pricing model of a server.
 type Kind string
 
 // Kinds of servers.
 const (
-	// OnDemand servers are on-demand servers, which run until they are stopped.
+	// OnDemand servers run until they are stopped.
 	OnDemand Kind = "regular"
 	// Spot servers are cheaper, and the provider may reclaim them.
 	Spot Kind = "spot"
@@ -59,11 +59,11 @@
 	// reached their full speed.
 	Serving int
 	Warm    int
-	// Ordered is the number of servers that was ordered last, if Asked.
+	// Ordered is the number of servers that was ordered last, if HasOrder is set.
 	Ordered  int
 	HasOrder bool
-	// ShortSince is the time since which fewer servers serve than were ordered, zero if enough do. Lost is set if
-	// servers that have served since the last order are gone or leaving.
+	// ShortSince is the time since which fewer servers serve than were ordered, zero if enough do. ServersLost
+	// is set if servers that have served since the last order are gone or leaving.
 	ShortSince  time.Time
 	ServersLost bool
 	// Unavailable is set if the provider recently had no servers for this pool.
@@ -77,16 +77,15 @@
 type Input struct {
 	Now    time.Time
 	Policy Policy
-	// Halls are the data halls of the service, in order. Servers in the halls of Emptied are not counted and
-	// none are ordered there.
+	// Halls are the data halls of the service, in order. No servers are ordered in those of Drained.
 	Halls   []string
 	Drained map[string]bool
 	// Pools is the state of each pool.
 	Pools map[Pool]PoolState
 	// Slots is the number of requests that one server processes concurrently. If it is 0 nothing is ordered.
 	Slots int
-	// Peak is the maximum load in flight in the recent past, where a small request counts 1. Known is set once
-	// there has been load, and Settled once the load has been observed for the whole peak window.
+	// Peak is the maximum load in flight in the recent past, where a small request counts 1. HasLoad is set
+	// once there has been load, and PeakSettled once the load has been observed for the whole peak window.
 	Peak        float64
 	HasLoad     bool
 	PeakSettled bool
@@ -102,7 +101,7 @@
 type Order struct {
 	Pool  Pool
 	Count int
-	// ScaleDown is set if the order stops servers. Why is a short reason for the log.
+	// ScaleDown is set if the order stops servers. Reason is a short reason for the log.
 	ScaleDown bool
 	Reason    string
 }
--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -9,16 +9,16 @@
 
 // site simulates a provider of servers in three halls. Its time advances in steps.
 type site struct {
-	now     time.Time
-	halls   []string
-	places  map[autoscaling.Pool]*simPool
-	drained map[string]bool
-	noSpot  map[string]bool
-	demand  autoscaling.PeakLoad
-	counts  autoscaling.CountWatch
-	planned int
-	ended   time.Time
-	terms   autoscaling.Policy
+	now          time.Time
+	halls        []string
+	pools        map[autoscaling.Pool]*simPool
+	drained      map[string]bool
+	noSpot       map[string]bool
+	load         autoscaling.PeakLoad
+	counts       autoscaling.CountWatch
+	lastNeed     int
+	scaledDownAt time.Time
+	policy       autoscaling.Policy
 	// executed counts the orders that were carried out.
 	executed int
 	// orderDelay is how long the provider waits before it carries out an order.
@@ -27,14 +27,14 @@
 
 // simPool is the state of a pool: the number of servers that serve, and when those that start will serve.
 type simPool struct {
-	serving   int
-	starting  []time.Time
-	ordered   int
-	asked     bool
-	noneUntil time.Time
-	peak      int
-	short     time.Time
-	orderAt   time.Time
+	serving    int
+	starting   []time.Time
+	ordered    int
+	hasOrder   bool
+	noneUntil  time.Time
+	peak       int
+	shortSince time.Time
+	orderAt    time.Time
 }
 
 const (
@@ -45,12 +45,12 @@
 
 func newSite(each int) *site {
 	s := &site{
-		now: time.Unix(1000, 0), halls: []string{"a", "b", "c"}, places: map[autoscaling.Pool]*simPool{}, drained: map[string]bool{}, noSpot: map[string]bool{},
-		terms: autoscaling.Policy{MinServers: 1, MaxServers: 40, BootTime: boot, SpotPrice: 0.2},
+		now: time.Unix(1000, 0), halls: []string{"a", "b", "c"}, pools: map[autoscaling.Pool]*simPool{}, drained: map[string]bool{}, noSpot: map[string]bool{},
+		policy: autoscaling.Policy{MinServers: 1, MaxServers: 40, BootTime: boot, SpotPrice: 0.2},
 	}
 	for _, hall := range s.halls {
-		s.places[autoscaling.Pool{Hall: hall, Kind: autoscaling.OnDemand}] = &simPool{serving: each}
-		s.places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = &simPool{}
+		s.pools[autoscaling.Pool{Hall: hall, Kind: autoscaling.OnDemand}] = &simPool{serving: each}
+		s.pools[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}] = &simPool{}
 	}
 	return s
 }
@@ -59,83 +59,83 @@
 func (s *site) run(d time.Duration, load float64) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(step) {
 		s.start()
-		s.demand.Observe(load, s.now)
+		s.load.Observe(load, s.now)
 		in := s.input()
 		for _, o := range autoscaling.Decide(in) {
 			s.carryOut(o)
-			s.planned = in.Need()
+			s.lastNeed = in.Need()
 		}
 	}
 }
 
 // start makes servers serve that have started.
 func (s *site) start() {
-	for _, at := range s.places {
+	for _, pool := range s.pools {
 		var left []time.Time
-		for _, when := range at.starting {
+		for _, when := range pool.starting {
 			if when.After(s.now) {
 				left = append(left, when)
 			} else {
-				at.serving++
+				pool.serving++
 			}
 		}
-		at.starting = left
+		pool.starting = left
 	}
 }
 
 func (s *site) carryOut(o autoscaling.Order) {
-	at := s.places[o.Pool]
+	pool := s.pools[o.Pool]
 	if o.Pool.Kind == autoscaling.Spot && s.noSpot[o.Pool.Hall] {
-		at.noneUntil, at.asked = s.now.Add(2*time.Second), false
+		pool.noneUntil, pool.hasOrder = s.now.Add(2*time.Second), false
 		return
 	}
 	s.executed++
 	if o.ScaleDown {
-		s.ended = s.now
+		s.scaledDownAt = s.now
 	}
-	at.ordered, at.asked, at.peak, at.orderAt, at.short = o.Count, true, 0, s.now, time.Time{}
-	for at.serving+len(at.starting) < o.Count {
-		at.starting = append(at.starting, s.now.Add(boot+s.orderDelay))
+	pool.ordered, pool.hasOrder, pool.peak, pool.orderAt, pool.shortSince = o.Count, true, 0, s.now, time.Time{}
+	for pool.serving+len(pool.starting) < o.Count {
+		pool.starting = append(pool.starting, s.now.Add(boot+s.orderDelay))
 	}
-	at.starting = at.starting[:min(len(at.starting), max(0, o.Count-at.serving))]
-	at.serving = min(at.serving, o.Count)
+	pool.starting = pool.starting[:min(len(pool.starting), max(0, o.Count-pool.serving))]
+	pool.serving = min(pool.serving, o.Count)
 }
 
 func (s *site) input() autoscaling.Input {
-	in := autoscaling.Input{Now: s.now, Policy: s.terms, Halls: s.halls, Drained: s.drained, Slots: slots, LastNeed: s.planned, ScaledDownAt: s.ended, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
-	standing := 0
-	for p, at := range s.places {
-		at.peak = max(at.peak, at.serving)
+	in := autoscaling.Input{Now: s.now, Policy: s.policy, Halls: s.halls, Drained: s.drained, Slots: slots, LastNeed: s.lastNeed, ScaledDownAt: s.scaledDownAt, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
+	serving := 0
+	for p, pool := range s.pools {
+		pool.peak = max(pool.peak, pool.serving)
 		switch {
-		case !at.asked || at.serving >= at.ordered:
-			at.short = time.Time{}
-		case at.short.IsZero():
-			at.short = s.now
+		case !pool.hasOrder || pool.serving >= pool.ordered:
+			pool.shortSince = time.Time{}
+		case pool.shortSince.IsZero():
+			pool.shortSince = s.now
 		}
-		standing += at.serving
+		serving += pool.serving
 		in.Pools[p] = autoscaling.PoolState{
-			Serving: at.serving, Warm: at.serving, Ordered: at.ordered, HasOrder: at.asked, ShortSince: at.short,
-			ServersLost: at.asked && at.serving < min(at.peak, at.ordered), Unavailable: s.now.Before(at.noneUntil),
+			Serving: pool.serving, Warm: pool.serving, Ordered: pool.ordered, HasOrder: pool.hasOrder, ShortSince: pool.shortSince,
+			ServersLost: pool.hasOrder && pool.serving < min(pool.peak, pool.ordered), Unavailable: s.now.Before(pool.noneUntil),
 		}
 	}
-	in.CountSteady = s.counts.Observe(standing, s.now)
-	in.Peak, in.HasLoad = s.demand.Peak()
-	in.PeakSettled = s.demand.Settled(s.now)
+	in.CountSteady = s.counts.Observe(serving, s.now)
+	in.Peak, in.HasLoad = s.load.Peak()
+	in.PeakSettled = s.load.Settled(s.now)
 	return in
 }
 
 // reclaim makes the provider reclaim all spot servers of a hall, without replacements for some time.
 func (s *site) reclaim(hall string) {
 	s.noSpot[hall] = true
-	s.places[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}].serving = 0
+	s.pools[autoscaling.Pool{Hall: hall, Kind: autoscaling.Spot}].serving = 0
 }
 
 // serving returns the number of servers of a kind, in one hall or in all.
 func (s *site) serving(kind autoscaling.Kind, halls ...string) int {
 	sum := 0
-	for p, at := range s.places {
+	for p, pool := range s.pools {
 		if p.Kind == kind && (len(halls) == 0 || p.Hall == halls[0]) && !s.drained[p.Hall] {
-			sum += at.serving
+			sum += pool.serving
 		}
 	}
 	return sum
@@ -147,9 +147,9 @@
 // and the rest was stopped before there was any request.
 func TestNothingIsOrderedWhileServersAreStillBeingListed(t *testing.T) {
 	s := newSite(1)
-	for _, at := range s.places {
-		for range at.serving * 19 {
-			at.starting = append(at.starting, s.now.Add(time.Second))
+	for _, pool := range s.pools {
+		for range pool.serving * 19 {
+			pool.starting = append(pool.starting, s.now.Add(time.Second))
 		}
 	}
 	s.run(15*time.Second, 0)
@@ -173,7 +173,7 @@
 
 func TestOnDemandServersAreKeptWhereSpotServersCostAsMuch(t *testing.T) {
 	s := newSite(20)
-	s.terms.SpotPrice = 1
+	s.policy.SpotPrice = 1
 	s.run(30*time.Second, 500)
 	if n := s.serving(autoscaling.Spot); n > 0 {
 		t.Errorf("%d spot servers", n)
@@ -287,7 +287,7 @@
 	s.run(15*time.Second, 0)
 	s.run(30*time.Second, 2500)
 	stood := s.all()
-	s.demand, s.counts = autoscaling.PeakLoad{}, autoscaling.CountWatch{}
+	s.load, s.counts = autoscaling.PeakLoad{}, autoscaling.CountWatch{}
 	s.run(15*time.Second, 50)
 	if n := s.all(); n < stood*2/3 {
 		t.Errorf("%d servers of %d are left to a new holder", n, stood)
--- a/core/autoscaling/decide.go
+++ b/core/autoscaling/decide.go
@@ -15,14 +15,14 @@
 		// Servers that start together appear in the VM list one after the other.
 		return nil
 	}
-	wanted := in.Targets()
+	targets := in.Targets()
 	var downTo map[Pool]int
 	if in.Now.Sub(in.ScaledDownAt) >= scaleDownInterval {
-		downTo = in.scaleDown(wanted)
+		downTo = in.scaleDown(targets)
 	}
 	var out []Order
-	for place, n := range wanted {
-		if o, ok := in.order(place, n, downTo); ok {
+	for pool, n := range targets {
+		if o, ok := in.order(pool, n, downTo); ok {
 			out = append(out, o)
 		}
 	}
@@ -99,10 +99,10 @@
 // scaleDown returns the pools whose servers are to be stopped, with the number that remains. Enough warm
 // servers remain to carry the load without any one hall. Where spot servers replace on-demand servers and a hall
 // has no room for both, this takes several steps.
-func (in Input) scaleDown(wanted map[Pool]int) map[Pool]int {
+func (in Input) scaleDown(targets map[Pool]int) map[Pool]int {
 	for step := range scaleDownSteps {
 		remaining := map[Pool]int{}
-		for p, n := range wanted {
+		for p, n := range targets {
 			// A new holder of the duty does not know yet how many of the cheap servers are needed.
 			if size := in.size(p); n < size && (in.PeakSettled || p.Kind == OnDemand) {
 				remaining[p] = n + (size-n)*step/scaleDownSteps
--- a/core/autoscaling/demand.go
+++ b/core/autoscaling/load.go
@@ -21,11 +21,11 @@
 }
 
 // Observe records the current number of servers and reports whether it has not changed for some time.
-func (s *CountWatch) Observe(count int, now time.Time) (steady bool) {
-	if count != s.count || s.since.IsZero() {
-		s.count, s.since = count, now
+func (w *CountWatch) Observe(count int, now time.Time) (steady bool) {
+	if count != w.count || w.since.IsZero() {
+		w.count, w.since = count, now
 	}
-	return now.Sub(s.since) >= steadyTime
+	return now.Sub(w.since) >= steadyTime
 }
 
 // PeakLoad keeps the recent load in flight. It must be used by one goroutine at a time.
@@ -42,30 +42,30 @@
 }
 
 // Observe records the current load in flight.
-func (d *PeakLoad) Observe(load float64, now time.Time) {
-	if !d.known && load < 1 {
+func (p *PeakLoad) Observe(load float64, now time.Time) {
+	if !p.known && load < 1 {
 		return
 	}
-	if n := len(d.samples); n > 0 && now.Sub(d.samples[n-1].at) < sampleInterval {
-		d.samples[n-1].load = max(d.samples[n-1].load, load)
+	if n := len(p.samples); n > 0 && now.Sub(p.samples[n-1].at) < sampleInterval {
+		p.samples[n-1].load = max(p.samples[n-1].load, load)
 	} else {
-		d.samples = append(d.samples, sample{at: now, load: load})
+		p.samples = append(p.samples, sample{at: now, load: load})
 	}
-	for len(d.samples) > 0 && now.Sub(d.samples[0].at) > peakWindow {
-		d.samples = d.samples[1:]
+	for len(p.samples) > 0 && now.Sub(p.samples[0].at) > peakWindow {
+		p.samples = p.samples[1:]
 	}
-	if !d.known {
-		d.known, d.since = true, now
+	if !p.known {
+		p.known, p.since = true, now
 	}
 }
 
 // Peak returns the maximum load in flight in the peak window; ok is false if there has been no load yet.
-func (d *PeakLoad) Peak() (load float64, ok bool) {
-	for _, s := range d.samples {
+func (p *PeakLoad) Peak() (load float64, ok bool) {
+	for _, s := range p.samples {
 		load = max(load, s.load)
 	}
-	return load, d.known
+	return load, p.known
 }
 
 // Settled reports whether the load has been observed for the whole peak window.
-func (d *PeakLoad) Settled(now time.Time) bool { return d.known && now.Sub(d.since) >= peakWindow }
+func (p *PeakLoad) Settled(now time.Time) bool { return p.known && now.Sub(p.since) >= peakWindow }
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -52,8 +52,8 @@
 		for _, k := range []Kind{OnDemand, Spot} {
 			out[Pool{hall, k}] = 0
 		}
-		if at := (Pool{hall, kind}); !in.Pools[at].Unavailable {
-			out[at] = in.Policy.MinServers
+		if pool := (Pool{hall, kind}); !in.Pools[pool].Unavailable {
+			out[pool] = in.Policy.MinServers
 		}
 	}
 	for _, hall := range halls {
