--- a/core/autoscaling/autoscaling.go
+++ b/core/autoscaling/autoscaling.go
@@ -31,10 +31,10 @@
 // Enabled reports whether autoscaling is configured.
 func (p Policy) Enabled() bool { return p.MaxServers > 0 }
 
-// spotUtilization is the target utilization of slots on spot servers. The waiting time of requests falls
+// spotUtilisation is the target utilisation of slots on spot servers. The waiting time of requests falls
 // with the number of servers and their cost grows with it; the sum is least where the number grows with the
 // square root of 1/price.
-func (p Policy) spotUtilization() float64 { return maxUtilization * math.Sqrt(p.SpotPrice) }
+func (p Policy) spotUtilisation() float64 { return maxUtilisation * math.Sqrt(p.SpotPrice) }
 
 // Kind is the pricing model of a server.
 type Kind string
--- a/core/autoscaling/need.go
+++ b/core/autoscaling/need.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// maxUtilization is the utilization of a server's slots that the peak load may reach. Above it requests wait, so
+// maxUtilisation is the utilisation of a server's slots that the peak load may reach. Above it requests wait, so
 // that servers are ordered at any price.
-const maxUtilization = 1.0
+const maxUtilisation = 1.0
 
-// Need returns how many servers carry the peak load when fully utilized. Until the load has been observed for the
+// Need returns how many servers carry the peak load when fully utilised. Until the load has been observed for the
 // whole peak window, the result is at least the number of the last decision or, if there was none, the number of
 // servers that serve now without the largest hall: they were sized to survive its loss.
 func (in Input) Need() int {
-	need := in.serversFor(maxUtilization)
+	need := in.serversFor(maxUtilisation)
 	switch {
 	case in.PeakSettled:
 		return need
@@ -28,12 +28,12 @@
 	return max(need, sum-largest)
 }
 
-// serversFor returns how many servers carry the peak load at the given utilization.
-func (in Input) serversFor(utilization float64) int {
+// serversFor returns how many servers carry the peak load at the given utilisation.
+func (in Input) serversFor(utilisation float64) int {
 	if !in.HasLoad {
 		return 1
 	}
-	return max(1, int(math.Ceil(in.Peak/(utilization*float64(in.Slots)))))
+	return max(1, int(math.Ceil(in.Peak/(utilisation*float64(in.Slots)))))
 }
 
 // Targets returns the number of servers to run in each pool of the halls that are not drained.
@@ -45,7 +45,7 @@
 	}
 	need := in.Need()
 	if kind == Spot {
-		need = max(need, in.serversFor(in.Policy.spotUtilization()))
+		need = max(need, in.serversFor(in.Policy.spotUtilisation()))
 	}
 	each := int(math.Ceil(float64(need) / float64(min(len(halls), in.carryingHalls()))))
 	for _, hall := range in.openHalls() {
