--- a/core/autoscaling/autoscaling_test.go
+++ b/core/autoscaling/autoscaling_test.go
@@ -286,11 +286,11 @@
 	s := newSite(20)
 	s.run(15*time.Second, 0)
 	s.run(30*time.Second, 2500)
-	stood := s.all()
+	before := s.all()
 	s.load, s.counts = autoscaling.PeakLoad{}, autoscaling.CountWatch{}
 	s.run(15*time.Second, 50)
-	if n := s.all(); n < stood*2/3 {
-		t.Errorf("%d servers of %d are left to a new holder", n, stood)
+	if n := s.all(); n < before*2/3 {
+		t.Errorf("%d servers of %d are left under a new holder", n, before)
 	}
 }
 
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -27,7 +27,7 @@
 	ConfirmTimeout = 5 * time.Second
 	// FlushInterval is the interval between flushes while bills are held.
 	FlushInterval = 50 * time.Millisecond
-	// OverdueAge is the age of the table, per tick of its read interval, from which daemons that are
+	// OverdueAge is the age of a document, per tick of its read interval, from which daemons that are
 	// not the readers of their data hall read it from the platform themselves, a few at a time.
 	OverdueAge = 3 * time.Second
 	// LeavingTTL is how long a report of a leaving backend server is valid if it is not repeated.
@@ -127,16 +127,16 @@
 	case Received:
 		n.handleMessage(e, now)
 	case ReadDone:
-		n.readDone(e, now)
+		n.handleReadDone(e, now)
 	case VMsKnown:
 		n.halls = max(e.Halls, 1)
 		n.Group.SetListed(e.Entries, now)
 	case BillAdded:
 		n.addBill(e.Bill, now)
 	case BillCopyTimedOut:
-		n.billAgain(e.Key, now)
+		n.resendCopy(e.Key, now)
 	case BillsWritten:
-		n.billsWritten(e.Found, now)
+		n.handleBillsWritten(e.Found, now)
 	case BillsFailed:
 		n.Pending.BatchFailed(e.RetryAfter, now)
 	case ServerLeaving:
@@ -449,12 +449,12 @@
 	for _, id := range n.Group.First(n.self.Hall, readersPerHall) {
 		n.send(id, n.heartbeat(now))
 	}
-	buddy, ok := n.copyHolder()
+	holderID, ok := n.copyHolder()
 	bills := append(n.Pending.Bills(), n.Copies.All()...)
 	if len(bills) == 0 || !ok {
 		return
 	}
 	for chunk := range slices.Chunk(bills, bill.MaxBatch) {
-		n.send(buddy, Copies{Bills: chunk, Adopt: true})
+		n.send(holderID, Copies{Bills: chunk, Adopt: true})
 	}
 }
--- a/core/node/node_bills.go
+++ b/core/node/node_bills.go
@@ -38,25 +38,25 @@
 type holder struct {
 	id   string
 	sent time.Time
-	// acknowledged is set once the daemon acknowledged acknowledged the copy.
+	// acknowledged is set once the daemon has acknowledged the copy.
 	acknowledged bool
 }
 
 // addBill stores a bill and sends a copy to another daemon.
 func (n *Node) addBill(b bill.Bill, now time.Time) {
 	n.Pending.Add(b, now)
-	if buddy, ok := n.copyHolder(); ok {
-		n.copyHolders[b.Key] = holder{id: buddy, sent: now}
-		n.send(buddy, Copies{Bills: []bill.Bill{b}})
+	if holderID, ok := n.copyHolder(); ok {
+		n.copyHolders[b.Key] = holder{id: holderID, sent: now}
+		n.send(holderID, Copies{Bills: []bill.Bill{b}})
 	} else {
 		n.actions = append(n.actions, BillNotReplicated{Key: b.Key})
 	}
 	n.flush(now)
 }
 
-// billAgain sends the copy of a bill to a second daemon. The first one has not answered and may have
+// resendCopy sends the copy of a bill to a second daemon. The first one has not answered and may have
 // failed or be paused without having been detected yet.
-func (n *Node) billAgain(key string, now time.Time) {
+func (n *Node) resendCopy(key string, now time.Time) {
 	b, held := n.Pending.Get(key)
 	previous := n.copyHolders[key].id
 	if !held {
@@ -79,7 +79,7 @@
 
 // resendCopies sends copies again whose message was lost or whose holder has failed.
 func (n *Node) resendCopies(now time.Time) {
-	buddy, ok := n.copyHolder()
+	holderID, ok := n.copyHolder()
 	if !ok {
 		return
 	}
@@ -88,13 +88,13 @@
 		h := n.copyHolders[b.Key]
 		held := n.Group.Usable(h.id) && (h.acknowledged || now.Sub(h.sent) < copyAckTimeout)
 		if !held && h.id != n.self.ID {
-			n.copyHolders[b.Key] = holder{id: buddy, sent: now}
+			n.copyHolders[b.Key] = holder{id: holderID, sent: now}
 			resend = append(resend, b)
 		}
 		return len(resend) < maxResendsPerTick
 	})
 	if len(resend) > 0 {
-		n.send(buddy, Copies{Bills: resend})
+		n.send(holderID, Copies{Bills: resend})
 	}
 }
 
@@ -120,8 +120,8 @@
 	}
 }
 
-// billsWritten removes the bills of a batch and notifies the holders of their copies.
-func (n *Node) billsWritten(found []string, now time.Time) {
+// handleBillsWritten removes the bills of a batch and notifies the holders of their copies.
+func (n *Node) handleBillsWritten(found []string, now time.Time) {
 	release := map[string][]string{}
 	for _, key := range n.Pending.Settle(found, now) {
 		n.actions = append(n.actions, BillDurable{Key: key})
--- a/core/node/node_reads.go
+++ b/core/node/node_reads.go
@@ -73,8 +73,8 @@
 	return n.turnHash(topic.String())%uint64(max(n.Group.Size(), readersPerHall)) < readersPerHall
 }
 
-// readDone handles the result of a read.
-func (n *Node) readDone(d ReadDone, now time.Time) {
+// handleReadDone handles the result of a read.
+func (n *Node) handleReadDone(d ReadDone, now time.Time) {
 	r := &n.reads[d.Topic]
 	r.busy = false
 	if d.Failed {
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -111,8 +111,8 @@
 	o.Add("org-a", at(1))
 	o.Unacknowledged("reader-1", 1, at(1))
 	o.Acknowledged(1)
-	if news := o.Unacknowledged("reader-1", 2, at(2.5)); len(news) > 0 {
-		t.Errorf("acknowledged counts are sent again: %v", news)
+	if records := o.Unacknowledged("reader-1", 2, at(2.5)); len(records) > 0 {
+		t.Errorf("acknowledged counts are sent again: %v", records)
 	}
 	pool.Merge(o.Unacknowledged("reader-2", 3, at(4)))
 	if diff := cmp.Diff(counts(map[string]uint64{"org-a": 1}), pool.Sum(first)); diff != "" {
@@ -168,8 +168,8 @@
 	}
 }
 
-// Two different reports of one window count as an error of the whole cluster. A holder that stops leaves its log, and the
-// next one continues from it.
+// Two different reports of one window count as an error of the whole cluster. A holder that stops leaves
+// its log, and the next one continues from it.
 func TestNextHolderSendsTheSameReports(t *testing.T) {
 	report := usage.Report{Window: first, Counts: counts(map[string]uint64{"org-a": 7})}
 	state, err := usage.ReportLog{}.With(report).Encode()
