--- a/core/retry/attempt_timeout_test.go
+++ b/core/retry/attempt_timeout_test.go
@@ -31,7 +31,7 @@
 
 func TestRetryAfterIsBounded(t *testing.T) {
 	for usual, want := range map[time.Duration]time.Duration{0: 50 * ms, 300 * ms: 300 * ms, time.Minute: 2000 * ms} {
-		if got := retry.RetryAfter(usual); got != want {
+		if got := retry.SuggestedDelay(usual); got != want {
 			t.Errorf("typical duration %v: retry after %v, want %v", usual, got, want)
 		}
 	}
--- a/core/retry/retry_after.go
+++ b/core/retry/retry_after.go
@@ -9,9 +9,9 @@
 	maxRetryAfter = 2 * time.Second
 )
 
-// RetryAfter returns the retry-after time of a request that was refused because all slots of
+// SuggestedDelay returns the retry-after time of a request that was refused because all slots of
 // the servers were in use, from the typical duration of a request. The first slot becomes free
 // after that duration divided by the number of slots, but other callers compete for it.
-func RetryAfter(typical time.Duration) time.Duration {
+func SuggestedDelay(typical time.Duration) time.Duration {
 	return max(minRetryAfter, min(maxRetryAfter, typical))
 }
--- a/daemon/proxy/run.go
+++ b/daemon/proxy/run.go
@@ -110,7 +110,7 @@
 func (j *job) comeBack(reason Reason) time.Duration {
 	switch reason {
 	case Full:
-		return retry.RetryAfter(j.usual(time.Now()))
+		return retry.SuggestedDelay(j.usual(time.Now()))
 	case Late:
 		return 0
 	case Quarantined:
