--- a/daemon/front/quarantine.go
+++ b/daemon/front/quarantine.go
@@ -42,7 +42,9 @@
 	return out
 }
 
-func placeOf(s *route.Server) quarantine.Instance { return quarantine.Instance{Server: s.ID, Addr: s.Addr} }
+func placeOf(s *route.Server) quarantine.Instance {
+	return quarantine.Instance{Server: s.ID, Addr: s.Addr}
+}
 
 // identify works out what the request asks.
 func (j *job) identify() {
