--- a/daemon/storesync/changes.go
+++ b/daemon/storesync/changes.go
@@ -8,15 +8,16 @@
 	"ladderridge.example/core/gossip"
 )
 
-// The list of servers by what has changed. Of thousands of servers a few change at a time, and
-// each change comes to each daemon: work on all of them at each would grow with the square of
-// the fleet.
+// Incremental updates of the server list. Of thousands of servers only a few change at a time,
+// and every daemon receives every change. Rebuilding the whole list for each change would cost
+// work that grows with the square of the number of servers.
 
-// incrementalDivisor is the part of the rows, as a divisor, up to which changes are taken one by one.
+// incrementalDivisor limits incremental updates to changes of at most 1/incrementalDivisor of
+// the rows. Larger changes rebuild the list.
 const incrementalDivisor = 8
 
-// applyServerChanges makes the list of servers anew, by what has changed if that is little and
-// stands by itself.
+// applyServerChanges updates the list of servers: incrementally if few rows have changed and
+// the changes do not depend on other rows, otherwise by rebuilding it.
 func (k *Syncer) applyServerChanges(now time.Time) {
 	t := k.topics[gossip.Servers]
 	v := k.view.Load()
@@ -27,7 +28,8 @@
 	c := serverChanges{corrupted: maps.Clone(v.Corrupted)}
 	for key := range t.takeDirty() {
 		if !k.applyServerRow(key, &c, now) {
-			// Two servers have one address: which of them is gone shows among all of them.
+			// Two servers have the same address. Deciding which one is gone takes the whole
+			// list.
 			k.readServers(now)
 			return
 		}
@@ -45,7 +47,7 @@
 	}
 }
 
-// serverChanges are what changed rows make of the list.
+// serverChanges collects the effect of changed rows on the server list.
 type serverChanges struct {
 	removed   []*fleet.Server
 	added     []*fleet.Server
@@ -53,11 +55,11 @@
 	restarted []serverRestart
 }
 
-// serverRestart is a server that has begun again under its id.
+// serverRestart is a server that has restarted under the same ID.
 type serverRestart struct{ was, is *fleet.Server }
 
-// applyServerRow takes one row that has changed or is gone. It returns false if the address is
-// another server's too.
+// applyServerRow applies one row that was changed or removed. It returns false if another
+// server has the same address.
 func (k *Syncer) applyServerRow(key string, c *serverChanges, now time.Time) bool {
 	old := k.entries[key].server
 	next := k.currentEntry(key, now)
@@ -86,14 +88,14 @@
 	return true
 }
 
-// releaseAddress notes that a server has an address no more.
+// releaseAddress records that a server no longer uses an address.
 func (k *Syncer) releaseAddress(addr string) {
 	if k.atAddress[addr]--; k.atAddress[addr] <= 0 {
 		delete(k.atAddress, addr)
 	}
 }
 
-// currentEntry is what a key's row says now; without a row it is empty.
+// currentEntry decodes the current row of a key. It is empty if there is no row.
 func (k *Syncer) currentEntry(key string, now time.Time) serverEntry {
 	row, there := k.topics[gossip.Servers].rows[key]
 	if !there {
@@ -107,8 +109,8 @@
 	return e
 }
 
-// dropServer forgets what is known of an incarnation that is not listed any more, but for
-// what it has said of itself.
+// dropServer drops the state of an incarnation that is no longer listed, except for the notices
+// that the server has sent.
 func (k *Syncer) dropServer(s *fleet.Server, now time.Time) {
 	if s == nil {
 		return
@@ -122,7 +124,7 @@
 	delete(k.coldRows, i)
 }
 
-// recordAddresses notes the addresses of the servers of the whole list.
+// recordAddresses counts the addresses of all listed servers.
 func (k *Syncer) recordAddresses(servers []*fleet.Server) {
 	k.atAddress = make(map[string]int, len(servers))
 	for _, s := range servers {
--- a/daemon/storesync/drive.go
+++ b/daemon/storesync/drive.go
@@ -10,48 +10,47 @@
 	"ladderridge.example/core/revision"
 )
 
-// The rhythm of roll-outs.
+// Intervals and limits of roll-outs.
 const (
-	// evidenceInterval is the time between two messages about what was seen: a bad
-	// version may see requests for some seconds after it is known to be bad.
+	// evidenceInterval is the time between two evidence messages. A faulty version may receive
+	// requests for some seconds after the first daemon has found it faulty.
 	evidenceInterval = 700 * time.Millisecond
-	// writeTurnDelay is how long a daemon waits for each one before it in turn to
-	// write a state.
+	// writeTurnDelay is how long a daemon waits for each daemon before it in the order of
+	// writing a state.
 	writeTurnDelay = 350 * time.Millisecond
-	// writeTimeout bounds a write, and the pause after one that failed.
+	// writeTimeout bounds a write, and the pause after a failed one.
 	writeTimeout = 900 * time.Millisecond
-	// reportTTL is how long what another daemon or hall has under way counts after it
-	// was last told. What it has seen counts as long as the order.
+	// reportTTL is how long the reported in-flight requests of another daemon or hall count.
+	// Reported evidence counts as long as the order.
 	reportTTL = 2 * time.Second
-	// minSuspicionAge is how long a doubt must have stood to take a version back: in twice the time
-	// between two messages all daemons have told what they have seen. Daemons that had just
-	// started took good versions back by the few answers that they had heard of, in 3 of 12
-	// plays beside stops in turn.
+	// minSuspicionAge is how long a version must have been suspected before it is rolled back.
+	// Within two evidence intervals every daemon has reported what it has seen. Without this
+	// delay daemons that had just started rolled good versions back on the few answers they had
+	// heard of, in 3 of 12 runs in which daemons were stopped in turn.
 	minSuspicionAge = 2 * evidenceInterval
-	// readersPerHall is how many daemons of another hall are told what this one
-	// has seen.
+	// readersPerHall is how many daemons of each other hall receive the evidence of this one.
 	readersPerHall = 2
-	// nonReaderWriteDelay is how long a daemon that does not read leaves the writing
-	// of states to those that do; urgentWait is that for a version that is bad,
-	// long enough for a reader to hear of it and write.
+	// nonReaderWriteDelay is how long a daemon that does not read the store leaves the writing
+	// of states to those that do. rollbackWriteDelay replaces it for a faulty version: long
+	// enough for a reader to learn of it and write.
 	nonReaderWriteDelay = 3 * time.Second
 	rollbackWriteDelay  = 700 * time.Millisecond
-	// minAnswersToComplete is how many answers of a version daemons must have seen
-	// before it may be completed, which cannot be taken back: as many as tell a
-	// bad one for sure. provenAfter is how long a daemon must have known the
-	// order if fewer come.
+	// minAnswersToComplete is how many answers of a version the daemons must have seen before
+	// it may be completed, which cannot be undone. The number is large enough to recognise a
+	// faulty version reliably. maxWaitForAnswers is how long a daemon must have known the order
+	// if fewer answers arrive.
 	minAnswersToComplete = 30
 	maxWaitForAnswers    = 3 * time.Second
 )
 
-// Observe takes what an answer says of a version in roll-out.
+// Observe records an observation of an answer of a version in roll-out.
 func (k *Syncer) Observe(f Observation) {
 	if k.rollouts.open.Load() {
 		k.enqueue(observation{fact: f})
 	}
 }
 
-// driveRollouts takes the next step of each order that is open.
+// driveRollouts performs the next step of each open order.
 func (k *Syncer) driveRollouts(ctx context.Context, now time.Time) {
 	if !k.rollouts.open.Load() {
 		return
@@ -64,7 +63,7 @@
 		}
 	}
 	if k.rollouts.sentAt.IsZero() {
-		// Daemons that hear of an order together do not all speak at once.
+		// Daemons that receive an order together must not all send at the same moment.
 		k.rollouts.sentAt = now.Add(-time.Duration(k.random.Int64N(int64(evidenceInterval))))
 	}
 	if now.Sub(k.rollouts.sentAt) >= evidenceInterval {
@@ -72,8 +71,8 @@
 	}
 }
 
-// sendEvidence tells what was seen: to the daemon that reads for this one, or,
-// from one that reads, what its hall has seen to the readers of other halls.
+// sendEvidence sends the evidence: from a daemon to the reader of its hall, and from a reader
+// the sums of its hall to the readers of other halls.
 func (k *Syncer) sendEvidence(own map[string]int, now time.Time) {
 	k.rollouts.sentAt = now
 	if reader, ok := k.readers.reader(); ok && !k.reading.Load() {
@@ -86,8 +85,8 @@
 	}
 }
 
-// readersOfOtherHalls are the daemons that read for the other halls: the first two in the
-// order of each, since one of them may be gone.
+// readersOfOtherHalls returns the likely readers of the other halls: the first two in the order
+// of each hall, since one of them may be gone.
 func (k *Syncer) readersOfOtherHalls() []Member {
 	halls := map[string][]Member{}
 	for _, m := range k.others() {
@@ -106,7 +105,8 @@
 // broadcast sends a message to the likely readers of other halls.
 func (k *Syncer) broadcast(m gossip.Response) { k.broadcastWith(Member{}, m) }
 
-// broadcastWith sends it to them and another daemon, unless that is this one or none.
+// broadcastWith sends a message to the likely readers of other halls and to one more daemon,
+// unless that is this one or has no ID.
 func (k *Syncer) broadcastWith(more Member, m gossip.Response) {
 	to := map[string]string{}
 	for _, other := range append(k.readersOfOtherHalls(), more) {
@@ -119,8 +119,8 @@
 	}
 }
 
-// oldInFlight counts this daemon's requests on versions that get no more, by
-// service.
+// oldInFlight counts the in-flight requests of this daemon on versions that no longer receive
+// requests, by service.
 func (k *Syncer) oldInFlight(now time.Time) map[string]int {
 	out := map[string]int{}
 	v := k.view.Load()
@@ -141,9 +141,9 @@
 	return out
 }
 
-// advanceRollout takes the next step of an order, if it is this daemon's turn. Whether what was
-// seen is enough to complete a version is for those to say whose turn it is: the others
-// know little more than what they have seen themselves.
+// advanceRollout performs the next step of an order if it is this daemon's turn. Whether the
+// evidence suffices to complete a version is decided by the daemons whose turn it is. The
+// others have little more than their own observations.
 func (k *Syncer) advanceRollout(ctx context.Context, service string, r canary.Rollout, own map[string]int, now time.Time) {
 	version := r.Order.Version
 	if !r.Started {
@@ -168,13 +168,13 @@
 		if now.Sub(k.dueSince(service, next.State, now)) < k.writeDelay(next.State) {
 			return
 		}
-		k.withdraw(r, "not known to be good: "+verdict.Suspicion, own, now)
+		k.withdraw(r, "not enough evidence that the version is good: "+verdict.Suspicion, own, now)
 		next.State = canary.RolledBack
 	}
 	k.writeInTurn(ctx, service, next, verdict.Summary, k.dueSince(service, next.State, now), now)
 }
 
-// dueSince is since when a state of an order is to be written.
+// dueSince returns since when a state of an order is due to be written.
 func (k *Syncer) dueSince(service string, state canary.State, now time.Time) time.Time {
 	name := service + state.String()
 	if _, ok := k.rollouts.knownSince[name]; !ok {
@@ -183,8 +183,8 @@
 	return k.rollouts.knownSince[name]
 }
 
-// initialShare is the share of the sessions that a new version begins with, by how
-// many requests are expected in the order's time.
+// initialShare is the share of the sessions that a new version starts with. It depends on how
+// many requests are expected within the time of the order.
 func (k *Syncer) initialShare(o canary.Order) float64 {
 	requests := 0.0
 	if k.Rate != nil {
@@ -193,8 +193,7 @@
 	return k.Exposure.InitialShare(requests, o.Within)
 }
 
-// evaluate weighs what all daemons have seen of a version, and stops its use if it is
-// bad.
+// evaluate judges a version by the evidence of all daemons, and stops its use if it is faulty.
 func (k *Syncer) evaluate(seen canary.Evidence, r canary.Rollout, own map[string]int, now time.Time) canary.Verdict {
 	service, version := r.Order.Service, r.Order.Version
 	verdict := seen.Judge()
@@ -202,30 +201,31 @@
 	for _, id := range verdict.Ejected {
 		if !slices.Contains(k.rollouts.ejected[service], id) {
 			k.rollouts.ejected[service] = append(slices.Clone(k.rollouts.ejected[service]), id)
-			k.Log.Warn().Str("service", service).Str("version", version).Str("server", id).Dur("age", now.Sub(r.Since)).Msg("rollout: a server of the version looks bad: others are asked")
+			k.Log.Warn().Str("service", service).Str("version", version).Str("server", id).Dur("age", now.Sub(r.Since)).Msg("rollout: server of the new version ejected as an outlier; other servers are used")
 		}
 	}
 	switch {
 	case verdict.Rejection != "":
 		k.withdraw(r, verdict.Rejection, own, now)
 	case (verdict.ErrorBudgetSpent || k.trialSufficient(r, seen, now)) && k.reading.Load() && k.enoughEvidence(service, seen, now):
-		k.withdraw(r, "not known to be good: "+verdict.Suspicion, own, now)
+		k.withdraw(r, "not enough evidence that the version is good: "+verdict.Suspicion, own, now)
 	}
 	return verdict
 }
 
-// trialSufficient reports whether a version has been trialSufficient for so long, or so often, that a doubt which
-// stands is enough to stop its use.
+// trialSufficient reports whether a version has been tried for long enough, or with enough
+// answers, that a lasting suspicion suffices to stop its use.
 func (k *Syncer) trialSufficient(r canary.Rollout, seen canary.Evidence, now time.Time) bool {
 	stands := k.rollouts.suspicions[r.Order.Service].age(now) >= minSuspicionAge
 	return stands && (r.TrialElapsed(now) || seen.SampleSufficient())
 }
 
-// summaryLogInterval is the time between two lines of a reader about what was seen of a version.
+// summaryLogInterval is the time between two log lines of a reader with the evidence of a
+// version.
 const summaryLogInterval = time.Second
 
-// recordSuspicion notes since when there is a doubt, and has a reader log what was seen so far: a
-// decision that comes late is traced by when there was enough for it.
+// recordSuspicion records since when a version is suspected, and makes a reader log the
+// evidence so far. The log shows when there was enough evidence for a decision that came late.
 func (k *Syncer) recordSuspicion(r canary.Rollout, v canary.Verdict, now time.Time) {
 	service := r.Order.Service
 	s := k.rollouts.suspicions[service]
@@ -236,19 +236,19 @@
 	}
 	if k.reading.Load() && now.Sub(s.loggedAt) >= summaryLogInterval {
 		s.loggedAt = now
-		k.Log.Info().Str("service", service).Str("version", r.Order.Version).Dur("age", now.Sub(r.Since)).Dur("doubt_for", s.age(now)).Bool("tried", r.TrialElapsed(now)).Str("seen", v.Summary).Msg("rollout: seen so far")
+		k.Log.Info().Str("service", service).Str("version", r.Order.Version).Dur("age", now.Sub(r.Since)).Dur("doubt_for", s.age(now)).Bool("tried", r.TrialElapsed(now)).Str("seen", v.Summary).Msg("rollout: evidence so far")
 	}
 	k.rollouts.suspicions[service] = s
 }
 
-// suspicion is since when there is a suspicion of a version in roll-out.
+// suspicion records since when a version in roll-out is suspected to be faulty.
 type suspicion struct {
-	// since is zero without a doubt, loggedAt when what was seen was last logged.
+	// since is zero without a suspicion. loggedAt is when the evidence was last logged.
 	since    time.Time
 	loggedAt time.Time
 }
 
-// age is how long there has been a doubt.
+// age is how long the suspicion has lasted.
 func (s suspicion) age(now time.Time) time.Duration {
 	if s.since.IsZero() {
 		return 0
@@ -256,39 +256,39 @@
 	return now.Sub(s.since)
 }
 
-// withdraw stops the use of a version here and tells the others.
+// withdraw stops the use of a version on this daemon and notifies the others.
 func (k *Syncer) withdraw(r canary.Rollout, why string, own map[string]int, now time.Time) {
 	service, version := r.Order.Service, r.Order.Version
 	if !k.rollouts.withdraw(service, version) {
 		return
 	}
-	k.Log.Warn().Str("service", service).Str("version", version).Str("why", why).Dur("age", now.Sub(r.Since)).Dur("doubt_for", k.rollouts.suspicions[service].age(now)).Msg("rollout: the version is bad: it gets nothing more")
+	k.Log.Warn().Str("service", service).Str("version", version).Str("why", why).Dur("age", now.Sub(r.Since)).Dur("doubt_for", k.rollouts.suspicions[service].age(now)).Msg("rollout: version rejected; it receives no more requests")
 	k.sendEvidence(own, now)
 	k.sendWithdrawn(now)
 }
 
-// enoughEvidence reports whether enough was seen of a version since this process knows
-// the order: with all daemons started anew nobody remembers what was before.
+// enoughEvidence reports whether there is enough evidence of a version since this process
+// learned of the order. If all daemons restart, none has the earlier evidence.
 func (k *Syncer) enoughEvidence(service string, seen canary.Evidence, now time.Time) bool {
 	return seen.Answers() >= minAnswersToComplete || now.Sub(k.rollouts.knownSince[service]) >= maxWaitForAnswers
 }
 
-// storeSince is when the order was first seen, by the store's clock.
+// storeSince is when the order was first seen, by the clock of the store.
 func (k *Syncer) storeSince(service string, now time.Time) uint64 {
 	age := uint64(max(0, now.Sub(k.rollouts.byService[service].Since).Milliseconds()))
 	clock := k.rollouts.storeClock(now)
 	return clock - min(age, clock)
 }
 
-// oldVersionIdle reports whether no daemon is known to have a request under way on
-// the old version.
+// oldVersionIdle reports whether no daemon is known to have an in-flight request on the old
+// version.
 func (k *Syncer) oldVersionIdle(service string, own map[string]int) bool {
 	n, ok := k.rollouts.allOldInFlight(own)[service]
 	return ok && n == 0
 }
 
-// writeInTurn writes a state when it is this daemon's turn: the others follow
-// one after the other, so that usually only one writes. The log tells what it rests on.
+// writeInTurn writes a state when it is this daemon's turn. The daemons take turns so that
+// usually only one writes. The log line has the evidence for the decision.
 func (k *Syncer) writeInTurn(ctx context.Context, service string, p canary.Progress, seen string, due, now time.Time) {
 	if began, busy := k.rollouts.writing[service]; busy && now.Sub(began) < 2*writeTimeout {
 		return
@@ -298,7 +298,7 @@
 	}
 	row, err := k.Decoder.WriteProgress(service, p)
 	if err != nil {
-		k.Log.Error().Err(err).Str("service", service).Msg("rollout: the state cannot be encoded")
+		k.Log.Error().Err(err).Str("service", service).Msg("rollout: cannot encode the state")
 		return
 	}
 	k.rollouts.writing[service] = now
@@ -307,7 +307,7 @@
 	if known, there := t.rows[row.Key]; there {
 		was = known.Version
 	}
-	k.Log.Info().Str("service", service).Str("version", p.Version).Str("state", p.State.String()).Stringer("was", was).Str("seen", seen).Dur("age", now.Sub(k.rollouts.byService[service].Since)).Msg("rollout: the state is written")
+	k.Log.Info().Str("service", service).Str("version", p.Version).Str("state", p.State.String()).Stringer("was", was).Str("seen", seen).Dur("age", now.Sub(k.rollouts.byService[service].Since)).Msg("rollout: writing the state")
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 		defer cancel()
@@ -317,8 +317,8 @@
 	}()
 }
 
-// writeDelay is how long this daemon leaves the writing of a state to others: the
-// readers of the halls take turns, and other daemons come after them.
+// writeDelay is how long this daemon leaves the writing of a state to others: the readers of
+// the halls take turns, and the other daemons follow them.
 func (k *Syncer) writeDelay(state canary.State) time.Duration {
 	halls := []string{k.Self.Hall}
 	for _, m := range k.others() {
@@ -338,11 +338,11 @@
 	return wait
 }
 
-// handleWriteDone notes the outcome of a write. Whatever it was, the topic tells what
-// stands: a lost answer may have been a success.
+// handleWriteDone handles the outcome of a write. Whatever it was, the topic shows the state
+// that the store has: the answer of a successful write may have been lost.
 func (k *Syncer) handleWriteDone(e writeDone) {
 	if e.err != nil {
-		k.Log.Warn().Str("service", e.service).Err(e.err).Msg("rollout: the state may not have been written")
+		k.Log.Warn().Str("service", e.service).Err(e.err).Msg("rollout: write of the state failed or its outcome is unknown")
 		return
 	}
 	delete(k.rollouts.writing, e.service)
--- a/daemon/storesync/era.go
+++ b/daemon/storesync/era.go
@@ -12,14 +12,16 @@
 	"ladderridge.example/core/revision"
 )
 
-// A store that returns from a copy has lost what was written in the seconds before. What the
-// operator and the servers wrote is written again, at once or a moment later; what daemons wrote
-// is theirs to write again. Until then a daemon goes by what it knew, which is newer.
+// Restores of the store from a backup copy. A restored store has lost the writes of the seconds
+// before the failure. The operator and the servers write their rows again, at once or a moment
+// later. The daemons write their own rows again. Until then a daemon uses the rows that it
+// knew, which are newer.
 
-// rewriteTimeout is how long a row that the store has lost is held, if nobody writes it again.
+// rewriteTimeout is how long a daemon holds a row that the store has lost if nobody writes it
+// again.
 const rewriteTimeout = 5 * time.Second
 
-// recordOldContent remembers what a row is that is about to change or to go.
+// recordOldContent records the content of a row that is about to be changed or removed.
 func (t *topicState) recordOldContent(key string, now time.Time) {
 	was, ok := t.rows[key]
 	if !ok {
@@ -32,22 +34,23 @@
 	t.oldContents[key] = append(kept, content{number: was.Version.Number, sum: was.Sum(), at: now})
 }
 
-// dropOldContents forgets what rows were that no copy can have.
+// dropOldContents drops recorded contents that are too old to be in a backup copy.
 func (t *topicState) dropOldContents(now time.Time) {
 	maps.DeleteFunc(t.oldContents, func(_ string, was []content) bool {
 		return !slices.ContainsFunc(was, func(c content) bool { return now.Sub(c.at) <= maxCopyAge })
 	})
 }
 
-// isOldContent reports whether a row was known as it is, and has changed or gone since.
+// isOldContent reports whether a row has a content that it once had and that has been changed
+// or removed since.
 func (t *topicState) isOldContent(row gossip.Row) bool {
 	sum := row.Sum()
 	return slices.ContainsFunc(t.oldContents[row.Key], func(c content) bool { return c.number == row.Version.Number && c.sum == sum })
 }
 
-// reconcile returns all rows as they are known once the store, which may have returned from a
-// copy, has some: a row that is in the copy as it was before is held as it is known, with the
-// version that the store has, and so is one that the copy lacks.
+// reconcile merges the rows of a store that may have been restored from a backup copy with the
+// known rows. A row that has an old content in the copy is held with its known content, under
+// the version that the store has. A row that the copy lacks is held too.
 func (t *topicState) reconcile(rows []gossip.Row, version revision.Revision, now time.Time) []gossip.Row {
 	returns := t.known && version.Era > t.version.Era
 	if t.restoredAt.IsZero() || now.Sub(t.restoredAt) > maxCopyAge && len(t.held) == 0 {
@@ -65,7 +68,7 @@
 			row.Data = was.Data
 			t.hold(row.Key, now)
 		default:
-			// It is gone.
+			// The row was removed before the restore.
 			continue
 		}
 		out = append(out, row)
@@ -80,15 +83,16 @@
 	return out
 }
 
-// noteHeldByPeer notes that another daemon holds rows that the store has lost.
+// noteHeldByPeer records that another daemon holds rows that the store has lost.
 func (t *topicState) noteHeldByPeer(known gossip.Update, now time.Time) {
 	if known.LostRows > 0 {
 		t.restoredAt = now
 	}
 }
 
-// mergeHeld takes what another daemon of the same era holds that the store has lost, if this one has
-// read it from the copy. What the store has taken since the other one read it stands.
+// mergeHeld takes over the rows that another daemon of the same era holds and the store has
+// lost, if this daemon has read them from the restored copy. Rows that the store has accepted
+// since the other daemon read it are kept.
 func (t *topicState) mergeHeld(known gossip.Update, now time.Time) (gone []string, newer bool) {
 	if known.Version.Era != t.version.Era || known.LostRows <= uint64(len(t.held)) || !known.Complete && known.Base != t.sum {
 		return nil, false
@@ -109,7 +113,7 @@
 	return gone, len(lost)+len(removed) > 0
 }
 
-// keysMissingAt are the keys of rows that another daemon does not have.
+// keysMissingAt returns the keys of rows that another daemon does not have.
 func (t *topicState) keysMissingAt(known gossip.Update) []string {
 	if !known.Complete {
 		return slices.DeleteFunc(slices.Clone(known.Removed), func(key string) bool { _, has := t.rows[key]; return !has })
@@ -133,7 +137,8 @@
 	}
 }
 
-// expiredHeld are the keys of rows that the store lacks and nobody has written again in time.
+// expiredHeld returns the keys of rows that the store lacks and that nobody has written again
+// in time.
 func (t *topicState) expiredHeld(now time.Time) []string {
 	var out []string
 	for key, since := range t.held {
@@ -144,17 +149,17 @@
 	return out
 }
 
-// checkEra notes that the store has returned from a copy, if a topic's new version shows it.
+// checkEra detects by a new version of a topic that the store was restored from a backup copy.
 func (k *Syncer) checkEra(topic gossip.Topic, version revision.Revision, now time.Time) {
 	t := k.topics[topic]
 	if !t.known || version.Era <= t.version.Era {
 		return
 	}
 	t.restoredAt = now
-	k.Log.Warn().Str("topic", string(topic)).Stringer("version", version).Stringer("was", t.version).Msg("knowledge: the store has returned from a copy: what it has lost is held until it is written again")
+	k.Log.Warn().Str("topic", string(topic)).Stringer("version", version).Stringer("was", t.version).Msg("storesync: store restored from a backup copy; rows that it has lost are held until they are written again")
 	k.Restores.Add(1)
 	if topic == gossip.Members && now.Sub(k.startedAt) < maxCopyAge {
-		// The copy may be older than this daemon's entry.
+		// The backup copy may be older than the entry of this daemon.
 		select {
 		case k.republish <- struct{}{}:
 		default:
@@ -162,7 +167,7 @@
 	}
 }
 
-// handleRestore does what is due while the store lacks what it had.
+// handleRestore performs the work that is due while the store lacks rows after a restore.
 func (k *Syncer) handleRestore(ctx context.Context, now time.Time) {
 	for topic, t := range k.topics {
 		t.dropOldContents(now)
@@ -170,7 +175,7 @@
 			continue
 		}
 		if keys := t.expiredHeld(now); len(keys) > 0 {
-			k.Log.Warn().Str("topic", string(topic)).Strs("keys", keys).Msg("knowledge: rows that the store has lost were not written again: they are gone")
+			k.Log.Warn().Str("topic", string(topic)).Strs("keys", keys).Msg("storesync: rows lost by the store were not written again in time; removed")
 			k.applyTopicChange(topic, t.set(nil, keys, now), true, now)
 		}
 	}
@@ -180,7 +185,7 @@
 	k.restoreProgress(ctx, now)
 }
 
-// restoreProgress has the states of roll-outs written again that the store has lost.
+// restoreProgress writes the states of roll-outs again that the store has lost.
 func (k *Syncer) restoreProgress(ctx context.Context, now time.Time) {
 	t := k.topics[gossip.Progress]
 	if !k.reading.Load() {
@@ -205,8 +210,9 @@
 	}
 }
 
-// isLeaving reports whether a server leaves by an entry of it. What it has said holds in a
-// later era, too, in which an entry may be older than that.
+// isLeaving reports whether a server leaves according to its entries. Once it has announced
+// this, the announcement stays valid in a later era, in which the entry may be older than the
+// announcement.
 func (k *Syncer) isLeaving(s fleet.Server, row revision.Revision) bool {
 	i := s.Incarnation()
 	era, left := k.leaving[i]
--- a/daemon/storesync/follow.go
+++ b/daemon/storesync/follow.go
@@ -11,41 +11,41 @@
 	"ladderridge.example/core/revision"
 )
 
-// The rhythm of calls to the store.
+// Intervals of the calls to the store.
 const (
-	// holdDivisor is the part of the time in which a configuration must be in
-	// force, as a divisor, for which the store holds a call about it that has
-	// nothing to tell. What a reader knows is then at most two calls old; a
-	// daemon that sees it grow older has time left to read for itself.
+	// holdDivisor gives the time for which the store holds a call about the configuration that
+	// has no changes to return, as a fraction of InForceWithin. The knowledge of a reader is
+	// then at most two calls old. A daemon that sees it become older still has time to read the
+	// store itself.
 	holdDivisor = 4
-	// defaultInForce is that time if the settings name none.
+	// defaultInForce replaces InForceWithin if the settings do not set it.
 	defaultInForce = 2 * time.Second
-	// longPollWait is how long it holds the other calls: what they tell need
-	// not be confirmed, and a failure of the first one ends them.
+	// longPollWait is how long the store holds the other calls. Their topics need no frequent
+	// confirmation, and a failure of the call about the configuration ends them.
 	longPollWait = 6 * time.Second
-	// callTimeout is what is added to that before a call counts as lost.
+	// callTimeout is added to the hold time before a call counts as failed.
 	callTimeout = 900 * time.Millisecond
-	// minBackoff and pauseCeiling bound the pause after a failed call, which
-	// doubles. It is drawn between a half of it and the whole.
+	// minBackoff and maxBackoff bound the pause after a failed call, which doubles with each
+	// failure. The pause is drawn at random between half of it and all of it.
 	minBackoff = 150 * time.Millisecond
 	maxBackoff = time.Second
-	// minPassiveBackoff and bystanderCeiling bound it where others of the hall try again
-	// soon.
+	// minPassiveBackoff and maxPassiveBackoff bound the pause if other daemons of the hall
+	// retry sooner.
 	minPassiveBackoff = 2 * time.Second
 	maxPassiveBackoff = 4 * time.Second
-	// batchDelay is the pause after an answer with changes, so that more of them
-	// come with the next one: when many servers start, each would cost a call.
-	// Of servers and daemons it may be longer than of the configuration: a server
-	// that leaves must be known within two seconds, which leaves time for an
-	// answer and the news of it to be lost.
+	// batchDelay is the pause after an answer with changes, so that the next answer returns
+	// several changes at once. When many servers start, each would otherwise cost a call. The
+	// topics of servers and daemons can use a longer pause than the configuration: a server
+	// that leaves must be known within two seconds, which leaves time for one lost answer and
+	// one lost message about it.
 	batchDelay     = 150 * time.Millisecond
 	longBatchDelay = 400 * time.Millisecond
-	// membersDelay is how long after its start a daemon reads the list of daemons.
-	// When many start at once their entries are there by then, with the keys
-	// without which they cannot speak to each other.
+	// membersDelay is how long after its start a daemon reads the list of daemons. When many
+	// daemons start at once, their entries exist by then, with the keys that they need to
+	// connect to each other.
 	membersDelay = 300 * time.Millisecond
-	// settleDelay is the pause after all rows were read, in which this daemon finds
-	// out whether another one is there to follow them.
+	// settleDelay is the pause after a full read. In this time the daemon finds out whether
+	// another daemon follows the topics for it.
 	settleDelay = 2*tickInterval + 50*time.Millisecond
 )
 
@@ -64,19 +64,18 @@
 	// gathered after one.
 	pollWait   time.Duration
 	batchDelay time.Duration
-	// delay is how long after the start the first call is made.
+	// delay is the time between the start and the first call.
 	delay time.Duration
 	// enabled reports whether the topic is to be followed now.
 	enabled func() bool
 
 	mu     sync.Mutex
 	cancel context.CancelFunc
-	// stopped tells that the call under way was ended from here.
+	// stopped is set if interrupt ended the current call.
 	stopped bool
 }
 
-// interrupt ends the call under way: the next one finds out whether the store
-// is there.
+// interrupt ends the current call. The next call finds out whether the store answers.
 func (f *follower) interrupt() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,7 +93,7 @@
 	return ctx, cancel
 }
 
-// end forgets the call under way and reports whether it was ended from here.
+// end clears the current call and reports whether interrupt ended it.
 func (f *follower) end() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,14 +101,14 @@
 	return f.stopped
 }
 
-// follow keeps a topic up to date while it is wanted.
+// follow keeps a topic up to date while it is enabled.
 func (k *Syncer) follow(ctx context.Context, f *follower) {
 	var after revision.Revision
 	known := false
 	random := k.draws(string(f.topic))
 	pause, hold := minBackoff, f.pollWait
 	clock.Wait(ctx, f.delay)
-	// The first time the list of daemons comes later than the other rows.
+	// At the start the list of daemons is read later than the other topics.
 	pauseAfterAll := settleDelay + membersDelay - f.delay
 	for ctx.Err() == nil {
 		if !f.enabled() {
@@ -139,7 +138,8 @@
 		if err != nil {
 			known = known && !needsFullRead(err)
 			pause = k.backOff(ctx, pause, random)
-			// The next answer is wanted at once: it tells that the store is back.
+			// The next call returns at once: its answer shows that the store is available
+			// again.
 			hold = time.Millisecond
 			continue
 		}
@@ -154,7 +154,7 @@
 	}
 }
 
-// needsFullRead reports whether what has changed is only safely known from all rows.
+// needsFullRead reports whether an error means that all rows must be read again.
 func needsFullRead(err error) bool { return isKind(err, HistoryLost) || isKind(err, EraChanged) }
 
 // backOff waits after a failed call and returns the next pause.
@@ -167,7 +167,7 @@
 	return min(2*pause, ceiling)
 }
 
-// fetch reads all rows of a topic if none are known, and otherwise follows it.
+// fetch reads all rows of a topic if none are known, and otherwise waits for changes.
 func (k *Syncer) fetch(ctx context.Context, f *follower, known bool, after revision.Revision, hold time.Duration) (Page, bool, error) {
 	k.Calls.Add(1)
 	if !known {
--- a/daemon/storesync/halls.go
+++ b/daemon/storesync/halls.go
@@ -10,26 +10,27 @@
 	"ladderridge.example/core/routemap"
 )
 
-// Emptied data halls, and servers that are cold. An operator's row about a hall comes
-// with the configuration, so that a daemon that the store turns away, or that starts
-// anew, has it from its hall as it has the configuration: at most 3.5 s old. While the
-// row stands nothing is sent to the hall's servers, neither a first attempt nor a
-// repeat, a larger model's run or a stream that is taken up; what runs there goes on.
+// Drained data halls, and cold servers: servers with empty caches after a start or an undrain.
+// The operator's row about a hall is part of the operator topic, so that a daemon that has just
+// started, or that the store does not serve, receives it from its hall together with the
+// configuration: at most 3.5 s old. While the row exists, no requests are sent to the servers
+// of the hall: no first attempts, no retries, no runs of a larger model and no resumed streams.
+// In-flight requests continue.
 
-// updateDrained takes which data halls are emptied now.
+// updateDrained sets which data halls are drained.
 func (k *Syncer) updateDrained(halls map[string]bool, now time.Time) {
 	next := map[string]time.Time{}
 	for hall := range halls {
 		since, was := k.drained[hall]
 		if !was {
 			since = now
-			k.Log.Info().Str("hall", hall).Bool("known", k.halls[hall] != nil).Msg("knowledge: a data hall is emptied: its servers get nothing more")
+			k.Log.Info().Str("hall", hall).Bool("known", k.halls[hall] != nil).Msg("storesync: data hall drained; its servers receive no more requests")
 		}
 		next[hall] = since
 	}
 	for hall, since := range k.drained {
 		if _, still := next[hall]; !still {
-			k.Log.Info().Str("hall", hall).Dur("after", now.Sub(since)).Msg("knowledge: a data hall is taken back: its servers count as cold")
+			k.Log.Info().Str("hall", hall).Dur("after", now.Sub(since)).Msg("storesync: data hall in use again; its servers count as cold")
 			k.undrainedAt[hall] = now
 		}
 	}
@@ -46,7 +47,7 @@
 	k.updateColdLimits(now)
 }
 
-// drainedHalls are the names of the halls that are emptied.
+// drainedHalls returns the names of the drained halls.
 func (k *Syncer) drainedHalls() map[string]bool {
 	out := make(map[string]bool, len(k.drained))
 	for hall := range k.drained {
@@ -55,8 +56,8 @@
 	return out
 }
 
-// recordCold notes what a newer entry of a server says of its being cold. The entry may be
-// a moment old: the time counts from now, which is later than it is meant.
+// recordCold records until when a server is cold according to a newer entry. The entry may be a
+// moment old. The time counts from now, which ends later than the server asked for.
 func (k *Syncer) recordCold(s *fleet.Server, row revision.Revision, now time.Time) {
 	if !row.After(k.coldRows[s.Incarnation()]) {
 		return
@@ -64,14 +65,15 @@
 	k.coldRows[s.Incarnation()] = row
 	believed := routemap.ClampColdTime(s.ColdFor)
 	if believed != s.ColdFor {
-		k.Log.Warn().Str("server", s.ID).Dur("cold_for", s.ColdFor).Dur("taken_as", believed).Msg("knowledge: a server's time to be cold cannot be meant so")
+		k.Log.Warn().Str("server", s.ID).Dur("cold_for", s.ColdFor).Dur("taken_as", believed).Msg("storesync: cold time of a server is out of range; it is clamped")
 	}
 	if believed > 0 {
 		k.coldUntil[s.Incarnation()] = now.Add(believed)
 	}
 }
 
-// updateColdLimits says of each server until when it is cold and what this daemon may send to it.
+// updateColdLimits sets for each server until when it is cold and how much this daemon may send
+// to it.
 func (k *Syncer) updateColdLimits(now time.Time) {
 	v := k.view.Load()
 	maps.DeleteFunc(k.coldUntil, func(_ fleet.Incarnation, until time.Time) bool { return now.After(until) })
@@ -103,12 +105,12 @@
 	return b
 }
 
-// regionsOf are the regions of the data halls.
+// regionsOf returns the regions of the data halls.
 func (k *Syncer) regionsOf() []string {
 	return slices.Sorted(maps.Values(k.Regions))
 }
 
-// InRegions reports whether a server in a data hall may run a request of the route for an
+// InRegions reports whether a server in a data hall may serve a request of the route for an
 // organisation, which may be nil.
 func (v *View) InRegions(r *routemap.Route, o *routemap.Organisation, hall string) bool {
 	return r.InRegions(o, v.Regions[hall])
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -1,7 +1,8 @@
-// Package storesync keeps what a daemon knows of the platform's store: the
-// configuration, the backend servers and the roll-outs, each with its age. Each
-// daemon follows the store; one that the store turns away is kept going by the
-// others. One goroutine owns the state and publishes immutable views.
+// Package storesync keeps a daemon's copy of the platform's store: the configuration, the
+// backend servers and the roll-outs, each with its age. In each data hall one daemon reads the
+// store and the others receive its contents from that one. A daemon that the store does not
+// serve is updated by the other daemons. One goroutine owns the state and publishes immutable
+// views.
 package storesync
 
 import (
@@ -25,90 +26,93 @@
 	"ladderridge.example/daemon/suspend"
 )
 
-// The rhythm of the keeper.
+// Intervals and limits of the syncer.
 const (
-	// tickInterval is the time between two looks at what is due.
+	// tickInterval is the time between two runs of the periodic work.
 	tickInterval = 100 * time.Millisecond
-	// peersPerQuery is how many daemons are asked then.
+	// peersPerQuery is how many daemons are asked at once when the state is too old.
 	peersPerQuery = 3
-	// relistTimeout is how long a server may take to be listed again after the
-	// store was away; the platform's pages give about two seconds.
+	// relistTimeout is how long a server may take to be listed again after the store was
+	// unavailable. The documentation of the platform gives about two seconds.
 	relistTimeout = 2000 * time.Millisecond
-	// eventBacklog bounds the keeper's inbox.
+	// eventBacklog bounds the event queue of the syncer.
 	eventBacklog = 4096
 )
 
-// Sender carries messages to other daemons without waiting.
+// Sender sends messages to other daemons without blocking.
 type Sender interface {
 	Send(id, addr string, m any)
 	// SendAll sends one message to several daemons, by id and address.
 	SendAll(to map[string]string, m any)
-	// Forget drops the connections to a daemon.
+	// Forget closes the connections to a daemon.
 	Forget(id string)
 }
 
-// Syncer keeps what a daemon knows. Get one from New, set the exported fields,
-// then Run.
+// Syncer follows the store and publishes views of it. Create it with New, set the exported
+// fields, then call Run.
 type Syncer struct {
 	Store   Store
 	Decoder Decoder
 	Peers   Sender
 	// Self is this daemon's entry in the list of daemons.
 	Self Member
-	// InForceWithin is how soon a configuration must be in force everywhere; 0
-	// is two seconds.
+	// InForceWithin is the time in which a configuration must be in force everywhere. 0 means
+	// two seconds.
 	InForceWithin time.Duration
-	// SessionPause is how long a session rests before it may move to a version in
-	// roll-out; 0 is five seconds.
+	// SessionPause is how long a session must be idle before it may move to a version in
+	// roll-out. 0 means five seconds.
 	SessionPause time.Duration
-	// Exposure bounds what a new version may get before it is known to be good.
+	// Exposure bounds the share of a new version until there is enough evidence that it is
+	// good.
 	Exposure canary.Exposure
-	// Regions are the regions of the data halls.
+	// Regions has the regions of the data halls.
 	Regions map[string]string
-	// SuspendClock tells how long the VM has stood still; nil is never.
+	// SuspendClock returns how long the VM has been suspended in all. nil means never.
 	SuspendClock suspend.Clock
-	// ColdOverage and ColdSlack are what a cold server bears beyond the rate that its
-	// service names: a factor, and some requests more.
+	// ColdOverage and ColdSlack are what a cold server accepts beyond the rate that its service
+	// sets: a factor and a number of requests.
 	ColdOverage float64
 	ColdSlack   float64
-	// Rate is how many requests for a service this daemon gets a second; nil is
+	// Rate returns how many requests per second this daemon receives for a service. nil means
 	// unknown.
 	Rate func(service string) float64
-	// Usage is what daemons exchange of usage; nil is nothing.
+	// Usage is the usage data that daemons exchange. nil means none.
 	Usage UsageExchange
-	// OnServerRestart, if set, is told of a server that has begun again under its id, as it was
-	// before.
+	// OnServerRestart, if set, is called when a server has restarted under the same ID, with
+	// the server as it was before.
 	OnServerRestart func(was *fleet.Server)
-	// OnLimitChange, if set, is told of a server whose limit begins, changes or ends by what another
-	// daemon has heard.
+	// OnLimitChange, if set, is called when a limit of a server starts, changes or ends by the
+	// message of another daemon.
 	OnLimitChange func(s *fleet.Server, was, is notice.LimitState)
 	Log           log.Logger
-	// FirstStart tells that all daemons start for the first time: nobody waits for an
-	// answer yet, and what a hall's reader reads is told to the others.
+	// FirstStart is set if all daemons start for the first time: there are no callers yet, and
+	// the other daemons receive what the reader of their hall reads.
 	FirstStart bool
-	// Seed is what pauses and turns are drawn from; 0 draws one.
+	// Seed seeds the random numbers of pauses and turns. 0 means a random seed.
 	Seed uint64
 
-	// Outages and Regained count the times that the store stopped and began
-	// again to answer.
+	// Outages and Recoveries count the times that the store stopped answering and answered
+	// again.
 	Outages    atomic.Int64
 	Recoveries atomic.Int64
 	// Calls counts calls to the store.
 	Calls atomic.Int64
-	// Suspensions counts the times that the VM has stood still.
+	// Suspensions counts the suspensions of the VM.
 	Suspensions atomic.Int64
-	// CorruptedRows counts rows that came and do not decode.
+	// CorruptedRows counts received rows that could not be decoded.
 	CorruptedRows atomic.Int64
-	// Restores counts topics whose rows the store has had from a copy.
+	// Restores counts topics that were restored from a backup copy of the store.
 	Restores atomic.Int64
-	// ServerExits counts servers that ended while requests of this daemon were under way there.
+	// ServerExits counts servers that exited while requests of this daemon were in flight
+	// there.
 	ServerExits atomic.Int64
 
-	// republish asks for this daemon's entry to be written again; progressLost tells that the
-	// store may lack states of roll-outs.
+	// republish requests that the entry of this daemon is written again. progressLost is set if
+	// the store may lack states of roll-outs.
 	republish    chan struct{}
 	progressLost atomic.Bool
-	// leaving are the servers that leave by their entries, by the era of the store that said so.
+	// leaving has the servers that leave according to their entries, with the era of the store
+	// in which they announced it.
 	leaving map[fleet.Incarnation]uint64
 
 	view    atomic.Pointer[View]
@@ -116,54 +120,55 @@
 	events  chan event
 	run     func(ctx context.Context) error
 
-	// reading tells that this daemon reads the store, away that the store does
-	// not answer it.
+	// reading is set if this daemon reads the store, storeUnavailable if the store does not
+	// answer it.
 	reading          atomic.Bool
 	storeUnavailable atomic.Bool
-	// passive tells that others of the hall try the store again and again while it
-	// does not answer.
+	// passive is set if other daemons of the hall keep retrying while the store does not
+	// answer.
 	passive atomic.Bool
-	// storeAnsweredAt is the start of the last call about the operator's topic that the
-	// store answered.
+	// storeAnsweredAt is the start of the last call about the operator topic that the store
+	// answered.
 	storeAnsweredAt time.Time
-	// source is a daemon that last told something new enough while this one had
-	// nobody to read for it, or "".
+	// source is a daemon that last sent a recent enough state while no daemon read the store
+	// for this one, or "".
 	source string
-	// deferReading tells that at the first start all but the list of daemons is left
-	// to the hall's reader, until startedAt is firstStartPatience ago.
+	// deferReading is set at the first start while this daemon reads only the list of daemons
+	// and leaves the rest to the reader of its hall, for at most firstStartTimeout from
+	// startedAt.
 	deferReading atomic.Bool
 	startedAt    time.Time
 	readers      *readers
 	followers    []*follower
-	// subscribers are the daemons that this one reads for, by when they last
-	// asked.
+	// subscribers are the daemons that this one reads the store for, by the time of their last
+	// request.
 	subscribers map[string]time.Time
 	topics      map[gossip.Topic]*topicState
-	// announcedSums are the sums of the topics at the last news.
+	// announcedSums are the checksums of the topics at the last update sent.
 	announcedSums map[gossip.Topic]uint64
 	loads         map[fleet.Incarnation]*fleet.ServerState
-	// entries are the servers' rows as they were decoded, by key; atAddress is how many of the
-	// listed servers have an address.
+	// entries has the decoded rows of servers, by key. atAddress is how many listed servers
+	// have an address.
 	entries   map[string]serverEntry
 	atAddress map[string]int
-	// hasSuperseded tells that servers are left out at whose address a later one has begun: they come
-	// back when that one goes.
+	// hasSuperseded is set if servers are left out because a later one has started at the same
+	// address. They are listed again when that one is removed.
 	hasSuperseded bool
-	// unlisted are the notices of servers that are not listed any more.
+	// unlisted has the notices of servers that are not listed any more.
 	unlisted map[fleet.Incarnation]unlisted
 	halls    map[string]*fleet.HallState
-	// drained are the data halls that are drained, by since when this daemon knows;
-	// returned are those that were, by when they were taken back.
+	// drained has the drained data halls, by when this daemon learned of it. undrainedAt is
+	// when halls that were drained were taken into use again.
 	drained     map[string]time.Time
 	undrainedAt map[string]time.Time
-	// suspendedTotal is how long the VM had suspendedTotal still at the last look, wokeAt when it last began
-	// to run again.
+	// suspendedTotal is how long the VM had been suspended in all at the last check, resumedAt
+	// when it last resumed.
 	suspendedTotal time.Duration
 	resumedAt      time.Time
-	// starts are the latest known starts of servers, by id.
+	// starts has the latest known start times of servers, by ID.
 	starts map[string]int64
-	// coldUntil is until when servers are cold by their own word, coldRows the
-	// versions of the entries that said so.
+	// coldUntil is until when servers are cold according to their entries, coldRows the
+	// versions of these entries.
 	coldUntil       map[fleet.Incarnation]time.Time
 	coldRows        map[fleet.Incarnation]revision.Revision
 	lapsed          map[string]time.Time
@@ -172,37 +177,39 @@
 	nonce           uint64
 	random          *rand.Rand
 	peersQueriedAt  time.Time
-	// heldQueriedAt is when a daemon was last asked that holds more than this one.
+	// heldQueriedAt is when this daemon last sent a request to one that holds more rows that
+	// the store has lost.
 	heldQueriedAt time.Time
 	rollouts      *rollouts
 	sessions      *sessions
 	limits        *limits
-	// serverLoad is what is known of the work at servers, workAskedAt when this daemon last
-	// told its own with a question, workAbroadAt when other halls were last told of this
-	// one's.
+	// serverLoad tracks the in-flight load of servers over all daemons. loadReportedAt is when
+	// this daemon last sent its own load with a request, loadBroadcastAt when it last sent the
+	// load of its hall to other halls.
 	serverLoad      *serverload.Tracker
 	loadReportedAt  time.Time
 	loadBroadcastAt time.Time
-	// usageSentAt is when other readers were last told of usage.
+	// usageSentAt is when usage was last sent to other readers.
 	usageSentAt time.Time
-	// hallSessions and awaySessions are sessions heard of since the last
-	// message about them, of this hall and of others.
+	// hallSessions and remoteSessions are sessions reported since the last message about them,
+	// by daemons of this hall and of other halls.
 	hallSessions   []uint64
 	remoteSessions []uint64
 	sessionsSentAt time.Time
-	// registry has the crash counts of requests, crashNews what is to be told of them,
-	// ownCrashes what this daemon has seen lately, crashReader whom it told last; confine
-	// are the requests in quarantine.
+	// registry has the crash counts of requests. pendingCrashes are the crashes to send,
+	// ownCrashes those that this daemon has seen recently, crashReader the daemon that they
+	// were last sent to. quarantineRows are the requests in quarantine.
 	registry       *quarantine.Registry
 	pendingCrashes []crashReport
 	ownCrashes     []quarantine.Crash
 	crashReader    string
 	quarantineRows map[quarantine.Fingerprint]quarantineRow
-	// malformedSums are rows that did not decode, by key, so that each is logged once.
+	// malformedSums has the checksums of rows that could not be decoded, by key, so that each
+	// is logged once.
 	malformedSums map[string]uint64
 }
 
-// event is something for the keeper's goroutine.
+// event is an input of the syncer's goroutine.
 type event interface{ event() }
 
 // storeAnswer is an answer of the store.
@@ -211,7 +218,7 @@
 	page  Page
 	full  bool
 	at    time.Time
-	// suspendedTotal is how long the VM had suspendedTotal still then.
+	// suspendedTotal is how long the VM had been suspended in all when the call started.
 	suspendedTotal time.Duration
 	err            error
 }
@@ -222,7 +229,7 @@
 	message any
 }
 
-// observation is an answer of a version that may be in roll-out.
+// observation is an observation of a version that may be in roll-out.
 type observation struct{ fact Observation }
 
 // writeDone is the outcome of writing the state of a roll-out.
@@ -236,7 +243,7 @@
 func (observation) event() {}
 func (writeDone) event()   {}
 
-// New returns a keeper that knows nothing.
+// New returns a syncer without any data.
 func New() *Syncer {
 	k := &Syncer{
 		events: make(chan event, eventBacklog), republish: make(chan struct{}, 1), leaving: map[fleet.Incarnation]uint64{},
@@ -253,7 +260,7 @@
 	k.view.Store(&View{sessions: k.sessions, Quarantine: k.registry})
 	k.members.Store(&map[string]Member{})
 	k.reading.Store(true)
-	// The first one is about the configuration; Run sets its hold.
+	// The first follower is for the configuration. Run sets its hold time.
 	k.followers = []*follower{
 		{topic: gossip.Operator, batchDelay: batchDelay, enabled: k.reading.Load},
 		{topic: gossip.Servers, pollWait: longPollWait, batchDelay: longBatchDelay, enabled: k.reading.Load},
@@ -264,19 +271,19 @@
 	return k
 }
 
-// View returns what is known now.
+// View returns the latest view.
 func (k *Syncer) View() *View { return k.view.Load() }
 
 // ReadsStore reports whether this daemon reads the store now.
 func (k *Syncer) ReadsStore() bool { return k.reading.Load() }
 
-// HandleMessage takes a message of another daemon.
+// HandleMessage enqueues a message of another daemon.
 func (k *Syncer) HandleMessage(from string, message any) {
 	k.enqueue(peerMessage{from: from, message: message})
 }
 
-// enqueue hands an event to the keeper's goroutine; with a full inbox it is lost,
-// and what it said will be said again.
+// enqueue passes an event to the syncer's goroutine. If the queue is full the event is dropped:
+// its contents will be sent again.
 func (k *Syncer) enqueue(e event) {
 	select {
 	case k.events <- e:
@@ -284,7 +291,7 @@
 	}
 }
 
-// Run keeps the knowledge until ctx ends.
+// Run follows the store until ctx ends.
 func (k *Syncer) Run(ctx context.Context) error { return k.run(ctx) }
 
 func (k *Syncer) loop(ctx context.Context) error {
@@ -308,7 +315,7 @@
 		go k.follow(ctx, f)
 	}
 	go k.publishMember(ctx)
-	// Daemons that start together do not speak at the same moments.
+	// Daemons that start together must not send at the same moments.
 	clock.Wait(ctx, time.Duration(k.random.Int64N(int64(tickInterval))))
 	tick := clock.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -324,7 +331,7 @@
 	}
 }
 
-// draws returns the random numbers of one goroutine.
+// draws returns the random number generator of one goroutine.
 func (k *Syncer) draws(name string) *rand.Rand {
 	return rand.New(rand.NewPCG(k.Seed, xxhash.Sum64String(name)))
 }
@@ -347,7 +354,7 @@
 	}
 }
 
-// deliver hands an answer over, whatever the inbox holds.
+// deliver passes an event on, waiting while the queue is full.
 func (k *Syncer) deliver(ctx context.Context, e event) {
 	select {
 	case k.events <- e:
@@ -355,9 +362,10 @@
 	}
 }
 
-// handleStoreAnswer takes an answer of the store.
+// handleStoreAnswer handles an answer of the store.
 func (k *Syncer) handleStoreAnswer(e storeAnswer, now time.Time) {
-	// An answer is as old as its question, whatever the VM did meanwhile.
+	// The age of an answer counts from the start of the call, including any suspension of the
+	// VM.
 	e.at = e.at.Add(e.suspendedTotal - k.SuspendClock.Now())
 	t := k.topics[e.topic]
 	if e.err != nil {
@@ -373,7 +381,7 @@
 	}
 	if !t.unavailableSince.IsZero() {
 		k.Recoveries.Add(1)
-		k.Log.Info().Str("topic", string(e.topic)).Dur("away", now.Sub(t.unavailableSince)).Stringer("version", e.page.Version).Msg("knowledge: the store answers again")
+		k.Log.Info().Str("topic", string(e.topic)).Dur("away", now.Sub(t.unavailableSince)).Stringer("version", e.page.Version).Msg("storesync: store available again")
 		t.unavailableSince, t.recoveredAt = time.Time{}, now
 	}
 	k.rollouts.clock(e.page.ClockMS, now)
@@ -388,14 +396,14 @@
 	k.applyTopicChange(e.topic, gone, newer, now)
 }
 
-// handleStoreError notes a call to the store that came to nothing.
+// handleStoreError handles a failed call to the store.
 func (k *Syncer) handleStoreError(e storeAnswer, t *topicState, now time.Time) {
 	if isKind(e.err, EraChanged) {
-		k.Log.Info().Str("topic", string(e.topic)).Stringer("version", t.version).Err(e.err).Msg("knowledge: the store is in another era: all rows are read again")
+		k.Log.Info().Str("topic", string(e.topic)).Stringer("version", t.version).Err(e.err).Msg("storesync: era of the store has changed; all rows are read again")
 		return
 	}
 	if isKind(e.err, HistoryLost) {
-		k.Log.Info().Str("topic", string(e.topic)).Stringer("version", t.version).Msg("knowledge: the store has forgotten its history: all rows are read again")
+		k.Log.Info().Str("topic", string(e.topic)).Stringer("version", t.version).Msg("storesync: store no longer has the history of changes; all rows are read again")
 		return
 	}
 	if e.topic == gossip.Operator {
@@ -404,12 +412,12 @@
 	if t.unavailableSince.IsZero() {
 		t.unavailableSince = now
 		k.Outages.Add(1)
-		k.Log.Warn().Str("topic", string(e.topic)).Err(e.err).Stringer("version", t.version).Dur("age", now.Sub(t.confirmed)).Msg("knowledge: the store does not answer")
+		k.Log.Warn().Str("topic", string(e.topic)).Err(e.err).Stringer("version", t.version).Dur("age", now.Sub(t.confirmed)).Msg("storesync: store unavailable")
 	}
 }
 
-// interruptOthers ends the calls about all but the operator's topic, which alone
-// is tried until the store answers again.
+// interruptOthers ends the calls about all topics but the operator topic. Only that one is
+// tried until the store answers again.
 func (k *Syncer) interruptOthers(now time.Time) {
 	k.storeUnavailable.Store(true)
 	for _, f := range k.followers {
@@ -423,7 +431,7 @@
 	}
 }
 
-// applyTopicChange works out what changed rows mean.
+// applyTopicChange updates the view after rows of a topic have changed.
 func (k *Syncer) applyTopicChange(topic gossip.Topic, gone []string, newer bool, now time.Time) {
 	if topic == gossip.Servers {
 		k.recordLapsed(gone, now)
@@ -446,8 +454,8 @@
 	k.publishView()
 }
 
-// recordLapsed notes servers whose entries are gone. While the store was away entries
-// recordLapsed of servers that live: they have a while from its return to come back.
+// recordLapsed records servers whose entries are gone. While the store is unavailable, entries
+// of running servers expire. They get relistTimeout after its recovery to be listed again.
 func (k *Syncer) recordLapsed(gone []string, now time.Time) {
 	t := k.topics[gossip.Servers]
 	until := t.recoveredAt.Add(relistTimeout)
@@ -461,7 +469,7 @@
 	}
 }
 
-// publishView publishes a view with the present state.
+// publishView publishes a view of the current state.
 func (k *Syncer) publishView() {
 	v := *k.view.Load()
 	v.ConfigAt = k.topics[gossip.Operator].confirmed
@@ -472,7 +480,7 @@
 	k.view.Store(&v)
 }
 
-// tick does what is due.
+// tick performs the periodic work.
 func (k *Syncer) tick(ctx context.Context, now time.Time) {
 	k.detectSuspension(now)
 	for id, until := range k.lapsed {
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -14,40 +14,42 @@
 	"ladderridge.example/core/quota"
 )
 
-// The limits that servers name, as daemons tell them each other: most daemons of a large fleet
-// send a limited server nothing, and hear neither its limit nor the end of that. A question
-// carries a sum of the limits that stand at the asker. Where the sums differ, both tell all that
-// they know. Readers tell other halls what has changed.
+// Exchange of the rate limits that servers announce. In a large cluster most daemons send no
+// requests to a limited server, and so learn neither of its limit nor of the end of it. A
+// request to the reader carries a checksum of the limits in force at the sender. If the
+// checksums differ, both sides send all limits that they know. Readers send changes to other
+// halls.
 
 const (
-	// maxLimitsPerMessage bounds the limits of one message: those that were heard last.
+	// maxLimitsPerMessage bounds the limits of one message. The most recently announced ones
+	// are sent.
 	maxLimitsPerMessage = 256
-	// endedLimitTTL is for how long the end of a limit is told.
+	// endedLimitTTL is how long the end of a limit is still sent to other daemons.
 	endedLimitTTL = 10 * time.Minute
-	// limitsInterval is the time between two messages to other halls while limits stand that
-	// have not changed.
+	// limitsInterval is the time between two messages to other halls while limits are in force
+	// and unchanged.
 	limitsInterval = 5 * time.Second
 )
 
-// limits are the servers that have named a limit. They belong to the keeper's goroutine.
+// limits tracks the servers that have announced a limit. The syncer's goroutine owns it.
 type limits struct {
 	known map[fleet.Incarnation]*fleet.Server
-	// changed tells that a limit has changed that others have not been told of, differs that the
-	// reader knows other limits.
+	// changed is set if a limit has changed that other daemons do not know yet. readerDiffers
+	// is set if the reader knows other limits.
 	changed       bool
 	readerDiffers bool
-	// sentAt is when other halls were told last.
+	// sentAt is when limits were last sent to other halls.
 	sentAt time.Time
 }
 
 func newLimits() *limits { return &limits{known: map[fleet.Incarnation]*fleet.Server{}} }
 
-// limitObserved is a server whose limit a request of this daemon has heard to change.
+// limitObserved is a server whose limit was changed by the answer to a request of this daemon.
 type limitObserved struct{ server *fleet.Server }
 
 func (limitObserved) event() {}
 
-// AnnounceLimit has the other daemons told what a server says of its limit.
+// AnnounceLimit announces the limit of a server to the other daemons.
 func (k *Syncer) AnnounceLimit(s *fleet.Server) { k.enqueue(limitObserved{server: s}) }
 
 func (k *Syncer) handleLimitObserved(e limitObserved) {
@@ -55,7 +57,8 @@
 	k.limits.changed = true
 }
 
-// sharers are the daemons that share limits: none while their list is not known.
+// sharers returns the daemons that share limits. There are none while the list of daemons is
+// unknown.
 func (k *Syncer) sharers() quota.Daemons {
 	out := quota.Daemons{Self: k.Self.ID, ByHall: map[string][]string{}}
 	members := *k.members.Load()
@@ -78,8 +81,8 @@
 	}
 }
 
-// relistLimits takes the servers that are listed now: a limit stays with the start of a server
-// that named it.
+// relistLimits updates the limits for a rebuilt server list. A limit belongs to the incarnation
+// of the server that announced it.
 func (k *Syncer) relistLimits(servers []*fleet.Server, now time.Time) {
 	maps.DeleteFunc(k.limits.known, func(i fleet.Incarnation, _ *fleet.Server) bool { return k.loads[i] == nil })
 	for _, s := range servers {
@@ -87,7 +90,7 @@
 	}
 }
 
-// relistChangedLimits does so for a few servers that have changed.
+// relistChangedLimits updates the limits for the changed servers only.
 func (k *Syncer) relistChangedLimits(c serverChanges, now time.Time) {
 	for _, s := range c.removed {
 		if k.loads[s.Incarnation()] == nil {
@@ -110,7 +113,7 @@
 	}
 }
 
-// sum is a hash of the limits that stand, whatever their order.
+// sum is a hash of the limits in force that does not depend on their order.
 func (l *limits) sum() uint64 {
 	var sum uint64
 	for i, s := range l.known {
@@ -121,7 +124,7 @@
 	return sum
 }
 
-// list is what is known of limits, the latest first, for a message.
+// list returns the known limits for a message, the most recent first.
 func (l *limits) list(now time.Time) []gossip.Limit {
 	var out []gossip.Limit
 	for _, s := range l.known {
@@ -137,7 +140,7 @@
 
 func ageMS(now, at time.Time) uint64 { return uint64(max(0, now.Sub(at).Milliseconds())) }
 
-// addLimits puts limits into a question.
+// addLimits adds limits to a request.
 func (k *Syncer) addLimits(ask *gossip.Request, now time.Time) {
 	ask.LimitSum = k.limits.sum()
 	if k.limits.readerDiffers || k.limits.changed && !k.reading.Load() {
@@ -145,7 +148,7 @@
 	}
 }
 
-// handleRequestLimits takes the limits of a question, and returns those for the answer.
+// handleRequestLimits merges the limits of a request and returns those for the response.
 func (k *Syncer) handleRequestLimits(from string, m gossip.Request, now time.Time) []gossip.Limit {
 	k.mergeLimits(from, m.Limits, now)
 	if k.limits.sum() == m.LimitSum {
@@ -154,7 +157,7 @@
 	return k.limits.list(now)
 }
 
-// handleResponseLimits takes the limits that another daemon tells.
+// handleResponseLimits merges the limits that another daemon sends.
 func (k *Syncer) handleResponseLimits(from string, m gossip.Response, now time.Time) {
 	k.mergeLimits(from, m.Limits, now)
 	if m.Nonce == 0 {
@@ -166,7 +169,7 @@
 	}
 }
 
-// mergeLimits takes limits that another daemon has heard.
+// mergeLimits merges limits that another daemon has learned.
 func (k *Syncer) mergeLimits(from string, told []gossip.Limit, now time.Time) {
 	for _, l := range told {
 		e, ok := k.entries[l.ID]
@@ -191,8 +194,8 @@
 	return now.Add(-time.Duration(min(ms, uint64(endedLimitTTL.Milliseconds()))) * time.Millisecond)
 }
 
-// sendLimits tells limits that have changed: a reader its hall and other halls. Others tell
-// their reader with the next question.
+// sendLimits sends changed limits from a reader to its hall and to other halls. Other daemons
+// send theirs with the next request to their reader.
 func (k *Syncer) sendLimits(now time.Time) {
 	if !k.reading.Load() || len(k.limits.known) == 0 {
 		return
--- a/daemon/storesync/members.go
+++ b/daemon/storesync/members.go
@@ -18,23 +18,23 @@
 	_    struct{} `cbor:",toarray"`
 	ID   string
 	Hall string
-	// Addr is where it listens for other daemons.
+	// Addr is the address at which it listens for other daemons.
 	Addr string
-	// Public is the key that its certificate shows.
+	// Public is the public key of its certificate.
 	Public []byte
-	// Start tells its processes apart.
+	// Start distinguishes the processes of a daemon.
 	Start uint64
-	// Capacity orders daemons by what their VMs can carry: those with the most
-	// read for their halls.
+	// Capacity ranks daemons by the size of their VMs. Those with the largest read the store
+	// for their halls.
 	Capacity int
 }
 
-// publishMember writes this daemon's entry until the store has it, and again when the store may have
-// lost it.
+// publishMember writes the entry of this daemon until the store has accepted it, and again when
+// the store may have lost it.
 func (k *Syncer) publishMember(ctx context.Context) {
 	data, err := cbor.Marshal(k.Self)
 	if err != nil {
-		k.Log.Error().Err(err).Msg("knowledge: this daemon's entry cannot be encoded")
+		k.Log.Error().Err(err).Msg("storesync: cannot encode the entry of this daemon")
 		return
 	}
 	for pause := minBackoff; ctx.Err() == nil; pause = min(2*pause, maxBackoff) {
@@ -50,19 +50,19 @@
 	}
 }
 
-// putMember writes this daemon's entry once.
+// putMember writes the entry of this daemon once.
 func (k *Syncer) putMember(ctx context.Context, data []byte) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	k.Calls.Add(1)
 	if err := k.Store.Put(ctx, gossip.Members, k.Self.ID, data); err != nil {
-		k.Log.Warn().Err(err).Msg("knowledge: this daemon's entry could not be written: it is written again")
+		k.Log.Warn().Err(err).Msg("storesync: write of the entry of this daemon failed; it is retried")
 		return false
 	}
 	return true
 }
 
-// readMembers takes the list of daemons, and the requests in quarantine.
+// readMembers reads the list of daemons and the requests in quarantine.
 func (k *Syncer) readMembers(now time.Time) {
 	members := map[string]Member{}
 	for _, row := range k.topics[gossip.Members].rows {
@@ -89,7 +89,7 @@
 	k.readers.setMembers(members)
 }
 
-// daemons is how many daemons there are, this one included; 0 while their list is not known.
+// daemons is the number of daemons including this one. It is 0 while their list is unknown.
 func (k *Syncer) daemons() int {
 	if !k.topics[gossip.Members].known {
 		return 0
@@ -101,7 +101,7 @@
 	return len(members) + 1
 }
 
-// PublicKey returns the key that a daemon has published, or nil.
+// PublicKey returns the public key that a daemon has published, or nil.
 func (k *Syncer) PublicKey(id string) ed25519.PublicKey {
 	m, ok := (*k.members.Load())[id]
 	if !ok || len(m.Public) != ed25519.PublicKeySize {
--- a/daemon/storesync/notices.go
+++ b/daemon/storesync/notices.go
@@ -8,24 +8,26 @@
 	"ladderridge.example/core/notice"
 )
 
-// What a server has said of itself outlives its entry: one that lapses, or that another
-// writer has spoiled, may come back as it was before the server said that it leaves.
+// Notices of unlisted servers. A notice outlives the entry of its server: an entry that has
+// expired, or that another writer has corrupted, may come back in the state from before the
+// server announced that it leaves.
 
 const (
-	// unlistedTTL is how long the notices of a server that is not listed are kept: the
-	// longest that stores were seen away, several times over.
+	// unlistedTTL is how long the notices of an unlisted server are kept: several times the
+	// longest outage of a store that was observed.
 	unlistedTTL = 10 * time.Minute
-	// maxUnlisted bounds them; beyond it the ones that come are not kept.
+	// maxUnlisted bounds their number. Further ones are dropped.
 	maxUnlisted = 4096
 )
 
-// unlisted are the notices of a server that is not listed, since a time.
+// unlisted has the notices of an unlisted server, and since when it is unlisted.
 type unlisted struct {
 	notices *notice.Tracker
 	since   time.Time
 }
 
-// noticesOf returns what an incarnation of a server has said, be it before its entry went.
+// noticesOf returns the notices of an incarnation of a server, including those from before its
+// entry was removed.
 func (k *Syncer) noticesOf(i fleet.Incarnation) *notice.Tracker {
 	if was, ok := k.unlisted[i]; ok {
 		delete(k.unlisted, i)
@@ -34,7 +36,7 @@
 	return &notice.Tracker{}
 }
 
-// keepNotices keeps the notices of servers that were listed and are not any more.
+// keepNotices keeps the notices of servers that have been removed from the list.
 func (k *Syncer) keepNotices(listed map[fleet.Incarnation]*fleet.ServerState, now time.Time) {
 	maps.DeleteFunc(k.unlisted, func(_ fleet.Incarnation, u unlisted) bool { return now.Sub(u.since) > unlistedTTL })
 	for i, l := range k.loads {
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -7,23 +7,23 @@
 	"ladderridge.example/core/revision"
 )
 
-// responseTimeout is how long an answer to a question counts: later it may be one
-// from before this process was paused.
+// responseTimeout is how long the response to a request is accepted. A later one may be from
+// before a pause of this process.
 const responseTimeout = time.Second
 
-// gossipedTopics are the topics that daemons tell each other.
+// gossipedTopics are the topics that daemons exchange.
 var gossipedTopics = []gossip.Topic{gossip.Operator, gossip.Servers, gossip.Progress, gossip.Members}
 
-// queryReader asks the daemon that reads for this one, and reads itself if there
-// is none.
+// queryReader sends a request to the daemon that reads the store for this one, and starts
+// reading itself if there is none.
 func (k *Syncer) queryReader(now time.Time) {
 	fresh, still := k.readers.expire(now)
 	for _, id := range still {
-		// Its process may be a new one, which does not know the connection.
+		// The daemon may have restarted and not know the connection.
 		k.Peers.Forget(id)
 	}
 	for _, id := range fresh {
-		k.Log.Warn().Str("reader", id).Msg("knowledge: the reader of this hall does not answer")
+		k.Log.Warn().Str("reader", id).Msg("storesync: reader of this hall does not answer")
 	}
 	k.updateReading(now)
 	due := k.readers.queryTargets(now.Sub(k.topics[gossip.Operator].confirmed), now)
@@ -36,7 +36,7 @@
 		k.readers.recordQuery(m.ID, now)
 		to := ask
 		if ok && m.ID == reader.ID && !k.reading.Load() {
-			// Only the reader tells sessions on; others may not even be there.
+			// Only the reader passes sessions on. The other daemons may not even run.
 			to.Sessions = k.sessions.takeUnsent(now)
 			to.Usage = k.unacknowledgedUsage(reader, ask.Nonce, now)
 		}
@@ -44,7 +44,7 @@
 	}
 }
 
-// updateReading begins or ends the reading of the store.
+// updateReading starts or stops reading the store.
 func (k *Syncer) updateReading(now time.Time) {
 	if !k.hasAllTopics() {
 		return
@@ -54,27 +54,26 @@
 	k.passive.Store(k.readers.passive(now))
 	reader, ok := k.readers.reader()
 	if k.reading.Load() && k.readers.hadReader && !ok {
-		// It goes on until there is a reader.
+		// It keeps reading until there is a reader.
 		reads = true
 	}
 	if k.reading.Load() == reads {
 		return
 	}
 	k.reading.Store(reads)
-	k.Log.Info().Bool("reading", reads).Str("reader", reader.ID).Dur("age", age).Msg("knowledge: who reads the store has changed")
+	k.Log.Info().Bool("reading", reads).Str("reader", reader.ID).Dur("age", age).Msg("storesync: reader of the store has changed")
 	if !reads {
 		k.stopReading()
 	}
 }
 
-// firstStartTimeout is how long a daemon leaves the reading to its hall's reader at
-// the first start: that one reads within half a second, and the connections of a
-// hundred daemons to it take one or two on small VMs. It saves two calls to the store each.
+// firstStartTimeout is how long a daemon leaves the reading to the reader of its hall at the
+// first start. That one reads within half a second, and the connections of a hundred daemons to
+// it take one or two seconds on small VMs. This saves two calls to the store per daemon.
 const firstStartTimeout = 3 * time.Second
 
-// endFirstStart ends the time in which a daemon leaves the reading to another one: once
-// that one has answered, if nobody of its hall goes before it, or when it has taken too
-// long.
+// endFirstStart ends the time in which a daemon leaves the reading to another one: when that
+// one has answered, when no daemon of its hall precedes it, or when the time is over.
 func (k *Syncer) endFirstStart(now time.Time) {
 	if !k.deferReading.Load() {
 		return
@@ -85,14 +84,13 @@
 	}
 }
 
-// hasAllTopics reports whether the rows of the topics that every daemon needs have
-// been read once.
+// hasAllTopics reports whether the topics that every daemon needs have been read once.
 func (k *Syncer) hasAllTopics() bool {
 	return k.topics[gossip.Operator].known && k.topics[gossip.Servers].known && k.topics[gossip.Members].known
 }
 
-// stopReading ends the calls to the store: whether it is away is now the
-// reader's to find out.
+// stopReading ends the calls to the store. From now on the reader finds out whether the store
+// answers.
 func (k *Syncer) stopReading() {
 	for _, f := range k.followers {
 		f.interrupt()
@@ -105,7 +103,7 @@
 	}
 }
 
-// newRequest makes a newRequest about topics.
+// newRequest creates a request about topics.
 func (k *Syncer) newRequest(topics []gossip.Topic, now time.Time) gossip.Request {
 	k.nonce++
 	k.pendingRequests[k.nonce] = now
@@ -118,7 +116,7 @@
 	return ask
 }
 
-// handlePeerMessage takes a message of another daemon.
+// handlePeerMessage handles a message of another daemon.
 func (k *Syncer) handlePeerMessage(e peerMessage, now time.Time) {
 	switch m := e.message.(type) {
 	case gossip.Request:
@@ -130,7 +128,7 @@
 	}
 }
 
-// handleRequest tells another daemon what is known here.
+// handleRequest answers the request of another daemon with the state of this one.
 func (k *Syncer) handleRequest(to string, m gossip.Request, now time.Time) {
 	member, ok := (*k.members.Load())[to]
 	if !ok {
@@ -158,7 +156,7 @@
 	}
 }
 
-// updateFor is what is known of a topic, for a daemon whose rows have a sum.
+// updateFor returns the update of a topic for a daemon whose rows have a checksum.
 func (t *topicState) updateFor(topic gossip.Topic, sum uint64, now time.Time) gossip.Update {
 	out := gossip.Update{Topic: topic, Version: t.version, AgeMS: uint64(max(0, now.Sub(t.confirmed).Milliseconds())), Sum: t.sum, Base: sum, LostRows: uint64(len(t.held))}
 	if !t.recoveredAt.IsZero() {
@@ -171,8 +169,8 @@
 	out.Rows, out.Removed, known, onItsWay = t.changesSince(sum, now)
 	switch {
 	case onItsWay:
-		// The news of it was told a moment ago; another question shows
-		// whether it has arrived.
+		// The update with this change was sent a moment ago. The next request shows whether it
+		// has arrived.
 		out.Rows, out.Removed = nil, nil
 	case !known:
 		out.Rows, out.Removed, out.Complete = t.rowList(), nil, true
@@ -180,7 +178,7 @@
 	return out
 }
 
-// updateSince is what has changed since the last updateSince, which all listeners have.
+// updateSince returns the changes since the last update, which all subscribers have received.
 func (t *topicState) updateSince(topic gossip.Topic, sum uint64, now time.Time) gossip.Update {
 	out := t.updateFor(topic, t.sum, now)
 	rows, removed, known, _ := t.changesSince(sum, now)
@@ -191,11 +189,10 @@
 	return out
 }
 
-// subscriptionTTL is how long after its last question a daemon is told news.
+// subscriptionTTL is how long after its last request a daemon receives updates.
 const subscriptionTTL = 3 * time.Second
 
-// sendUpdates tells the topics that have changed since the last news to the daemons
-// that ask here.
+// sendUpdates sends the topics that have changed since the last update to the subscribers.
 func (k *Syncer) sendUpdates(now time.Time) {
 	var tell gossip.Response
 	for _, topic := range gossipedTopics {
@@ -210,7 +207,8 @@
 	}
 }
 
-// subscriberAddrs are the daemons that this one reads for, by id and address.
+// subscriberAddrs returns the addresses of the daemons that this one reads the store for, by
+// ID.
 func (k *Syncer) subscriberAddrs(now time.Time) map[string]string {
 	to := map[string]string{}
 	for id, at := range k.subscribers {
@@ -224,14 +222,14 @@
 	return to
 }
 
-// sendWithdrawn tells which versions are bad to the daemons that ask here.
+// sendWithdrawn sends the names of the withdrawn versions to the subscribers.
 func (k *Syncer) sendWithdrawn(now time.Time) {
 	k.Peers.SendAll(k.subscriberAddrs(now), gossip.Response{Withdrawn: k.rollouts.withdrawnNames()})
 }
 
-// handleResponse takes what another daemon knows. Its age counts from when the question
-// was asked, so that an answer that was held up does not make it younger; news
-// that nobody has asked for confirms nothing.
+// handleResponse merges the state of another daemon. Its age counts from when the request was
+// sent, so that a delayed response does not appear younger. An update without a request
+// confirms nothing.
 func (k *Syncer) handleResponse(from string, m gossip.Response, now time.Time) {
 	defer k.publishView()
 	k.handleSessions(from, m.Sessions, now)
@@ -275,7 +273,7 @@
 	}
 }
 
-// applyUpdate takes what another daemon knows of a topic.
+// applyUpdate merges the state of a topic at another daemon.
 func (k *Syncer) applyUpdate(from string, known gossip.Update, confirmed, now time.Time) {
 	t := k.topics[known.Topic]
 	if returned := now.Add(-time.Duration(known.ReturnedMS) * time.Millisecond); known.ReturnedMS > 0 && returned.After(t.recoveredAt) {
@@ -291,7 +289,7 @@
 		t.confirm(confirmed)
 	case t.known && !known.Version.After(t.version):
 		if known.Version == t.version && !t.restoredAt.IsZero() {
-			// One of the two holds rows that the store has lost.
+			// One of the two daemons holds rows that the store has lost.
 			t.confirm(confirmed)
 		}
 		gone, newer = t.mergeHeld(known, now)
@@ -305,7 +303,7 @@
 		gone, newer = t.apply(known, confirmed, now)
 	}
 	if newer {
-		k.Log.Info().Str("topic", string(known.Topic)).Str("from", from).Stringer("version", known.Version).Uint64("age_ms", known.AgeMS).Msg("knowledge: told by another daemon")
+		k.Log.Info().Str("topic", string(known.Topic)).Str("from", from).Stringer("version", known.Version).Uint64("age_ms", known.AgeMS).Msg("storesync: update received from another daemon")
 		k.applyTopicChange(known.Topic, gone, newer, now)
 	}
 }
--- a/daemon/storesync/quarantine.go
+++ b/daemon/storesync/quarantine.go
@@ -14,72 +14,73 @@
 	"ladderridge.example/core/quarantine"
 )
 
-// Requests under which servers end, as all daemons know them. A caller's attempts reach any
-// daemon, and each sees few of the servers that end: crashes go to the hall's reader and
-// from there to all, as sessions do, three times, since a message may be lost. A request
-// that is in quarantine has a row in the store besides, so that daemons that start, be it
-// all at once, know of it.
+// Requests that make servers exit (crash), as known to all daemons. The attempts of a caller
+// reach any daemon, and each daemon sees few of the exits. Crashes are sent to the reader of
+// the hall and from there to all daemons, like sessions, but three times because a message may
+// be lost. In addition, a request in quarantine has a row in the store, so that daemons that
+// start know of it, even if all start at once.
 
 const (
-	// quarantinePrefix and a fingerprint is the key of the row of a request in quarantine.
+	// quarantinePrefix followed by a fingerprint is the key of the row of a request in
+	// quarantine.
 	quarantinePrefix = "quarantine/"
-	// crashSendCount is how often a crash is told to the same daemons, a tick apart.
+	// crashSendCount is how many times a crash is sent to the same daemons, one tick apart.
 	crashSendCount = 3
-	// crashBacklog bounds the crashes that wait to be told, crashesAtOnce those of one
-	// message: a message then has some five kilobytes. Many wait only where many servers
-	// end at once, and then no request has met more than one of them.
+	// crashBacklog bounds the crashes that wait to be sent, maxCrashesPerMessage those of one
+	// message, which then has some five kilobytes. Many crashes wait only if many servers exit
+	// at once, and then no request has met more than one of them.
 	crashBacklog         = 1024
 	maxCrashesPerMessage = 256
 )
 
-// crashReport is a crash that is to be told, and how often still.
+// crashReport is a crash to be sent, and how many more times.
 type crashReport struct {
 	crash quarantine.Crash
-	// otherHalls tells that other halls do not know it yet.
+	// otherHalls is set if other halls do not know the crash yet.
 	otherHalls bool
 	left       int
 }
 
-// crashResendWindow is how long after it a daemon tells a crash again that it has seen itself, once
-// somebody else reads for it: the one before may have gone with the news.
+// crashResendWindow is how long a daemon sends a crash that it has seen itself again when its
+// reader changes: the previous reader may have failed before it passed the crash on.
 const crashResendWindow = 5 * time.Second
 
 // quarantineRow is a request in quarantine whose row the store may not have.
 type quarantineRow struct {
 	// due is when this daemon writes the row.
 	due time.Time
-	// own tells that it has seen a server end under the request.
+	// own is set if this daemon has seen a server exit under the request.
 	own bool
 }
 
 // confinement is the row of a request in quarantine.
 type confinement struct {
 	_ struct{} `cbor:",toarray"`
-	// UntilMS is when it ends, by the time of day, in Unix milliseconds: machines differ
-	// on it by seconds at most.
+	// UntilMS is when it ends, in Unix milliseconds. The clocks of machines differ by seconds
+	// at most.
 	UntilMS int64
 }
 
-// crashesObserved are servers that ended under requests of this daemon.
+// crashesObserved are servers that exited under requests of this daemon.
 type crashesObserved struct{ crashes []quarantine.Crash }
 
 func (crashesObserved) event() {}
 
-// RecordServerExit counts a server that has ended against what was under way there, and tells
-// the other daemons.
+// RecordServerExit counts the exit of a server against the requests in flight there, and
+// notifies the other daemons.
 func (k *Syncer) RecordServerExit(server string, contents []quarantine.Fingerprint) {
 	e := crashesObserved{crashes: k.registry.RecordServerExit(server, contents, time.Now())}
 	k.ServerExits.Add(1)
-	k.Log.Warn().Str("server", server).Int("requests", len(contents)).Int("counted", len(e.crashes)).Msg("quarantine: a server ended while requests were under way there")
+	k.Log.Warn().Str("server", server).Int("requests", len(contents)).Int("counted", len(e.crashes)).Msg("quarantine: server exited with requests in flight")
 	if len(e.crashes) > 0 {
 		k.enqueue(e)
 	}
 }
 
-// Answered notes a content that a server has answered whole.
+// Answered records a content that a server has answered completely.
 func (k *Syncer) Answered(content quarantine.Fingerprint) { k.registry.Answered(content, time.Now()) }
 
-// handleCrashes takes servers that ended under requests of this daemon.
+// handleCrashes handles servers that exited under requests of this daemon.
 func (k *Syncer) handleCrashes(e crashesObserved, now time.Time) {
 	for _, c := range e.crashes {
 		k.queueCrash(crashReport{crash: c, otherHalls: true, left: crashSendCount})
@@ -88,8 +89,8 @@
 	k.ownCrashes = append(k.ownCrashes, e.crashes...)
 }
 
-// resendCrashes has the crashes told again that this daemon saw a moment ago, if somebody
-// else reads for it now.
+// resendCrashes sends the recent crashes that this daemon has seen again if its reader has
+// changed.
 func (k *Syncer) resendCrashes(now time.Time) {
 	k.ownCrashes = slices.DeleteFunc(k.ownCrashes, func(c quarantine.Crash) bool { return now.Sub(c.At) > crashResendWindow })
 	reader, _ := k.readers.reader()
@@ -105,8 +106,8 @@
 	}
 }
 
-// mergeCrashes takes servers that ended elsewhere. What is new here is told on by a reader:
-// to its hall, and to other halls if it comes from its own.
+// mergeCrashes merges crashes seen by other daemons. A reader passes new ones on to its hall,
+// and to other halls if they come from its own hall.
 func (k *Syncer) mergeCrashes(from string, crashes []gossip.Crash, now time.Time) {
 	m, known := (*k.members.Load())[from]
 	for _, told := range crashes {
@@ -121,15 +122,15 @@
 	}
 }
 
-// queueCrash has a crash told, if that still fits.
+// queueCrash queues a crash for sending if the backlog is not full.
 func (k *Syncer) queueCrash(n crashReport) {
 	if len(k.pendingCrashes) < crashBacklog {
 		k.pendingCrashes = append(k.pendingCrashes, n)
 	}
 }
 
-// sendCrashes tells the crashes that wait: a reader its hall and other halls, another daemon
-// its reader.
+// sendCrashes sends the queued crashes: a reader to its hall and to other halls, another daemon
+// to its reader.
 func (k *Syncer) sendCrashes(now time.Time) {
 	k.resendCrashes(now)
 	if len(k.pendingCrashes) == 0 {
@@ -168,22 +169,22 @@
 	}
 }
 
-// trackQuarantine logs a request that has come into quarantine, and has it written to the
-// store from a time on.
+// trackQuarantine logs a request that has entered quarantine, and schedules the write of its
+// row.
 func (k *Syncer) trackQuarantine(f quarantine.Fingerprint, now time.Time, c quarantineRow) {
 	until, in := k.registry.Quarantined(f, now)
 	if !in {
 		return
 	}
 	if _, noted := k.quarantineRows[f]; !noted {
-		k.Log.Warn().Stringer("content", f).Dur("for", until.Sub(now)).Msg("quarantine: servers ended under a request: it gets no more of them")
+		k.Log.Warn().Stringer("content", f).Dur("for", until.Sub(now)).Msg("quarantine: request quarantined because servers exited under it")
 		k.quarantineRows[f] = c
 	}
 }
 
-// writeQuarantines writes the rows of requests in quarantine that the store does not have.
-// Who has seen the crash does so at once, and readers in turn if it does not come: with the
-// store away hundreds of daemons would all try.
+// writeQuarantines writes the rows of requests in quarantine that the store does not have. The
+// daemon that has seen the crash writes at once, and readers take turns if the row does not
+// arrive: if the store is unavailable, hundreds of daemons would otherwise all try.
 func (k *Syncer) writeQuarantines(ctx context.Context, now time.Time) {
 	for f, c := range k.quarantineRows {
 		until, in := k.registry.Quarantined(f, now)
@@ -196,34 +197,34 @@
 		if row, ok := k.topics[gossip.Members].rows[key]; ok && !lost && k.quarantineActive(row, now) || now.Before(c.due) || !c.own && !k.reading.Load() {
 			continue
 		}
-		// Another try if it does not come from the store.
+		// Retry if the row does not arrive from the store.
 		k.quarantineRows[f] = quarantineRow{due: now.Add(nonReaderWriteDelay), own: c.own}
 		data, err := cbor.Marshal(confinement{UntilMS: until.UnixMilli()})
 		if err != nil {
-			k.Log.Error().Err(err).Msg("quarantine: a row cannot be encoded")
+			k.Log.Error().Err(err).Msg("quarantine: cannot encode a row")
 			continue
 		}
 		go k.putQuarantine(ctx, key, data)
 	}
 }
 
-// putQuarantine writes a row. It does not matter who does, nor what was there.
+// putQuarantine writes a row, whichever daemon has written it before and with whatever content.
 func (k *Syncer) putQuarantine(ctx context.Context, key string, data []byte) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	k.Calls.Add(1)
 	if err := k.Store.Put(ctx, gossip.Members, key, data); err != nil {
-		k.Log.Warn().Str("key", key).Err(err).Msg("quarantine: the row may not have been written: it is written again if it does not come")
+		k.Log.Warn().Str("key", key).Err(err).Msg("quarantine: write of a row failed or its outcome is unknown; it is retried unless the row arrives")
 	}
 }
 
-// quarantineActive reports whether the quarantine of a row is not over.
+// quarantineActive reports whether the quarantine of a row has not ended.
 func (k *Syncer) quarantineActive(row gossip.Row, now time.Time) bool {
 	var c confinement
 	return cbor.Unmarshal(row.Data, &c) == nil && c.UntilMS > now.UnixMilli()
 }
 
-// readQuarantine takes the row of a request in quarantine.
+// readQuarantine reads the row of a request in quarantine.
 func (k *Syncer) readQuarantine(row gossip.Row, now time.Time) {
 	f, err := strconv.ParseUint(strings.TrimPrefix(row.Key, quarantinePrefix), 16, 64)
 	var c confinement
--- a/daemon/storesync/read.go
+++ b/daemon/storesync/read.go
@@ -14,17 +14,17 @@
 
 func isKind(err error, kind Kind) bool { return fault.Is(err, kind) }
 
-// malformed logs a row that does not decode, once for each of its versions.
+// malformed logs a row that cannot be decoded, once per content.
 func (k *Syncer) malformed(topic gossip.Topic, row gossip.Row, err error) {
 	if k.malformedSums[row.Key] == row.Sum() {
 		return
 	}
 	k.malformedSums[row.Key] = row.Sum()
 	k.CorruptedRows.Add(1)
-	k.Log.Error().Str("topic", string(topic)).Str("key", row.Key).Stringer("version", row.Version).Err(err).Msg("knowledge: a row does not decode: of a server it names none, of anything else the last good one stays in force")
+	k.Log.Error().Str("topic", string(topic)).Str("key", row.Key).Stringer("version", row.Version).Err(err).Msg("storesync: cannot decode a row; a server is not listed, for other rows the last valid content stays in force")
 }
 
-// readOperator takes the configuration, the orders and the data halls to be emptied.
+// readOperator reads the configuration, the roll-out orders and the data halls to be drained.
 func (k *Syncer) readOperator(now time.Time) {
 	emptied := map[string]bool{}
 	defer func() { k.updateDrained(emptied, now) }()
@@ -39,7 +39,7 @@
 			k.applyConfig(d.Map, row.Version, now)
 		case Order:
 			if k.rollouts.order(d.Order, now) {
-				k.Log.Info().Str("service", d.Order.Service).Str("version", d.Order.Version).Dur("within", d.Order.Within).Stringer("row", row.Version).Msg("rollout: ordered")
+				k.Log.Info().Str("service", d.Order.Service).Str("version", d.Order.Version).Dur("within", d.Order.Within).Stringer("row", row.Version).Msg("rollout: order received")
 				k.readProgress(now)
 			}
 		case DrainedHall:
@@ -54,20 +54,20 @@
 	v := *k.view.Load()
 	if v.Map != nil && m.Number <= v.Map.Number {
 		if m.Number < v.Map.Number {
-			k.Log.Error().Uint64("number", m.Number).Uint64("in_force", v.Map.Number).Msg("knowledge: an older configuration came: it is ignored")
+			k.Log.Error().Uint64("number", m.Number).Uint64("in_force", v.Map.Number).Msg("storesync: older configuration received; ignored")
 		}
 		return
 	}
 	v.Map = m
 	k.view.Store(&v)
-	k.Log.Info().Uint64("number", m.Number).Stringer("row", row).Msg("knowledge: a configuration is in force")
+	k.Log.Info().Uint64("number", m.Number).Stringer("row", row).Msg("storesync: configuration in force")
 	for _, problem := range m.Problems(k.regionsOf()) {
-		k.Log.Warn().Uint64("number", m.Number).Str("problem", problem).Msg("knowledge: a part of the configuration cannot be meant so")
+		k.Log.Warn().Uint64("number", m.Number).Str("problem", problem).Msg("storesync: part of the configuration is implausible")
 	}
 	k.updateColdLimits(now)
 }
 
-// readServers makes the list of servers.
+// readServers rebuilds the list of servers.
 func (k *Syncer) readServers(now time.Time) {
 	t := k.topics[gossip.Servers]
 	if !t.known {
@@ -107,22 +107,22 @@
 	k.reportRestarts(was, servers)
 }
 
-// serverEntry is what the row of a server says: the server that it names, or why it names none.
+// serverEntry is a decoded row of a server: the server, or the error if the row is invalid.
 type serverEntry struct {
-	// sum is that of the row.
+	// sum is the checksum of the row.
 	sum    uint64
 	server *fleet.Server
 	err    error
 }
 
-// decode reads a server's row, once for each of its contents: most of them have not changed
-// when one has, and there may be thousands.
+// decode decodes the row of a server once per content: when one row has changed, most of the
+// others, of which there may be thousands, have not.
 func (k *Syncer) decode(row gossip.Row, now time.Time) serverEntry {
 	e, ok := k.entries[row.Key]
 	if !ok || e.sum != row.Sum() {
 		e = k.decodeServer(row, now)
 	} else if e.err == nil {
-		// A later start may have been seen meanwhile.
+		// A later start may have been seen in the meantime.
 		if err := k.checkStart(*e.server); err != nil {
 			e = serverEntry{sum: row.Sum(), err: err}
 		}
@@ -144,7 +144,7 @@
 	return serverEntry{sum: row.Sum(), server: k.withLoad(s)}
 }
 
-// dropStaleEntries forgets rows that are not there any more.
+// dropStaleEntries drops the entries of rows that no longer exist.
 func (k *Syncer) dropStaleEntries() {
 	rows := k.topics[gossip.Servers].rows
 	if len(k.entries) > len(rows) {
@@ -165,7 +165,7 @@
 	return &s
 }
 
-// hall returns what all servers of a hall share.
+// hall returns the state that all servers of a hall share.
 func (k *Syncer) hall(name string) *fleet.HallState {
 	if k.halls[name] == nil {
 		k.halls[name] = fleet.NewHallState()
@@ -173,7 +173,7 @@
 	return k.halls[name]
 }
 
-// stillLapsed returns the servers whose entries lapsed while the store was away.
+// stillLapsed returns the servers whose entries expired while the store was unavailable.
 func (k *Syncer) stillLapsed(was *fleet.List, now time.Time) []*fleet.Server {
 	if was == nil {
 		return nil
@@ -198,8 +198,8 @@
 	maps.DeleteFunc(k.coldRows, func(i fleet.Incarnation, _ revision.Revision) bool { return kept[i] == nil })
 }
 
-// recordVersions remembers when a version was first listed. Those of the first
-// list are settled: an order for them is known already.
+// recordVersions records when each version was first listed. The versions of the first list
+// count as settled: an order for them is already known.
 func (k *Syncer) recordVersions(servers []*fleet.Server, first bool, now time.Time) {
 	seen := maps.Clone(k.firstSeen)
 	for _, s := range servers {
@@ -215,7 +215,7 @@
 	k.firstSeen = seen
 }
 
-// readProgress takes the states of roll-outs.
+// readProgress reads the states of roll-outs.
 func (k *Syncer) readProgress(now time.Time) {
 	for _, row := range k.topics[gossip.Progress].rows {
 		service, p, err := k.Decoder.Progress(row)
@@ -224,9 +224,9 @@
 			continue
 		}
 		if k.rollouts.progress(service, p, row.Version, now) {
-			k.Log.Info().Str("service", service).Str("version", p.Version).Str("state", p.State.String()).Stringer("row", row.Version).Msg("rollout: state known")
+			k.Log.Info().Str("service", service).Str("version", p.Version).Str("state", p.State.String()).Stringer("row", row.Version).Msg("rollout: state received")
 		}
 	}
 }
 
-var errMemberKey = errors.New("the entry names no daemon")
+var errMemberKey = errors.New("the ID in the entry of a daemon differs from the key of its row")
--- a/daemon/storesync/readers.go
+++ b/daemon/storesync/readers.go
@@ -9,78 +9,75 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Who reads the store. In each data hall one daemon does, and tells the others:
-// the first one that answers, in the order of capacity and a hash of the ids.
-// Nobody is elected; a daemon that hears nothing from those before it reads for
-// itself, which costs calls and does no harm.
+// Selection of the daemon that reads the store. In each data hall one daemon reads the store
+// and informs the others: the first one that answers, ordered by capacity and a hash of the
+// IDs. There is no election. A daemon that receives nothing from those before it reads the
+// store itself, which costs calls but does no harm.
 //
-// While the store does not answer the readers, the daemons of a hall try it in turns
-// as what they know grows older: one, then one more, then two, four, and so on, so
-// that all have tried within turnsWithin, however many they are. One that the store
-// answers tells its hall so, and is asked at once.
+// While the store does not answer the readers, the daemons of a hall try it in turns as their
+// state becomes older: one, then one more, then two, four, and so on, so that all have tried
+// within allTurnsWithin, whatever their number. A daemon that gets an answer from the store
+// announces it to its hall and is sent requests at once.
 //
-// What a daemon knows of the configuration is so at most 3.5 s old as long as the store
-// serves one of its hall, with the standard time in which a configuration is in force:
-// usefulAge, 1.2 s, until it looks for another reader; 0.65 s by which the one that
-// tries may have heard of it later (a call and the gathering after it); turnsWithin, 1.25
-// s; and 0.4 s for two ticks, the call, and the question that follows.
+// The configuration of a daemon is therefore at most 3.5 s old as long as the store serves one
+// daemon of its hall and the configuration must be in force within the default time. This is
+// the sum of maxUsableAge, 1.2 s, until it looks for another reader; 0.65 s by which the daemon
+// that tries the store may have learned of the failure later (a call and the batch delay after
+// it); allTurnsWithin, 1.25 s; and 0.4 s for two ticks, the call and the request that follows.
 const (
-	// queryInterval is the time between two questions to the hall's reader: what is
-	// known is older by it than at the reader.
+	// queryInterval is the time between two requests to the reader of the hall. The state of a
+	// daemon is older than that of the reader by up to this time.
 	queryInterval = 450 * time.Millisecond
-	// answerTimeout is how long a reader has to answer, so that one question may
-	// be lost on its way. With the time between questions it bounds how long a
-	// change may be missed when a reader fails.
+	// answerTimeout is how long a reader has to answer, so that one request may be lost.
+	// Together with queryInterval it bounds how long a change may be missed when a reader
+	// fails.
 	answerTimeout = 2*queryInterval + 150*time.Millisecond
-	// firstAnswerTimeout is how long it has to answer the first time: all daemons
-	// of a hall that starts make their connections at once.
+	// firstAnswerTimeout is how long it has to answer the first request: all daemons of a hall
+	// that starts connect at once.
 	firstAnswerTimeout = 2500 * time.Millisecond
-	// usableAgeSlack is added to the age of two calls, up to which a reader's
-	// knowledge is good enough: a reader that the store answers is not older.
+	// usableAgeSlack is added to the age of two calls to give maxUsableAge, so that a reader
+	// that the store answers is never too old.
 	usableAgeSlack = 200 * time.Millisecond
-	// probeInterval is the time between two questions to a daemon that has not
-	// answered.
+	// probeInterval is the time between two requests to a daemon that has not answered.
 	probeInterval = 2 * time.Second
-	// allTurnsWithin is how much older what is known may grow until the last of a hall
-	// tries the store, turnAtMost how much from one turn to the next: a small hall
-	// need not hurry.
+	// allTurnsWithin is how much older the state may become until the last daemon of a hall
+	// tries the store. maxTurnInterval bounds the interval from one turn to the next: a small
+	// hall need not hurry.
 	allTurnsWithin  = 1250 * time.Millisecond
 	maxTurnInterval = 450 * time.Millisecond
-	// skipSilentAfter is how long a daemon must have been silent for its turn to be
-	// passed over.
+	// skipSilentAfter is how long a daemon must have been silent until its turn is skipped.
 	skipSilentAfter = 5 * time.Second
-	// aloneTimeout is how long nobody must have answered for a daemon to count on
-	// itself alone.
+	// aloneTimeout is how long no daemon must have answered until this one reads the store by
+	// itself.
 	aloneTimeout = 2 * answerTimeout
-	// extraQueries is how many more daemons are asked at once when none is known to
-	// read.
+	// extraQueries is how many daemons more are asked at once when no reader is known.
 	extraQueries = 3
 )
 
-// readers decides whether this daemon reads the store, and whom it asks
-// otherwise. It belongs to the keeper's goroutine.
+// readers decides whether this daemon reads the store, and which daemons it asks otherwise. The
+// syncer's goroutine owns it.
 type readers struct {
 	self Member
-	// maxUsableAge is the age up to which a reader's knowledge is good enough.
+	// maxUsableAge is the age up to which the state of a reader is recent enough.
 	maxUsableAge time.Duration
-	// preceding are the daemons of the own hall that go preceding this one, in order.
+	// preceding are the daemons of the own hall that precede this one, in order.
 	preceding []Member
-	// hallSize is how many daemons the own hallSize has.
+	// hallSize is the number of daemons of the own hall.
 	hallSize int
-	// silent are daemons that did not answer, by since when; useless are those
-	// that answer and know nothing useful.
+	// silent has the daemons that did not answer, by since when. stale are those that answer
+	// with a state that is too old or whose sender cannot reach the store.
 	silent map[string]time.Time
 	stale  map[string]bool
-	// awaiting is since when an answer of a daemon is due.
+	// awaiting is since when the answer of a daemon is due.
 	awaiting map[string]time.Time
 	asked    map[string]time.Time
-	// answered are daemons that have answered since they last were silent.
+	// answered are the daemons that have answered since they were last silent.
 	answered map[string]bool
-	// hadReader tells that a daemon has once told something useful, heardAt when one
-	// last told anything.
+	// hadReader is set once a daemon has sent a recent enough state. heardAt is when any daemon
+	// last answered.
 	hadReader bool
 	heardAt   time.Time
-	// round moves the order in which daemons are asked.
+	// round rotates the daemons that are asked.
 	round int
 }
 
@@ -88,12 +85,12 @@
 	return &readers{silent: map[string]time.Time{}, stale: map[string]bool{}, awaiting: map[string]time.Time{}, asked: map[string]time.Time{}, answered: map[string]bool{}}
 }
 
-// rank orders daemons for reading: the most capable first, then by hash.
+// rank orders the daemons for reading: by capacity, largest first, then by hash.
 func rank(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)), cmp.Compare(a.ID, b.ID))
 }
 
-// setMembers takes the setMembers of daemons.
+// setMembers sets the list of daemons.
 func (r *readers) setMembers(members map[string]Member) {
 	r.preceding, r.hallSize = nil, 0
 	for _, m := range members {
@@ -108,8 +105,7 @@
 	slices.SortFunc(r.preceding, rank)
 }
 
-// reader returns the daemon that reads for this one; ok is false if there is
-// none.
+// reader returns the daemon that reads the store for this one. ok is false if there is none.
 func (r *readers) reader() (Member, bool) {
 	for _, m := range r.preceding {
 		if !r.isSilent(m.ID) && !r.stale[m.ID] {
@@ -119,7 +115,7 @@
 	return Member{}, false
 }
 
-// isFirst reports whether no daemon of the hall that may answer goes before this one.
+// isFirst reports whether this daemon precedes all daemons of the hall that are not silent.
 func (r *readers) isFirst() bool {
 	return !slices.ContainsFunc(r.preceding, func(m Member) bool { return !r.isSilent(m.ID) })
 }
@@ -129,8 +125,8 @@
 	return silent
 }
 
-// mayRead reports whether it is this daemon's turn to read the store, by the age
-// of what it knows.
+// mayRead reports whether it is this daemon's turn to read the store, given the age of its
+// state.
 func (r *readers) mayRead(age time.Duration, now time.Time) bool {
 	if r.hadReader && now.Sub(r.heardAt) > aloneTimeout {
 		return true
@@ -140,7 +136,7 @@
 	}
 	answering, between := r.countPreceding(now)
 	if !r.hadReader {
-		// At its start a daemon cannot tell which of the listed are there.
+		// After its start a daemon cannot tell which of the listed daemons run.
 		between = 0
 	}
 	return answering == 0 || age > r.maxUsableAge+time.Duration(turn(between))*r.turnInterval()
@@ -162,30 +158,30 @@
 	return answering, max(0, between)
 }
 
-// turn is the number of the turn in which a daemon tries the store: those of 0, 1, 2 or
-// 3, 4 to 7 daemons before it, and so on.
+// turn is the number of the turn in which a daemon tries the store: turn 0 with 0 daemons
+// before it, 1 with 1, 2 with 2 or 3, 3 with 4 to 7, and so on.
 func turn(between int) int { return bits.Len(uint(between)) }
 
-// turnInterval is how much older what is known grows from one turn to the next.
+// turnInterval is how much older the state becomes from one turn to the next.
 func (r *readers) turnInterval() time.Duration {
 	return min(maxTurnInterval, allTurnsWithin/time.Duration(max(1, turn(max(0, r.hallSize-2)))))
 }
 
-// passive reports whether so many daemons try the store before this one that it may
-// leave trying again to them: whoever is answered tells the others.
+// passive reports whether so many daemons try the store before this one that it may leave the
+// retries to them. The daemon that gets an answer informs the others.
 func (r *readers) passive(now time.Time) bool {
 	_, between := r.countPreceding(now)
 	return turn(between) >= passiveTurn
 }
 
-// passiveTurn is the turn from which daemons seldom try again: three in a hall keep
-// looking for a store that is away.
+// passiveTurn is the turn from which daemons rarely retry: three daemons of a hall keep trying
+// an unavailable store.
 const passiveTurn = 2
 
-// queryTargets returns the daemons to ask now, by the age of what this one knows: the
-// reader, and those that were silent or useless now and then. Without a reader
-// that is known to answer, some of those whose turn to try the store has come are
-// asked as often as it would be.
+// queryTargets returns the daemons to ask now, given the age of the state of this one: the
+// reader, and from time to time those that were silent or stale. If no reader is known to
+// answer, some of the daemons whose turn to try the store has come are asked as often as a
+// reader.
 func (r *readers) queryTargets(age time.Duration, now time.Time) []Member {
 	reader, ok := r.reader()
 	settled := ok && r.answered[reader.ID]
@@ -206,8 +202,8 @@
 	return out
 }
 
-// turnTakers returns askOfMore of the daemons whose turn to try the store has come,
-// other ones each time.
+// turnTakers returns extraQueries of the daemons whose turn to try the store has come,
+// different ones each time.
 func (r *readers) turnTakers(age time.Duration) map[string]bool {
 	var turn []string
 	most := extraQueries + 1<<int(max(0, age-r.maxUsableAge)/r.turnInterval())
@@ -224,7 +220,7 @@
 	return out
 }
 
-// recordQuery notes that a daemon is asked now.
+// recordQuery records that a daemon is asked now.
 func (r *readers) recordQuery(id string, now time.Time) {
 	r.asked[id] = now
 	if _, waits := r.awaiting[id]; !waits {
@@ -232,8 +228,8 @@
 	}
 }
 
-// recordAnswer notes an answer, how old what it tells is, and whether who tells it is cut off
-// from the store: what such a one has heard from others is no base for a hall.
+// recordAnswer records an answer, the age of its state, and whether the sender cannot reach the
+// store. A state that such a sender has received from others is not recent enough for a hall.
 func (r *readers) recordAnswer(id string, age time.Duration, cut bool, now time.Time) {
 	r.heardAt = now
 	delete(r.awaiting, id)
@@ -243,8 +239,8 @@
 	r.hadReader = r.hadReader || !r.stale[id]
 }
 
-// expire notes the daemons whose answer is overdue. It returns those that were
-// not silent before, and those that still are.
+// expire marks the daemons whose answer is overdue as silent. It returns those that were not
+// silent before, and those that still are.
 func (r *readers) expire(now time.Time) (fresh, still []string) {
 	for id, since := range r.awaiting {
 		within := answerTimeout
--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -11,85 +11,83 @@
 	"ladderridge.example/core/revision"
 )
 
-// Observation is what one answer says of the version that gave it.
+// Observation is what one answer shows about the version that gave it.
 type Observation struct {
 	Service string
 	Version string
 	Route   string
-	// Server gave the answer.
+	// Server is the server that gave the answer.
 	Server string
 	Failed bool
-	// FirstRatio is how long the first part of the answer took in terms of what the
-	// settled version takes for the like, Between that for the events of a
-	// stream; 0 is not known.
+	// FirstRatio is the time to the first part of the answer relative to that of the settled
+	// version for similar requests, BetweenRatio the same for the gaps between the events of a
+	// stream. 0 means unknown.
 	FirstRatio   float64
 	BetweenRatio float64
-	// Stage is what of the answer it tells.
+	// Stage is the part of the answer that the observation covers.
 	Stage Stage
 }
 
-// Stage is what of an answer a fact tells.
+// Stage is the part of an answer that an observation covers.
 type Stage int
 
 // The stages of an answer.
 const (
-	// Complete is all of an answer.
+	// Complete is a whole answer.
 	Complete Stage = iota
-	// Started is the first part of an answer that goes on: a stream's end may come many
-	// seconds later.
+	// Started is the first part of an answer that continues: a stream may end many seconds
+	// later.
 	Started
-	// Remainder is the rest of an answer that has been told as begun.
+	// Remainder is the rest of an answer that was observed as Started.
 	Remainder
-	// Abandoned is an answer that was given up: First is the least that it would have
-	// taken.
+	// Abandoned is an answer that was no longer waited for. FirstRatio is then a lower bound.
 	Abandoned
 )
 
-// rollouts are the orders that a daemon knows, and what is seen of them. All
-// but open belongs to the keeper's goroutine.
+// rollouts has the known orders and the evidence for them. The syncer's goroutine owns all
+// fields but open.
 type rollouts struct {
-	// open tells that an order is neither completed nor rolled back.
+	// open is set if an order is neither completed nor rolled back.
 	open atomic.Bool
 
 	byService map[string]canary.Rollout
-	// rows are the versions of the rows with the states.
+	// rows has the versions of the rows with the states.
 	rows map[string]revision.Revision
 	own  map[countKey]canary.Count
-	// reports is what other daemons of the hall have seen, and other halls as
-	// wholes.
+	// reports has the evidence of other daemons of the hall, and the sums of other halls.
 	reports    map[source]gossip.Evidence
 	reportedAt map[source]time.Time
-	// departed is what lives of daemons of the hall have seen that tell nothing any more, halls
-	// what other halls have seen, as one of their readers told it.
+	// departed has the evidence of daemon runs of the hall that do not report any more. halls
+	// has the evidence of other halls as one of their readers reported it.
 	departed  map[daemonRun][]gossip.Count
 	halls     map[string]hallSeen
 	withdrawn map[string]bool
-	// ejected are the servers that look bad, by service.
+	// ejected are the servers ejected as outliers, by service.
 	ejected map[string][]string
-	// suspicions are since when there are suspicions of versions, by service.
+	// suspicions has since when versions are suspected, by service.
 	suspicions map[string]suspicion
 	sequence   uint64
 	sentAt     time.Time
-	// writing are services whose state is being written, by when that began.
+	// writing has the services whose state is being written, by the start of the write.
 	writing map[string]time.Time
-	// clockMS is the store's clock at clockAt.
+	// clockMS is the clock of the store at clockAt.
 	clockMS    uint64
 	clockAt    time.Time
 	knownSince map[string]time.Time
 }
 
-// source is who says what was seen: a daemon, or a data hall as a whole.
+// source is the origin of evidence: a daemon, or a data hall as a whole.
 type source struct {
 	daemon string
 	hall   string
 }
 
-// countKey is what counts are kept by.
+// countKey is the key of counts.
 type countKey struct {
 	service string
 	version string
 	route   string
-	// server is set for a version in roll-out while few of its servers are used.
+	// server is set for a version in roll-out while only a part of its servers is used.
 	server string
 }
 
@@ -101,26 +99,26 @@
 	}
 }
 
-// clock notes the store's clock.
+// clock records the clock of the store.
 func (r *rollouts) clock(ms uint64, now time.Time) {
 	if ms > 0 {
 		r.clockMS, r.clockAt = ms, now
 	}
 }
 
-// storeClock is the store's clock now, in milliseconds.
+// storeClock returns the current clock of the store, in milliseconds.
 func (r *rollouts) storeClock(now time.Time) uint64 {
 	return r.clockMS + uint64(max(0, now.Sub(r.clockAt).Milliseconds()))
 }
 
-// order takes an order; it reports whether it is new.
+// order records an order and reports whether it is new.
 func (r *rollouts) order(o canary.Order, now time.Time) bool {
 	was, known := r.byService[o.Service]
 	switch {
 	case known && !o.Number.After(was.Order.Number):
 		return false
 	case known && o.Number.Era != was.Order.Number.Era && o.Same(was.Order):
-		// The operator has written it again since the store returned from a copy.
+		// The operator has written it again after a restore of the store.
 		was.Order = o
 		r.byService[o.Service] = was
 		return false
@@ -130,7 +128,7 @@
 	delete(r.ejected, o.Service)
 	delete(r.suspicions, o.Service)
 	for _, state := range []canary.State{canary.Completed, canary.RolledBack} {
-		// What was due of an earlier order is not due of this one.
+		// The due times of an earlier order do not apply to this one.
 		delete(r.knownSince, o.Service+state.String())
 	}
 	for key := range r.own {
@@ -143,7 +141,7 @@
 	return true
 }
 
-// progress takes the shared state of an order; it reports whether that is news.
+// progress records the shared state of an order and reports whether it is new.
 func (r *rollouts) progress(service string, p canary.Progress, row revision.Revision, now time.Time) bool {
 	if !row.After(r.rows[service]) {
 		return false
@@ -161,7 +159,7 @@
 	return true
 }
 
-// updateOpen works out whether an order is open.
+// updateOpen updates whether an order is open.
 func (r *rollouts) updateOpen() {
 	open := false
 	for _, o := range r.byService {
@@ -170,8 +168,7 @@
 	r.open.Store(open)
 }
 
-// withdraw stops the use of a version here and now; it reports whether that is
-// news.
+// withdraw stops the use of a version on this daemon and reports whether it was still in use.
 func (r *rollouts) withdraw(service, version string) bool {
 	name := versionName(service, version)
 	if r.withdrawn[name] {
@@ -185,7 +182,7 @@
 
 func (r *rollouts) withdrawnCopy() map[string]bool { return maps.Clone(r.withdrawn) }
 
-// observe counts an answer.
+// observe counts an observation.
 func (r *rollouts) observe(f Observation, now time.Time) {
 	o, ok := r.byService[f.Service]
 	if !ok || o.State != canary.Running {
@@ -198,7 +195,7 @@
 	r.own[key] = f.addedTo(r.own[key])
 }
 
-// addedTo returns a count with what a fact tells.
+// addedTo returns a count with the observation added.
 func (f Observation) addedTo(c canary.Count) canary.Count {
 	if f.Stage == Abandoned {
 		c.First = c.First.WithAtLeast(f.FirstRatio)
@@ -214,11 +211,11 @@
 	return c
 }
 
-// handleEvidence takes what another daemon or hall has seen.
+// handleEvidence records the evidence of another daemon or hall.
 func (r *rollouts) handleEvidence(from string, m gossip.Evidence, now time.Time) {
 	src := source{daemon: from}
 	if m.Hall != "" {
-		// Whoever reads for the hall says so.
+		// The reader of a hall sends the sums of its hall.
 		src = source{hall: m.Hall}
 	}
 	was, ok := r.reports[src]
@@ -232,21 +229,21 @@
 	}
 }
 
-// daemonRun is one start of a daemon.
+// daemonRun is one run of a daemon, from its start to its exit.
 type daemonRun struct {
 	daemon string
 	start  uint64
 }
 
-// hallSeen is what another hall has seen, and which reader told it.
+// hallSeen is the evidence of another hall, and the reader that reported it.
 type hallSeen struct {
 	reader daemonRun
 	counts []gossip.Count
 }
 
-// retainCounts keeps what is told beside what is kept already: of each life of a daemon of the hall
-// its last word, and of another hall the word of its reader. Of two readers' the larger one
-// stands, since each has in it what the daemons that live still tell.
+// retainCounts keeps reported evidence: the last report of each run of a daemon of the hall,
+// and the report of the reader of another hall. Of the reports of two readers of one hall the
+// larger one is kept, since each includes what the running daemons still report.
 func (r *rollouts) retainCounts(from string, src source, was, m gossip.Evidence) {
 	if src.hall == "" {
 		delete(r.departed, daemonRun{from, m.Start})
@@ -261,14 +258,14 @@
 	}
 }
 
-// keepDeparted keeps what a life of a daemon of the hall has seen.
+// keepDeparted keeps the evidence of a run of a daemon of the hall.
 func (r *rollouts) keepDeparted(l daemonRun, counts []gossip.Count) {
 	if len(counts) > 0 {
 		r.departed[l] = counts
 	}
 }
 
-// totalAnswers is how many totalAnswers are counted.
+// totalAnswers returns the sum of the answers.
 func totalAnswers(counts []gossip.Count) uint64 {
 	sum := uint64(0)
 	for _, c := range counts {
@@ -277,8 +274,8 @@
 	return sum
 }
 
-// expireReports drops what was under way at daemons and halls that have told nothing for too long. What
-// they have seen stands.
+// expireReports drops the in-flight requests of daemons and halls that have not reported for
+// too long. Their evidence is kept.
 func (r *rollouts) expireReports(now time.Time) {
 	for src, at := range r.reportedAt {
 		if now.Sub(at) <= reportTTL {
@@ -292,7 +289,8 @@
 	}
 }
 
-// dropService drops what others have seen of a service: its next order begins anew.
+// dropService drops the evidence of other daemons for a service: its next order starts without
+// any.
 func (r *rollouts) dropService(service string) {
 	without := func(counts []gossip.Count) []gossip.Count {
 		return slices.DeleteFunc(slices.Clone(counts), func(c gossip.Count) bool { return c.Service == service })
@@ -310,7 +308,7 @@
 	}
 }
 
-// withdrawNamed stops the use of a version that another daemon found bad.
+// withdrawNamed stops the use of a version that another daemon has found faulty.
 func (r *rollouts) withdrawNamed(name string) {
 	for service, o := range r.byService {
 		if o.State == canary.Running && versionName(service, o.Order.Version) == name {
@@ -319,7 +317,7 @@
 	}
 }
 
-// withdrawnNames are the versions whose use has stopped here.
+// withdrawnNames returns the names of the versions that this daemon has stopped using.
 func (r *rollouts) withdrawnNames() []string {
 	var out []string
 	for name := range r.withdrawn {
@@ -328,7 +326,7 @@
 	return out
 }
 
-// totals adds up what this daemon and those of its hall have seen.
+// totals adds up the evidence of this daemon and the others of its hall.
 func (r *rollouts) totals() map[countKey]canary.Count {
 	out := maps.Clone(r.own)
 	for src, m := range r.reports {
@@ -349,7 +347,7 @@
 	}
 }
 
-// evidence adds up what all daemons have seen of a service's versions.
+// evidence adds up the evidence of all daemons for the versions of a service.
 func (r *rollouts) evidence(service string) canary.Evidence {
 	all := r.totals()
 	for _, seen := range r.halls {
@@ -373,7 +371,7 @@
 	return out
 }
 
-// message is what has been seen, for others: by this daemon, or by its hall.
+// message returns an evidence message of this daemon, or of its hall.
 func (r *rollouts) message(start uint64, hall string, counts map[countKey]canary.Count, old map[string]int) gossip.Evidence {
 	r.sequence++
 	m := gossip.Evidence{Hall: hall, Start: start, Sequence: r.sequence, OldInFlight: old, Withdrawn: r.withdrawnNames()}
@@ -383,8 +381,8 @@
 	return m
 }
 
-// oldInFlight adds up the requests of this daemon's hall on old versions. A
-// service of which a daemon of the hall still uses the old one is left out.
+// oldInFlight adds up the in-flight requests of this daemon's hall on old versions. A service
+// is left out if a daemon of the hall still uses its old version.
 func (r *rollouts) oldInFlight(own map[string]int) map[string]int {
 	out := maps.Clone(own)
 	for src, m := range r.reports {
@@ -395,8 +393,7 @@
 	return out
 }
 
-// addInFlight adds numbers of requests; a service that one side lacks is
-// dropped.
+// addInFlight adds numbers of requests. A service that is missing on one side is dropped.
 func addInFlight(to, more map[string]int) {
 	for service, n := range to {
 		add, ok := more[service]
@@ -408,7 +405,7 @@
 	}
 }
 
-// allOldInFlight adds up the requests of all daemons on old versions.
+// allOldInFlight adds up the in-flight requests of all daemons on old versions.
 func (r *rollouts) allOldInFlight(own map[string]int) map[string]int {
 	out := r.oldInFlight(own)
 	for src, m := range r.reports {
--- a/daemon/storesync/sessions.go
+++ b/daemon/storesync/sessions.go
@@ -8,27 +8,27 @@
 	"ladderridge.example/core/gossip"
 )
 
-// sessions remembers which sessions were served by an old version a moment ago,
-// of those that a roll-out would move at its start. Daemons tell each other, as
-// the requests of a session reach any of them. It is safe for concurrent use.
+// sessions records which sessions were recently served by an old version, among those that a
+// roll-out would move at its start. Daemons exchange them, as the requests of a session reach
+// any daemon. It is safe for concurrent use.
 type sessions struct {
-	// pause is how long a session rests before it may move.
+	// pause is how long a session must be idle before it may move.
 	pause time.Duration
 
 	mu   sync.Mutex
 	last map[uint64]time.Time
-	// unsent are those served here, not told to others yet.
+	// unsent are the sessions served by this daemon that were not sent to others yet.
 	unsent map[uint64]bool
 }
 
-// defaultPause is the pause if the settings name none.
+// defaultPause is the pause if the settings do not set it.
 const defaultPause = 5 * time.Second
 
 func newSessions() *sessions {
 	return &sessions{pause: defaultPause, last: map[uint64]time.Time{}, unsent: map[uint64]bool{}}
 }
 
-// record notes a session that an old version serves here.
+// record records a session that an old version serves on this daemon.
 func (s *sessions) record(hash uint64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,7 +36,7 @@
 	s.unsent[hash] = true
 }
 
-// recordRemote notes sessions that an old version serves elsewhere.
+// recordRemote records sessions that an old version serves on other daemons.
 func (s *sessions) recordRemote(hashes []uint64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// active reports whether a session has not paused since an old version served it.
+// active reports whether an old version has served a session within the pause.
 func (s *sessions) active(hash uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,8 +53,8 @@
 	return ok && now.Sub(last) < s.pause
 }
 
-// takeUnsent returns the sessions served here that others have not been told of, and
-// forgets those that have paused.
+// takeUnsent returns the sessions served by this daemon that were not sent to others yet, and
+// drops idle sessions.
 func (s *sessions) takeUnsent(now time.Time) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,15 +71,15 @@
 	return out
 }
 
-// sessionsBacklog bounds the sessions that wait to be told on; further ones are
-// left out, and may then move a moment early.
+// sessionsBacklog bounds the sessions that wait to be passed on. Further ones are dropped, and
+// may then move slightly too early.
 const sessionsBacklog = 4096
 
-// sessionsInterval is the time between two messages about sessions to daemons that
-// this one reads for, and to other halls.
+// sessionsInterval is the time between two messages about sessions to the subscribers and to
+// other halls.
 const sessionsInterval = 500 * time.Millisecond
 
-// RecordSession notes which version serves a session.
+// RecordSession records which version serves a session.
 func (k *Syncer) RecordSession(service string, hash uint64, version string) {
 	if !canary.Eligible(hash) {
 		return
@@ -87,15 +87,15 @@
 	now := time.Now()
 	r, ok := k.View().Rollout(service)
 	if ok && r.State == canary.Running && version == r.Order.Version && canary.KeepsActiveSessions(now.Sub(r.Since), r.Order.Within) {
-		// It has moved. Later on the next order may already be near, for which
-		// this version is an old one.
+		// The session has moved to the new version. Later in the roll-out the next order may be
+		// near, for which this version is an old one.
 		return
 	}
 	k.sessions.record(hash, now)
 }
 
-// sendSessions tells of sessions: those of this hall to other halls and to the
-// daemons that this one reads for, those of other halls to the latter.
+// sendSessions sends sessions: those of this hall to other halls and to the subscribers, those
+// of other halls to the subscribers only.
 func (k *Syncer) sendSessions(now time.Time) {
 	if !k.reading.Load() || now.Sub(k.sessionsSentAt) < sessionsInterval {
 		return
@@ -113,9 +113,8 @@
 	k.broadcast(gossip.Response{Sessions: own})
 }
 
-// hallSubscribers are the daemons of this hall that this one reads for. Those of
-// other halls that ask here hear of sessions from their own readers; telling
-// them too would go round in circles.
+// hallSubscribers returns the subscribers in this hall. Subscribers in other halls learn of
+// sessions from their own readers. Sending to them too would form a loop.
 func (k *Syncer) hallSubscribers(now time.Time) map[string]string {
 	to := k.subscriberAddrs(now)
 	for id := range to {
@@ -126,8 +125,8 @@
 	return to
 }
 
-// handleRequestSessions takes the sessions that a daemon of this hall serves itself, as
-// it asks here: they are told on.
+// handleRequestSessions records the sessions in a request of a daemon of this hall, to pass
+// them on.
 func (k *Syncer) handleRequestSessions(hashes []uint64, now time.Time) {
 	k.sessions.recordRemote(hashes, now)
 	if k.reading.Load() {
@@ -135,9 +134,9 @@
 	}
 }
 
-// handleSessions takes the sessions that another daemon tells of. Those of other
-// halls are told on within this one; what comes from within has been told to
-// all by its reader, and telling it on would go round in circles.
+// handleSessions records the sessions that another daemon sends. Those of other halls are
+// passed on within this one. Those of this hall have been sent to all by their reader, and
+// passing them on would form a loop.
 func (k *Syncer) handleSessions(from string, hashes []uint64, now time.Time) {
 	k.sessions.recordRemote(hashes, now)
 	m, ok := (*k.members.Load())[from]
@@ -146,7 +145,7 @@
 	}
 }
 
-// appendCapped appends what fits into the backlog.
+// appendCapped appends as many hashes as fit into the backlog.
 func appendCapped(to, hashes []uint64) []uint64 {
 	return append(to, hashes[:min(len(hashes), sessionsBacklog-len(to))]...)
 }
--- a/daemon/storesync/sources.go
+++ b/daemon/storesync/sources.go
@@ -6,11 +6,10 @@
 	"ladderridge.example/core/gossip"
 )
 
-// Whom a daemon asks while nobody reads the store for it, and how it learns who is worth
-// asking.
+// Queries to other daemons while no reader is known, and the choice of the daemons to ask.
 
-// queryPeers asks other daemons when what is known here grows old: first the one that
-// last knew something newer, and later any.
+// queryPeers asks other daemons when the state of this one becomes old: first the one that last
+// had a newer state, later any.
 func (k *Syncer) queryPeers(now time.Time) {
 	for nonce, at := range k.pendingRequests {
 		if now.Sub(at) > responseTimeout {
@@ -18,7 +17,8 @@
 		}
 	}
 	if k.deferReading.Load() {
-		// Those of other halls know no more, and bytes between halls are paid for.
+		// The daemons of other halls have no newer state, and traffic between halls costs
+		// money.
 		return
 	}
 	age := now.Sub(k.topics[gossip.Operator].confirmed)
@@ -44,7 +44,7 @@
 	}
 }
 
-// announceStoreFound tells the hall that the store answers this daemon.
+// announceStoreFound announces to the hall that the store answers this daemon.
 func (k *Syncer) announceStoreFound() {
 	to := map[string]string{}
 	for _, m := range k.others() {
@@ -53,12 +53,12 @@
 		}
 	}
 	if len(to) > 0 {
-		k.Log.Info().Int("daemons", len(to)).Msg("knowledge: the store answers this daemon: its hall is told")
+		k.Log.Info().Int("daemons", len(to)).Msg("storesync: store answers this daemon; announced to its hall")
 		k.Peers.SendAll(to, gossip.Response{StoreRecovered: true})
 	}
 }
 
-// handleStoreFound asks a daemon of the hall that the store has just answered.
+// handleStoreFound sends a request to a daemon of the hall that the store has just answered.
 func (k *Syncer) handleStoreFound(from string, now time.Time) {
 	m, ok := (*k.members.Load())[from]
 	if !ok {
@@ -70,8 +70,8 @@
 	}
 }
 
-// updateSource remembers who told something new enough, one of the own hall rather than
-// another, and forgets who no longer does.
+// updateSource records a daemon that sent a recent enough state, preferring the own hall, and
+// drops one that no longer does.
 func (k *Syncer) updateSource(from string, useful bool) {
 	members := *k.members.Load()
 	switch {
@@ -82,8 +82,8 @@
 	}
 }
 
-// storeUnreachable reports whether this daemon tries the store and has had no answer for so long
-// that its own knowledge is of no use to others.
+// storeUnreachable reports whether this daemon tries the store and has had no answer for so
+// long that its state is too old for others.
 func (k *Syncer) storeUnreachable(now time.Time) bool {
 	return k.reading.Load() && now.Sub(k.storeAnsweredAt) > k.readers.maxUsableAge
 }
--- a/daemon/storesync/standstill.go
+++ b/daemon/storesync/standstill.go
@@ -6,13 +6,13 @@
 	"ladderridge.example/daemon/suspend"
 )
 
-// A VM that is suspended stands still by its own steady clock. Ages of what is known count
-// that time: they are how old something is to the world. How long something took, pauses
-// and turns do not.
+// Suspension of the VM. While a VM is suspended its monotonic clock stops. The ages of the
+// state include that time, since the store may have changed meanwhile. Durations, pauses and
+// turns do not include it.
 
-// detectSuspension notices that the VM has stood still since it last looked. All that was
-// confirmed is older by that, and questions that were asked before are void: what they
-// bring may be from then.
+// detectSuspension detects that the VM was suspended since the last check. Everything that was
+// confirmed before is older by that time, and pending requests are dropped: their responses may
+// be from before the suspension.
 func (k *Syncer) detectSuspension(now time.Time) {
 	total := k.SuspendClock.Now()
 	d := total - k.suspendedTotal
@@ -31,10 +31,10 @@
 	k.rollouts.shift(d)
 	k.publishView()
 	k.Suspensions.Add(1)
-	k.Log.Warn().Dur("for", d).Msg("knowledge: the VM stood still: nothing is served until what is known is confirmed")
+	k.Log.Warn().Dur("for", d).Msg("storesync: VM was suspended; no requests are served until the configuration is confirmed")
 }
 
-// shift moves what is counted from the start of an order.
+// shift moves the start of orders and the clock of the store back by the time of a suspension.
 func (r *rollouts) shift(d time.Duration) {
 	r.clockAt = r.clockAt.Add(-d)
 	for service, o := range r.byService {
@@ -43,7 +43,7 @@
 	}
 }
 
-// suspendedSinceView is how long the VM has stood still since the view was made.
+// suspendedSinceView returns how long the VM has been suspended since the view was created.
 func (v *View) suspendedSinceView() time.Duration {
 	if d := v.SuspendClock.Now() - v.SuspendedTotal; d >= suspend.Least {
 		return d
@@ -51,11 +51,11 @@
 	return 0
 }
 
-// Current reports whether requests can be decided by what is known now.
+// Current reports whether requests can be routed by this view.
 func (v *View) Current() bool { return v.Ready() && v.Confirmed() }
 
-// Confirmed reports whether the configuration was confirmed since the VM last stood still:
-// until then what is known may be from long ago.
+// Confirmed reports whether the configuration was confirmed since the VM was last suspended.
+// Until then it may be out of date.
 func (v *View) Confirmed() bool {
 	return v.suspendedSinceView() == 0 && (v.ResumedAt.IsZero() || v.ConfigAt.After(v.ResumedAt))
 }
--- a/daemon/storesync/starts.go
+++ b/daemon/storesync/starts.go
@@ -7,14 +7,14 @@
 	"ladderridge.example/core/fleet"
 )
 
-// Servers that begin again under their id. All that is kept about a server is kept by its
-// incarnation, so that a new one is empty, and cold and slow by its own word alone.
+// Restarts of servers under the same ID. All state of a server belongs to its incarnation, so a
+// new one starts empty, and counts as cold or slow only by its own announcement.
 
-// maxStarts bounds the starts that are remembered: far more than servers are listed.
+// maxStarts bounds the recorded start times: far more than the number of listed servers.
 const maxStarts = 16384
 
-// checkStart notes a server's start. An entry of an earlier one than is known already is
-// another writer's and names no server.
+// checkStart records the start time of a server. An entry with an earlier start than the latest
+// known one was written by another writer, and is rejected.
 func (k *Syncer) checkStart(s fleet.Server) error {
 	if s.Born == 0 {
 		return nil
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// latestAtAddress leaves out servers at whose address a later one has begun: they are gone,
-// and their entries not yet.
+// latestAtAddress removes servers if a later one has started at the same address: they are
+// gone, though their entries still exist.
 func latestAtAddress(servers []*fleet.Server) []*fleet.Server {
 	latest := map[string]int64{}
 	for _, s := range servers {
@@ -39,8 +39,8 @@
 	return slices.DeleteFunc(servers, func(s *fleet.Server) bool { return s.Born > 0 && s.Born < latest[s.Addr] })
 }
 
-// reportRestarts tells of servers that have begun again under their id, by what they were: what
-// this daemon has under way there is lost.
+// reportRestarts reports servers that have restarted under the same ID, as they were before:
+// the in-flight requests of this daemon there are lost.
 func (k *Syncer) reportRestarts(was *fleet.List, servers []*fleet.Server) {
 	if was == nil || k.OnServerRestart == nil {
 		return
@@ -58,11 +58,11 @@
 	}
 }
 
-// reportRestart tells of one of them.
+// reportRestart reports one restarted server.
 func (k *Syncer) reportRestart(was, is *fleet.Server) {
 	if k.OnServerRestart == nil {
 		return
 	}
-	k.Log.Info().Str("server", is.ID).Int64("born", is.Born).Bool("was_leaving", was.Leaving).Msg("knowledge: a server has begun again under its id")
+	k.Log.Info().Str("server", is.ID).Int64("born", is.Born).Bool("was_leaving", was.Leaving).Msg("storesync: server restarted under the same ID")
 	k.OnServerRestart(was)
 }
--- a/daemon/storesync/store.go
+++ b/daemon/storesync/store.go
@@ -12,86 +12,86 @@
 	"ladderridge.example/core/routemap"
 )
 
-// Kind says what sort of error a store met.
+// Kind is the kind of a store error.
 type Kind string
 
-// The kinds of error.
+// The kinds of errors.
 const (
-	// Unavailable is a store that gave no answer, or none that counts: what was asked
-	// may have been done.
+	// Unavailable means that the store gave no valid answer. The requested operation may have
+	// been performed.
 	Unavailable Kind = "store away"
-	// Refused is a store that did nothing and says so.
+	// Refused means that the store rejected the call without performing it.
 	Refused Kind = "store refused"
-	// HistoryLost is a store that no longer knows what has changed since.
+	// HistoryLost means that the store no longer has the history of changes since the given
+	// version.
 	HistoryLost Kind = "history lost"
-	// EraChanged is a store that has returned from a copy since: what was asked of it was
-	// about versions that it has given out again. A write may have been done.
+	// EraChanged means that the store was restored from a backup copy: the call referred to
+	// versions that the store has assigned again. A write may have been performed.
 	EraChanged Kind = "era changed"
-	// Conflict is a condition that did not hold.
+	// Conflict means that the condition of a write did not hold.
 	Conflict Kind = "condition failed"
-	// Malformed is a row that does not decode.
+	// Malformed means that a row cannot be decoded.
 	Malformed Kind = "malformed"
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
 
-// Page is an answer about rows.
+// Page is an answer of the store with rows.
 type Page struct {
-	// Rows are all rows, or those that have changed; Removed are the keys of
-	// rows that are gone.
+	// Rows are all rows, or those that have changed. Removed are the keys of removed rows.
 	Rows    []gossip.Row
 	Removed []string
-	// Version is the newest that the page reflects.
+	// Version is the latest version that the page includes.
 	Version revision.Revision
-	// ClockMS is the store's own steady clock, in milliseconds.
+	// ClockMS is the monotonic clock of the store, in milliseconds.
 	ClockMS uint64
 }
 
-// Store keeps rows for all daemons. Its answers are linearizable. Calls end by
-// their context.
+// Store is the store that all daemons share. Its answers are linearizable. Calls end when their
+// context is done.
 type Store interface {
 	// Read returns all rows of a topic.
 	Read(ctx context.Context, topic gossip.Topic) (Page, error)
-	// Follow returns the rows that have changed since a version, as soon as
-	// there are any and at the latest after wait.
+	// Follow returns the rows that have changed since a version, as soon as there are any, and
+	// at the latest after wait.
 	Follow(ctx context.Context, topic gossip.Topic, after revision.Revision, wait time.Duration) (Page, error)
-	// Write sets a row if its version is still was; the number 0 means that there is none.
+	// Write sets a row if its version is still was. Number 0 means that the row does not exist.
 	Write(ctx context.Context, topic gossip.Topic, key string, data []byte, was revision.Revision) error
-	// Put sets a row whatever it was.
+	// Put sets a row unconditionally.
 	Put(ctx context.Context, topic gossip.Topic, key string, data []byte) error
 }
 
-// Decoder reads the rows of the platform's own topics.
+// Decoder decodes the rows of the platform's topics.
 type Decoder interface {
-	// Operator reads a row of the operator's topic.
+	// Operator decodes a row of the operator topic.
 	Operator(row gossip.Row) (Operator, error)
-	// Server reads a row of the servers' topic, but for its load.
+	// Server decodes a row of the servers topic. The load is not set.
 	Server(row gossip.Row) (fleet.Server, error)
-	// Progress reads a row of the progress topic.
+	// Progress decodes a row of the progress topic.
 	Progress(row gossip.Row) (service string, p canary.Progress, err error)
-	// WriteProgress makes the row that tells the state of a roll-out.
+	// WriteProgress encodes the state of a roll-out as a row.
 	WriteProgress(service string, p canary.Progress) (gossip.Row, error)
 }
 
-// Operator is a row that the operator has written: Config, Order, Emptied, or Other
-// for a row that means nothing here.
+// Operator is a row written by the operator: Config, Order, DrainedHall, or Other for a row
+// that daemons ignore.
 type Operator interface{ operator() }
 
 // Config is the configuration.
 type Config struct{ Map *routemap.Map }
 
-// Order is an order to bring in a version.
+// Order is an order to roll out a version.
 type Order struct{ Order canary.Order }
 
-// DrainedHall tells that the servers of a data hall are to get nothing more, for as long as
-// the row stands.
+// DrainedHall means that the servers of a data hall receive no requests as long as the row
+// exists.
 type DrainedHall struct{ Hall string }
 
-// Other is a row that means nothing to a daemon.
+// Other is a row that daemons ignore.
 type Other struct{}
 
 func (Config) operator()      {}
--- a/daemon/storesync/topic.go
+++ b/daemon/storesync/topic.go
@@ -8,33 +8,33 @@
 	"ladderridge.example/core/revision"
 )
 
-// topicState is what is known of one topic.
+// topicState is the known state of one topic.
 type topicState struct {
 	rows    map[string]gossip.Row
 	version revision.Revision
-	// confirmed is the latest time at which the rows were the newest.
+	// confirmed is the latest time at which the rows were known to be current.
 	confirmed time.Time
 	known     bool
-	// unavailableSince is since when this daemon's own reads fail, or zero; returned is
-	// when they last worked again.
+	// unavailableSince is since when the reads of this daemon fail, or zero. recoveredAt is
+	// when they last succeeded again.
 	unavailableSince time.Time
 	recoveredAt      time.Time
-	// sum is the hash of the rows; past has the latest changes, oldest first.
+	// sum is the hash of the rows. history has the latest changes, oldest first.
 	sum     uint64
 	history []change
-	// dirty are the keys of rows that have changed since they were last taken; nil if nobody
-	// takes them.
+	// dirty has the keys of rows that have changed since the last call of takeDirty. It is nil
+	// before the first call.
 	dirty map[string]bool
-	// oldContents are contents that rows had and have no more, by key: a store that returns from a
-	// copy has them again. returnedAt is when it last did, zero for never.
+	// oldContents has previous contents of rows, by key: a store that is restored from a backup
+	// copy has them again. restoredAt is when it was last restored, or zero.
 	oldContents map[string][]content
 	restoredAt  time.Time
-	// held are the keys of rows that the store has lost, by since when: what is known of them
-	// is newer than what the store has.
+	// held has the keys of rows that the store has lost, by since when: their known contents
+	// are newer than those of the store.
 	held map[string]time.Time
 }
 
-// content is what a row was, and the number of its version then.
+// content is a previous content of a row, with the number of its version.
 type content struct {
 	number uint64
 	sum    uint64
@@ -42,40 +42,40 @@
 }
 
 const (
-	// maxCopyAge is how old a copy is at most from which the store returns.
+	// maxCopyAge is the maximum age of a backup copy from which the store is restored.
 	maxCopyAge = time.Minute
-	// maxOldContents bounds the contents that are remembered of a row.
+	// maxOldContents bounds the recorded contents of a row.
 	maxOldContents = 16
 )
 
-// change is what a change of the rows replaced.
+// change records which rows a change has replaced.
 type change struct {
-	// before is the sum of the rows until then.
+	// before is the checksum of the rows before the change.
 	before uint64
 	keys   []string
 	at     time.Time
 }
 
-// maxUpdateDelay is how long news takes to be told, sent and taken at most.
+// maxUpdateDelay is the maximum time to prepare, send and handle an update.
 const maxUpdateDelay = 2*tickInterval + 200*time.Millisecond
 
-// maxHistory is how many changes are remembered for daemons that lag behind;
-// one that lags further is told all rows.
+// maxHistory is how many changes are recorded for daemons that lag behind. A daemon that lags
+// further receives all rows.
 const maxHistory = 64
 
 func newTopicState() *topicState {
 	return &topicState{rows: map[string]gossip.Row{}, oldContents: map[string][]content{}, held: map[string]time.Time{}}
 }
 
-// takeDirty returns the keys of rows that have changed since it was last called.
+// takeDirty returns the keys of rows that have changed since its last call.
 func (t *topicState) takeDirty() map[string]bool {
 	fresh := t.dirty
 	t.dirty = map[string]bool{}
 	return fresh
 }
 
-// replace takes all rows as of a version. It reports whether it is newer than
-// what was known, and which keys are gone.
+// replace sets all rows as of a version. It reports whether the version is newer than the known
+// one, and which keys are gone.
 func (t *topicState) replace(rows []gossip.Row, version revision.Revision, confirmed, now time.Time) (gone []string, newer bool) {
 	if t.known && version.Before(t.version) {
 		return nil, false
@@ -107,8 +107,8 @@
 	return gone, newer
 }
 
-// set takes rows that have changed, and those that are gone. The sum follows by their
-// differences: adding all rows up again at each change is work that grows with the fleet.
+// set applies changed and removed rows. The checksum is updated by the differences: computing
+// it from all rows would take work in proportion to the number of servers at each change.
 func (t *topicState) set(rows []gossip.Row, removed []string, now time.Time) (gone []string) {
 	before, changed := t.sum, make([]string, 0, len(rows)+len(removed))
 	for _, row := range rows {
@@ -136,7 +136,7 @@
 	return gone
 }
 
-// sumAfter is what the sum would be with changed rows and without those that are gone.
+// sumAfter returns the checksum after the given changes and removals.
 func (t *topicState) sumAfter(rows []gossip.Row, removed []string) uint64 {
 	sum := t.sum
 	for _, row := range rows {
@@ -153,7 +153,7 @@
 	return sum
 }
 
-// recordChange notes which rows have changed since the rows had a sum.
+// recordChange records which rows have changed since the rows had a checksum.
 func (t *topicState) recordChange(before uint64, keys []string) {
 	if t.sum == before {
 		return
@@ -169,8 +169,8 @@
 	}
 }
 
-// changesSince returns what has changed changesSince the rows had a sum, if that is known, and
-// whether all of it is so new that the news of it may still be on its way.
+// changesSince returns the changes since the rows had a checksum, if they are known, and
+// whether all of them are so recent that the update with them may still be in transit.
 func (t *topicState) changesSince(sum uint64, now time.Time) (rows []gossip.Row, removed []string, known, onItsWay bool) {
 	at := slices.IndexFunc(t.history, func(c change) bool { return c.before == sum })
 	if at < 0 {
@@ -193,7 +193,7 @@
 	return rows, removed, true, now.Sub(t.history[at].at) < maxUpdateDelay
 }
 
-// apply takes what has changed, if that leads to the rows that the teller has.
+// apply applies the changes of an update if the result equals the rows of the sender.
 func (t *topicState) apply(k gossip.Update, confirmed, now time.Time) (gone []string, ok bool) {
 	if t.sum != k.Base || t.sumAfter(k.Rows, k.Removed) != k.Sum {
 		return nil, false
@@ -204,7 +204,7 @@
 	return gone, true
 }
 
-// applyPage takes the rows that have changed up to a version.
+// applyPage applies the rows that have changed up to a version.
 func (t *topicState) applyPage(p Page, confirmed, now time.Time) (gone []string, newer bool) {
 	if p.Version.Before(t.version) {
 		return nil, false
@@ -225,7 +225,7 @@
 	}
 }
 
-// rowList returns the rows.
+// rowList returns all rows.
 func (t *topicState) rowList() []gossip.Row {
 	out := make([]gossip.Row, 0, len(t.rows))
 	for _, row := range t.rows {
--- a/daemon/storesync/usage.go
+++ b/daemon/storesync/usage.go
@@ -8,25 +8,26 @@
 	"ladderridge.example/core/usage"
 )
 
-// UsageExchange has what daemons exchange of usage. Each sends its own to its hall's reader with
-// the questions that it asks anyway; the readers tell each other, and the one that reports, so
-// that any of them can take over.
+// UsageExchange is the usage data that daemons exchange. Each daemon sends its own to the
+// reader of its hall with its regular requests. The readers send it to each other and to the
+// daemon that reports to the platform, so that any of them can take over.
 type UsageExchange interface {
-	// Unacknowledged returns what a reader is to be sent along with the question of a number.
+	// Unacknowledged returns the records to send to a reader with the request of the given
+	// number.
 	Unacknowledged(reader string, nonce uint64, now time.Time) []usage.Record
-	// Acknowledged notes that the question was answered.
+	// Acknowledged records that the request was answered.
 	Acknowledged(nonce uint64)
-	// Merge takes in what another daemon has sent.
+	// Merge merges the records of another daemon.
 	Merge(records []usage.Record)
-	// Updates returns what other readers are to be sent, and who reports, or "".
+	// Updates returns the records to send to other readers, and the daemon that reports, or "".
 	Updates(now time.Time) (records []usage.Record, holder string)
 }
 
-// usageInterval is the time between two messages of a reader about usage.
+// usageInterval is the time between two usage messages of a reader.
 const usageInterval = time.Second
 
-// unacknowledgedUsage is what the hall's reader is to be told of this daemon's usage. A reader that has
-// begun anew knows nothing, and is told all.
+// unacknowledgedUsage returns the usage to send to the reader of the hall. A reader that has
+// restarted has no records and receives all.
 func (k *Syncer) unacknowledgedUsage(reader Member, nonce uint64, now time.Time) []usage.Record {
 	if k.Usage == nil {
 		return nil
@@ -34,14 +35,14 @@
 	return k.Usage.Unacknowledged(reader.ID+"@"+strconv.FormatUint(reader.Start, 10), nonce, now)
 }
 
-// mergeUsage takes what another daemon tells of usage.
+// mergeUsage merges the usage of another daemon.
 func (k *Syncer) mergeUsage(records []usage.Record) {
 	if k.Usage != nil {
 		k.Usage.Merge(records)
 	}
 }
 
-// sendUsage has a reader tell the other ones, and the daemon that reports, what it knows.
+// sendUsage sends the usage from a reader to the other readers and to the daemon that reports.
 func (k *Syncer) sendUsage(now time.Time) {
 	if k.Usage == nil || !k.reading.Load() || now.Sub(k.usageSentAt) < usageInterval {
 		return
--- a/daemon/storesync/view.go
+++ b/daemon/storesync/view.go
@@ -12,57 +12,57 @@
 	"ladderridge.example/daemon/suspend"
 )
 
-// View is what a daemon knows at a moment. It is never changed; traffic takes
-// the newest one for each decision.
+// View is the state of a daemon at one moment. It is immutable. Each routing decision uses the
+// latest one.
 type View struct {
 	// Map is nil until a configuration is known.
 	Map     *routemap.Map
 	Servers *fleet.List
-	// ConfigAt and ServersAt are the latest times at which the store, or a
-	// daemon that had asked it, confirmed the configuration and the servers.
+	// ConfigAt and ServersAt are the latest times at which the store, or a daemon that had
+	// asked it, confirmed the configuration and the servers.
 	ConfigAt  time.Time
 	ServersAt time.Time
-	// Daemons is how many daemons there are, this one included; 0 while their list is not
-	// known.
+	// Daemons is the number of daemons including this one. It is 0 while their list is unknown.
 	Daemons int
-	// Sharers are the daemons that share the limits which servers name.
+	// Sharers are the daemons that share the rate limits of servers.
 	Sharers quota.Daemons
-	// Drained are the data halls whose servers get nothing, by since when this daemon
-	// knows.
+	// Drained has the data halls whose servers receive no requests, by when this daemon learned
+	// of it.
 	Drained map[string]time.Time
-	// Regions are the regions of the data halls.
+	// Regions has the regions of the data halls.
 	Regions map[string]string
 
-	// Corrupted are the entries that name no server, by their keys, and why.
+	// Corrupted has the entries that could not be decoded to a server, by their keys, with the
+	// error.
 	Corrupted map[string]string
-	// Quarantine has the crash counts of requests; nil holds nothing against any.
+	// Quarantine has the crash counts of requests. nil means that there are none.
 	Quarantine *quarantine.Registry
 
-	// SuspendClock tells how long the VM has stood still, Stood how long it had when the view
-	// was made, WokeAt when it last began to run again.
+	// SuspendClock returns how long the VM has been suspended in all. SuspendedTotal is its
+	// value when the view was created, ResumedAt when the VM last resumed.
 	SuspendClock   suspend.Clock
 	SuspendedTotal time.Duration
 	ResumedAt      time.Time
 
 	rollouts  map[string]canary.Rollout
 	withdrawn map[string]bool
-	// ejected are servers of versions in roll-out that look bad, by service.
+	// ejected are servers of versions in roll-out that were ejected as outliers, by service.
 	ejected map[string][]string
 	// firstSeen is when a version of a service was first listed.
 	firstSeen map[string]time.Time
 	sessions  *sessions
 }
 
-// ConfigAge is how old the knowledge of the configuration is, to the world: it counts the
-// time for which the VM stood still.
+// ConfigAge returns the age of the configuration. It includes the time for which the VM was
+// suspended.
 func (v *View) ConfigAge(now time.Time) time.Duration {
 	return now.Sub(v.ConfigAt) + v.suspendedSinceView()
 }
 
-// Ready reports whether requests can be decided at all.
+// Ready reports whether the view has a configuration and a list of servers.
 func (v *View) Ready() bool { return v.Map != nil && v.Servers != nil }
 
-// Quarantined returns until when a request gets no server, if it is in quarantine.
+// Quarantined returns until when a request is refused because it is in quarantine.
 func (v *View) Quarantined(content quarantine.Fingerprint, now time.Time) (until time.Time, ok bool) {
 	if v.Quarantine == nil {
 		return time.Time{}, false
@@ -70,12 +70,12 @@
 	return v.Quarantine.Quarantined(content, now)
 }
 
-// Suspected reports whether a server has ended under a request.
+// Suspected reports whether a server has exited under a request.
 func (v *View) Suspected(content quarantine.Fingerprint) bool {
 	return v.Quarantine != nil && v.Quarantine.Suspected(content)
 }
 
-// Serves reports whether an incarnation of a server, by its name, is listed and stays.
+// Serves reports whether an incarnation of a server, given by its name, is listed and usable.
 func (v *View) Serves(incarnation string) bool {
 	if v.Servers == nil {
 		return false
@@ -83,49 +83,49 @@
 	return slices.ContainsFunc(v.Servers.All(), func(s *fleet.Server) bool { return s.Incarnation().String() == incarnation && s.Usable() })
 }
 
-// Rollout returns the order that is in force for a service.
+// Rollout returns the order in force for a service.
 func (v *View) Rollout(service string) (canary.Rollout, bool) {
 	r, ok := v.rollouts[service]
 	return r, ok
 }
 
-// InRollout reports whether a version is being brought in, and so is not what
-// others are compared with.
+// InRollout reports whether a version is being rolled out, and therefore is not a baseline for
+// comparisons.
 func (v *View) InRollout(service, version string) bool {
 	r, ok := v.rollouts[service]
 	return ok && r.State != canary.Completed && version == r.Order.Version
 }
 
-// Stable reports whether servers of a version are those that a service has apart from a
-// roll-out, which the platform doubles for a while.
+// Stable reports whether a version is the one that a service has outside a roll-out. During a
+// roll-out the platform runs twice the servers for a while.
 func (v *View) Stable(service, version string) bool {
 	r, ok := v.rollouts[service]
 	return !ok || (r.State == canary.Completed) == (version == r.Order.Version)
 }
 
-// versionName names a version of a service.
+// versionName returns the name of a version of a service.
 func versionName(service, version string) string { return service + "@" + version }
 
-// unorderedVersionDelay is how long a version that no order has named stays unused: its
-// servers may be listed a moment before the order arrives.
+// unorderedVersionDelay is how long a version without an order stays unused: its servers may be
+// listed a moment before its order arrives.
 const unorderedVersionDelay = 1500 * time.Millisecond
 
-// VersionChoice is what a session may use of a service.
+// VersionChoice is a choice of the versions and servers of a service for a session.
 type VersionChoice struct {
 	// Allows reports whether a version may be used.
 	Allows func(version string) bool
-	// Fraction is the part of its servers that is used; 0 is all.
+	// Fraction is the fraction of the servers that is used. 0 means all.
 	Fraction float64
-	// Progress is how far that use has come, from 0 to 1.
+	// Progress is the progress of the roll-out, from 0 to 1.
 	Progress float64
-	// Ejected are servers that go last.
+	// Ejected are servers that are used only as a last resort.
 	Ejected []string
 }
 
-// Versions decides what a session may use of a service, by its hash. The second
-// one applies if no server of the first is there. A new version in roll-out is
-// used on a part of its servers that is like its part of the sessions: each
-// carries what it would after the roll-out, and what it has read is used again.
+// Versions returns the choices of a service for a session, by the hash of the session. The
+// second one applies if the first has no available server. A new version in roll-out is used on
+// a fraction of its servers equal to its fraction of the sessions: each server then has the
+// load that it will have after the roll-out, and its prefix cache is reused.
 func (v *View) Versions(service string, hash uint64, now time.Time) (first, second VersionChoice) {
 	r, ordered := v.rollouts[service]
 	if !ordered {
@@ -135,8 +135,8 @@
 	isOld := VersionChoice{Allows: func(version string) bool { return version != r.Order.Version }}
 	switch {
 	case r.State == canary.Completed:
-		// What a daemon found at the last moment counts no more: the old version's
-		// servers are gone.
+		// Evidence from the last moment does not count any more: the servers of the old version
+		// are gone.
 		return isNew, isOld
 	case r.State == canary.RolledBack || v.withdrawn[versionName(service, r.Order.Version)]:
 		return isOld, isOld
@@ -149,14 +149,14 @@
 	return isOld, isOld
 }
 
-// staysOnOld reports whether a session staysOnOld on the old version though its hash falls
-// to the new one: it is early, and the session has not paused.
+// staysOnOld reports whether a session stays on the old version although its hash selects the
+// new one: the roll-out is at its start, and the session has not been idle for long enough.
 func (v *View) staysOnOld(r canary.Rollout, hash uint64, now time.Time) bool {
 	return canary.KeepsActiveSessions(now.Sub(r.Since), r.Order.Within) && v.sessions.active(hash, now)
 }
 
-// settled reports whether a version has been listed for so long that an order
-// for it would have arrived.
+// settled reports whether a version has been listed for so long that an order for it would have
+// arrived.
 func (v *View) settled(service, version string, now time.Time) bool {
 	seen, ok := v.firstSeen[versionName(service, version)]
 	return ok && now.Sub(seen) >= unorderedVersionDelay
--- a/daemon/storesync/work.go
+++ b/daemon/storesync/work.go
@@ -9,10 +9,10 @@
 	"ladderridge.example/core/serverload"
 )
 
-// What all daemons have under way at the servers goes along with questions to the hall's
-// reader and its answers, and from reader to reader between halls.
+// In-flight load of the servers over all daemons. It is sent with the requests to the reader of
+// the hall and its responses, and between the readers of the halls.
 
-// loadTracker returns the board for the present list of servers.
+// loadTracker returns the tracker for the current list of servers.
 func (k *Syncer) loadTracker() *serverload.Tracker {
 	if t := k.topics[gossip.Servers]; k.serverLoad.Checksum() != t.sum {
 		k.serverLoad.SetServers(t.sum, slices.Sorted(maps.Keys(t.rows)))
@@ -20,7 +20,8 @@
 	return k.serverLoad
 }
 
-// requestLoad is this daemon's work, for a question, or nothing if it was told a moment ago.
+// requestLoad returns the load of this daemon for a request, or nothing if it was sent
+// recently.
 func (k *Syncer) requestLoad(now time.Time) gossip.Load {
 	b := k.loadTracker()
 	if now.Sub(k.loadReportedAt) < b.ReportInterval() {
@@ -30,7 +31,7 @@
 	return b.OwnReport(k.ownLoad())
 }
 
-// ownLoad is this daemon's work at each server now.
+// ownLoad returns the current load of this daemon at each server.
 func (k *Syncer) ownLoad() map[string]float64 {
 	work := make(map[string]float64, len(k.loads))
 	for i, l := range k.loads {
@@ -39,8 +40,8 @@
 	return work
 }
 
-// handleRequestLoad takes the work that a daemon tells with its question, and returns that of all
-// for the answer.
+// handleRequestLoad records the load in the request of a daemon and returns the total of all
+// daemons for the response.
 func (k *Syncer) handleRequestLoad(from Member, m gossip.Load, now time.Time) gossip.Load {
 	if len(m.Packed) == 0 {
 		return gossip.Load{}
@@ -52,8 +53,8 @@
 	return b.Total(k.ownLoad, now)
 }
 
-// handleLoad takes what another daemon tells of work: that of all daemons with an answer,
-// and otherwise that of its hall.
+// handleLoad handles the load in a message: that of all daemons in a response, otherwise that
+// of the sender's hall.
 func (k *Syncer) handleLoad(from string, m gossip.Response, now time.Time) {
 	member, ok := (*k.members.Load())[from]
 	if !ok || k.View().Servers == nil {
@@ -70,8 +71,8 @@
 	}
 }
 
-// sendLoad has a reader tell other halls of this one's work, and take what it has been
-// told itself: it has nobody to ask.
+// sendLoad sends the load of the hall from a reader to other halls, and applies the load that
+// other halls have sent: a reader sends no requests.
 func (k *Syncer) sendLoad(now time.Time) {
 	if !k.reading.Load() || k.View().Servers == nil || now.Sub(k.loadBroadcastAt) < k.loadTracker().ReportInterval() {
 		return
