--- a/daemon/storesync/changes.go
+++ b/daemon/storesync/changes.go
@@ -18,32 +18,32 @@
 
 // applyServerChanges updates the list of servers: incrementally if few rows have changed and
 // the changes do not depend on other rows, otherwise by rebuilding it.
-func (k *Syncer) applyServerChanges(now time.Time) {
-	t := k.topics[gossip.Servers]
-	v := k.view.Load()
-	if !t.known || v.Servers == nil || len(k.lapsed) > 0 || k.hasSuperseded || len(t.dirty) > len(t.rows)/incrementalDivisor {
-		k.readServers(now)
+func (sy *Syncer) applyServerChanges(now time.Time) {
+	t := sy.topics[gossip.Servers]
+	v := sy.view.Load()
+	if !t.known || v.Servers == nil || len(sy.lapsed) > 0 || sy.hasSuperseded || len(t.dirty) > len(t.rows)/incrementalDivisor {
+		sy.readServers(now)
 		return
 	}
 	c := serverChanges{corrupted: maps.Clone(v.Corrupted)}
 	for key := range t.takeDirty() {
-		if !k.applyServerRow(key, &c, now) {
+		if !sy.applyServerRow(key, &c, now) {
 			// Two servers have the same address. Deciding which one is gone takes the whole
 			// list.
-			k.readServers(now)
+			sy.readServers(now)
 			return
 		}
 	}
-	maps.DeleteFunc(k.unlisted, func(_ fleet.Incarnation, u unlisted) bool { return now.Sub(u.since) > unlistedTTL })
-	k.recordVersions(c.added, false, now)
+	maps.DeleteFunc(sy.unlisted, func(_ fleet.Incarnation, u unlisted) bool { return now.Sub(u.since) > unlistedTTL })
+	sy.recordVersions(c.added, false, now)
 	next := *v
 	next.Corrupted = c.corrupted
-	next.Servers = v.Servers.With(c.removed, c.added).WithDrained(k.drainedHalls())
-	k.relistChangedLimits(c, now)
-	k.view.Store(&next)
-	k.updateColdLimits(now)
+	next.Servers = v.Servers.With(c.removed, c.added).WithDrained(sy.drainedHalls())
+	sy.relistChangedLimits(c, now)
+	sy.view.Store(&next)
+	sy.updateColdLimits(now)
 	for _, s := range c.restarted {
-		k.reportRestart(s.was, s.is)
+		sy.reportRestart(s.was, s.is)
 	}
 }
 
@@ -60,27 +60,27 @@
 
 // applyServerRow applies one row that was changed or removed. It returns false if another
 // server has the same address.
-func (k *Syncer) applyServerRow(key string, c *serverChanges, now time.Time) bool {
-	old := k.entries[key].server
-	next := k.currentEntry(key, now)
+func (sy *Syncer) applyServerRow(key string, c *serverChanges, now time.Time) bool {
+	old := sy.entries[key].server
+	next := sy.currentEntry(key, now)
 	delete(c.corrupted, key)
 	if next.err != nil {
 		c.corrupted[key] = next.err.Error()
 	}
 	if old != nil {
 		c.removed = append(c.removed, old)
-		k.releaseAddress(old.Addr)
+		sy.releaseAddress(old.Addr)
 	}
 	if next.server == nil || (old != nil && old.Incarnation() != next.server.Incarnation()) {
-		k.dropServer(old, now)
+		sy.dropServer(old, now)
 	}
 	if next.server == nil {
 		return true
 	}
-	if k.atAddress[next.server.Addr] > 0 {
+	if sy.atAddress[next.server.Addr] > 0 {
 		return false
 	}
-	k.atAddress[next.server.Addr]++
+	sy.atAddress[next.server.Addr]++
 	c.added = append(c.added, next.server)
 	if old != nil && old.Born != next.server.Born {
 		c.restarted = append(c.restarted, serverRestart{was: old, is: next.server})
@@ -89,45 +89,45 @@
 }
 
 // releaseAddress records that a server no longer uses an address.
-func (k *Syncer) releaseAddress(addr string) {
-	if k.atAddress[addr]--; k.atAddress[addr] <= 0 {
-		delete(k.atAddress, addr)
+func (sy *Syncer) releaseAddress(addr string) {
+	if sy.atAddress[addr]--; sy.atAddress[addr] <= 0 {
+		delete(sy.atAddress, addr)
 	}
 }
 
 // currentEntry decodes the current row of a key. It is empty if there is no row.
-func (k *Syncer) currentEntry(key string, now time.Time) serverEntry {
-	row, there := k.topics[gossip.Servers].rows[key]
-	if !there {
-		delete(k.entries, key)
+func (sy *Syncer) currentEntry(key string, now time.Time) serverEntry {
+	row, exists := sy.topics[gossip.Servers].rows[key]
+	if !exists {
+		delete(sy.entries, key)
 		return serverEntry{}
 	}
-	e := k.decode(row, now)
+	e := sy.decode(row, now)
 	if e.err != nil {
-		k.malformed(gossip.Servers, row, e.err)
+		sy.malformed(gossip.Servers, row, e.err)
 	}
 	return e
 }
 
 // dropServer drops the state of an incarnation that is no longer listed, except for the notices
 // that the server has sent.
-func (k *Syncer) dropServer(s *fleet.Server, now time.Time) {
+func (sy *Syncer) dropServer(s *fleet.Server, now time.Time) {
 	if s == nil {
 		return
 	}
 	i := s.Incarnation()
-	if s.State.Notices.Active(now) && len(k.unlisted) < maxUnlisted {
-		k.unlisted[i] = unlisted{notices: s.State.Notices, since: now}
+	if s.State.Notices.Active(now) && len(sy.unlisted) < maxUnlisted {
+		sy.unlisted[i] = unlisted{notices: s.State.Notices, since: now}
 	}
-	delete(k.loads, i)
-	delete(k.coldUntil, i)
-	delete(k.coldRows, i)
+	delete(sy.states, i)
+	delete(sy.coldUntil, i)
+	delete(sy.coldRows, i)
 }
 
 // recordAddresses counts the addresses of all listed servers.
-func (k *Syncer) recordAddresses(servers []*fleet.Server) {
-	k.atAddress = make(map[string]int, len(servers))
+func (sy *Syncer) recordAddresses(servers []*fleet.Server) {
+	sy.atAddress = make(map[string]int, len(servers))
 	for _, s := range servers {
-		k.atAddress[s.Addr]++
+		sy.atAddress[s.Addr]++
 	}
 }
--- a/daemon/storesync/era.go
+++ b/daemon/storesync/era.go
@@ -52,14 +52,14 @@
 // known rows. A row that has an old content in the copy is held with its known content, under
 // the version that the store has. A row that the copy lacks is held too.
 func (t *topicState) reconcile(rows []gossip.Row, version revision.Revision, now time.Time) []gossip.Row {
-	returns := t.known && version.Era > t.version.Era
+	restored := t.known && version.Era > t.version.Era
 	if t.restoredAt.IsZero() || now.Sub(t.restoredAt) > maxCopyAge && len(t.held) == 0 {
 		return rows
 	}
 	out := make([]gossip.Row, 0, len(rows))
-	there := make(map[string]bool, len(rows))
+	present := make(map[string]bool, len(rows))
 	for _, row := range rows {
-		there[row.Key] = true
+		present[row.Key] = true
 		was, known := t.rows[row.Key]
 		switch {
 		case known && was.Sum() == row.Sum() || !t.isOldContent(row):
@@ -74,7 +74,7 @@
 		out = append(out, row)
 	}
 	for key, was := range t.rows {
-		if _, held := t.held[key]; !there[key] && (returns || held) {
+		if _, held := t.held[key]; !present[key] && (restored || held) {
 			was.Version = revision.New(version.Era, 0)
 			t.hold(key, now)
 			out = append(out, was)
@@ -83,9 +83,9 @@
 	return out
 }
 
-// noteHeldByPeer records that another daemon holds rows that the store has lost.
-func (t *topicState) noteHeldByPeer(known gossip.Update, now time.Time) {
-	if known.LostRows > 0 {
+// recordHeldByPeer records that another daemon holds rows that the store has lost.
+func (t *topicState) recordHeldByPeer(update gossip.Update, now time.Time) {
+	if update.LostRows > 0 {
 		t.restoredAt = now
 	}
 }
@@ -93,19 +93,19 @@
 // mergeHeld takes over the rows that another daemon of the same era holds and the store has
 // lost, if this daemon has read them from the restored copy. Rows that the store has accepted
 // since the other daemon read it are kept.
-func (t *topicState) mergeHeld(known gossip.Update, now time.Time) (gone []string, newer bool) {
-	if known.Version.Era != t.version.Era || known.LostRows <= uint64(len(t.held)) || !known.Complete && known.Base != t.sum {
+func (t *topicState) mergeHeld(update gossip.Update, now time.Time) (gone []string, newer bool) {
+	if update.Version.Era != t.version.Era || update.LostRows <= uint64(len(t.held)) || !update.Complete && update.Base != t.sum {
 		return nil, false
 	}
 	t.restoredAt = now
 	var lost []gossip.Row
-	for _, row := range known.Rows {
+	for _, row := range update.Rows {
 		was, has := t.rows[row.Key]
-		if has && was.Sum() != row.Sum() && !was.Version.After(known.Version) || !has && row.Version.Number == 0 {
+		if has && was.Sum() != row.Sum() && !was.Version.After(update.Version) || !has && row.Version.Number == 0 {
 			lost = append(lost, row)
 		}
 	}
-	removed := slices.DeleteFunc(t.keysMissingAt(known), func(key string) bool { return t.rows[key].Version.After(known.Version) })
+	removed := slices.DeleteFunc(t.keysMissingAt(update), func(key string) bool { return t.rows[key].Version.After(update.Version) })
 	gone = t.set(lost, removed, now)
 	for _, row := range lost {
 		t.hold(row.Key, now)
@@ -114,17 +114,17 @@
 }
 
 // keysMissingAt returns the keys of rows that another daemon does not have.
-func (t *topicState) keysMissingAt(known gossip.Update) []string {
-	if !known.Complete {
-		return slices.DeleteFunc(slices.Clone(known.Removed), func(key string) bool { _, has := t.rows[key]; return !has })
+func (t *topicState) keysMissingAt(update gossip.Update) []string {
+	if !update.Complete {
+		return slices.DeleteFunc(slices.Clone(update.Removed), func(key string) bool { _, has := t.rows[key]; return !has })
 	}
-	there := make(map[string]bool, len(known.Rows))
-	for _, row := range known.Rows {
-		there[row.Key] = true
+	present := make(map[string]bool, len(update.Rows))
+	for _, row := range update.Rows {
+		present[row.Key] = true
 	}
 	var out []string
 	for key := range t.rows {
-		if !there[key] {
+		if !present[key] {
 			out = append(out, key)
 		}
 	}
@@ -150,62 +150,62 @@
 }
 
 // checkEra detects by a new version of a topic that the store was restored from a backup copy.
-func (k *Syncer) checkEra(topic gossip.Topic, version revision.Revision, now time.Time) {
-	t := k.topics[topic]
+func (sy *Syncer) checkEra(topic gossip.Topic, version revision.Revision, now time.Time) {
+	t := sy.topics[topic]
 	if !t.known || version.Era <= t.version.Era {
 		return
 	}
 	t.restoredAt = now
-	k.Log.Warn().Str("topic", string(topic)).Stringer("version", version).Stringer("was", t.version).Msg("storesync: store restored from a backup copy; rows that it has lost are held until they are written again")
-	k.Restores.Add(1)
-	if topic == gossip.Members && now.Sub(k.startedAt) < maxCopyAge {
+	sy.Log.Warn().Str("topic", string(topic)).Stringer("version", version).Stringer("was", t.version).Msg("storesync: store restored from a backup copy; rows that it has lost are held until they are written again")
+	sy.Restores.Add(1)
+	if topic == gossip.Members && now.Sub(sy.startedAt) < maxCopyAge {
 		// The backup copy may be older than the entry of this daemon.
 		select {
-		case k.republish <- struct{}{}:
+		case sy.republish <- struct{}{}:
 		default:
 		}
 	}
 }
 
 // handleRestore performs the work that is due while the store lacks rows after a restore.
-func (k *Syncer) handleRestore(ctx context.Context, now time.Time) {
-	for topic, t := range k.topics {
+func (sy *Syncer) handleRestore(ctx context.Context, now time.Time) {
+	for topic, t := range sy.topics {
 		t.dropOldContents(now)
 		if topic == gossip.Progress {
 			continue
 		}
 		if keys := t.expiredHeld(now); len(keys) > 0 {
-			k.Log.Warn().Str("topic", string(topic)).Strs("keys", keys).Msg("storesync: rows lost by the store were not written again in time; removed")
-			k.applyTopicChange(topic, t.set(nil, keys, now), true, now)
+			sy.Log.Warn().Str("topic", string(topic)).Strs("keys", keys).Msg("storesync: rows lost by the store were not written again in time; removed")
+			sy.applyTopicChange(topic, t.set(nil, keys, now), true, now)
 		}
 	}
-	progress := k.topics[gossip.Progress]
-	behind := progress.known && progress.version.Era < k.topics[gossip.Operator].version.Era
-	k.progressLost.Store(behind || len(progress.held) > 0)
-	k.restoreProgress(ctx, now)
+	progress := sy.topics[gossip.Progress]
+	behind := progress.known && progress.version.Era < sy.topics[gossip.Operator].version.Era
+	sy.progressLost.Store(behind || len(progress.held) > 0)
+	sy.restoreProgress(ctx, now)
 }
 
 // restoreProgress writes the states of roll-outs again that the store has lost.
-func (k *Syncer) restoreProgress(ctx context.Context, now time.Time) {
-	t := k.topics[gossip.Progress]
-	if !k.reading.Load() {
+func (sy *Syncer) restoreProgress(ctx context.Context, now time.Time) {
+	t := sy.topics[gossip.Progress]
+	if !sy.reading.Load() {
 		return
 	}
 	for key, since := range t.held {
-		service, p, err := k.Decoder.Progress(t.rows[key])
+		service, p, err := sy.Decoder.Progress(t.rows[key])
 		if err != nil {
-			k.malformed(gossip.Progress, t.rows[key], err)
+			sy.malformed(gossip.Progress, t.rows[key], err)
 			delete(t.held, key)
 			continue
 		}
-		r, ordered := k.rollouts.byService[service]
+		r, ordered := sy.rollouts.byService[service]
 		if !ordered || !r.Order.Matches(p) {
 			// A later order has replaced it.
 			delete(t.held, key)
 			continue
 		}
 		if p.State != canary.Running || r.State == canary.Running {
-			k.writeInTurn(ctx, service, p, "lost by the store", since, now)
+			sy.writeInTurn(ctx, service, p, "lost by the store", since, now)
 		}
 	}
 }
@@ -213,19 +213,19 @@
 // isLeaving reports whether a server leaves according to its entries. Once it has announced
 // this, the announcement stays valid in a later era, in which the entry may be older than the
 // announcement.
-func (k *Syncer) isLeaving(s fleet.Server, row revision.Revision) bool {
+func (sy *Syncer) isLeaving(s fleet.Server, row revision.Revision) bool {
 	i := s.Incarnation()
-	era, left := k.leaving[i]
+	era, announced := sy.leaving[i]
 	switch {
 	case s.Leaving:
-		k.leaving[i] = row.Era
-	case left && row.Era <= era:
-		delete(k.leaving, i)
-	case left:
+		sy.leaving[i] = row.Era
+	case announced && row.Era <= era:
+		delete(sy.leaving, i)
+	case announced:
 		return true
 	}
-	if len(k.leaving) > maxUnlisted {
-		maps.DeleteFunc(k.leaving, func(i fleet.Incarnation, _ uint64) bool { return k.loads[i] == nil })
+	if len(sy.leaving) > maxUnlisted {
+		maps.DeleteFunc(sy.leaving, func(i fleet.Incarnation, _ uint64) bool { return sy.states[i] == nil })
 	}
 	return s.Leaving
 }
--- a/daemon/storesync/follow.go
+++ b/daemon/storesync/follow.go
@@ -50,11 +50,11 @@
 )
 
 // pollWait is how long the store holds a call about the configuration.
-func (k *Syncer) pollWait() time.Duration {
-	if k.InForceWithin <= 0 {
+func (sy *Syncer) pollWait() time.Duration {
+	if sy.InForceWithin <= 0 {
 		return defaultInForce / holdDivisor
 	}
-	return k.InForceWithin / holdDivisor
+	return sy.InForceWithin / holdDivisor
 }
 
 // follower keeps one topic up to date from the store.
@@ -102,10 +102,10 @@
 }
 
 // follow keeps a topic up to date while it is enabled.
-func (k *Syncer) follow(ctx context.Context, f *follower) {
+func (sy *Syncer) follow(ctx context.Context, f *follower) {
 	var after revision.Revision
 	known := false
-	random := k.draws(string(f.topic))
+	random := sy.draws(string(f.topic))
 	pause, hold := minBackoff, f.pollWait
 	clock.Wait(ctx, f.delay)
 	// At the start the list of daemons is read later than the other topics.
@@ -116,17 +116,17 @@
 			clock.Wait(ctx, tickInterval)
 			continue
 		}
-		if k.deferReading.Load() && (known || f.topic != gossip.Members) {
+		if sy.deferReading.Load() && (known || f.topic != gossip.Members) {
 			clock.Wait(ctx, tickInterval)
 			continue
 		}
-		if f.topic != gossip.Operator && k.storeUnavailable.Load() {
+		if f.topic != gossip.Operator && sy.storeUnavailable.Load() {
 			hold = time.Millisecond
 			clock.Wait(ctx, tickInterval/2)
 			continue
 		}
-		at, stood := time.Now(), k.SuspendClock.Now()
-		page, whole, err := k.fetch(ctx, f, known, after, hold)
+		at, suspended := time.Now(), sy.SuspendClock.Now()
+		page, full, err := sy.fetch(ctx, f, known, after, hold)
 		if ctx.Err() != nil {
 			return
 		}
@@ -134,10 +134,10 @@
 			hold = time.Millisecond
 			continue
 		}
-		k.deliver(ctx, storeAnswer{topic: f.topic, page: page, full: whole, at: at, suspendedTotal: stood, err: err})
+		sy.deliver(ctx, storeAnswer{topic: f.topic, page: page, full: full, at: at, suspendedTotal: suspended, err: err})
 		if err != nil {
 			known = known && !needsFullRead(err)
-			pause = k.backOff(ctx, pause, random)
+			pause = sy.backOff(ctx, pause, random)
 			// The next call returns at once: its answer shows that the store is available
 			// again.
 			hold = time.Millisecond
@@ -145,7 +145,7 @@
 		}
 		known, after, pause, hold = true, page.Version, minBackoff, f.pollWait
 		switch {
-		case whole:
+		case full:
 			clock.Wait(ctx, pauseAfterAll)
 			pauseAfterAll = settleDelay
 		case len(page.Rows)+len(page.Removed) > 0:
@@ -158,9 +158,9 @@
 func needsFullRead(err error) bool { return isKind(err, HistoryLost) || isKind(err, EraChanged) }
 
 // backOff waits after a failed call and returns the next pause.
-func (k *Syncer) backOff(ctx context.Context, pause time.Duration, random *rand.Rand) time.Duration {
+func (sy *Syncer) backOff(ctx context.Context, pause time.Duration, random *rand.Rand) time.Duration {
 	ceiling := maxBackoff
-	if k.passive.Load() {
+	if sy.passive.Load() {
 		pause, ceiling = max(pause, minPassiveBackoff), maxPassiveBackoff
 	}
 	clock.Wait(ctx, pause/2+time.Duration(random.Int64N(int64(pause/2))))
@@ -168,16 +168,16 @@
 }
 
 // fetch reads all rows of a topic if none are known, and otherwise waits for changes.
-func (k *Syncer) fetch(ctx context.Context, f *follower, known bool, after revision.Revision, hold time.Duration) (Page, bool, error) {
-	k.Calls.Add(1)
+func (sy *Syncer) fetch(ctx context.Context, f *follower, known bool, after revision.Revision, hold time.Duration) (Page, bool, error) {
+	sy.Calls.Add(1)
 	if !known {
 		ctx, cancel := f.begin(ctx, callTimeout)
 		defer cancel()
-		page, err := k.Store.Read(ctx, f.topic)
+		page, err := sy.Store.Read(ctx, f.topic)
 		return page, true, err
 	}
 	ctx, cancel := f.begin(ctx, hold+callTimeout)
 	defer cancel()
-	page, err := k.Store.Follow(ctx, f.topic, after, hold)
+	page, err := sy.Store.Follow(ctx, f.topic, after, hold)
 	return page, false, err
 }
--- a/daemon/storesync/halls.go
+++ b/daemon/storesync/halls.go
@@ -18,39 +18,39 @@
 // In-flight requests continue.
 
 // updateDrained sets which data halls are drained.
-func (k *Syncer) updateDrained(halls map[string]bool, now time.Time) {
+func (sy *Syncer) updateDrained(halls map[string]bool, now time.Time) {
 	next := map[string]time.Time{}
 	for hall := range halls {
-		since, was := k.drained[hall]
+		since, was := sy.drained[hall]
 		if !was {
 			since = now
-			k.Log.Info().Str("hall", hall).Bool("known", k.halls[hall] != nil).Msg("storesync: data hall drained; its servers receive no more requests")
+			sy.Log.Info().Str("hall", hall).Bool("known", sy.halls[hall] != nil).Msg("storesync: data hall drained; its servers receive no more requests")
 		}
 		next[hall] = since
 	}
-	for hall, since := range k.drained {
+	for hall, since := range sy.drained {
 		if _, still := next[hall]; !still {
-			k.Log.Info().Str("hall", hall).Dur("after", now.Sub(since)).Msg("storesync: data hall in use again; its servers count as cold")
-			k.undrainedAt[hall] = now
+			sy.Log.Info().Str("hall", hall).Dur("after", now.Sub(since)).Msg("storesync: data hall in use again; its servers count as cold")
+			sy.undrainedAt[hall] = now
 		}
 	}
-	if maps.Equal(next, k.drained) {
+	if maps.Equal(next, sy.drained) {
 		return
 	}
-	k.drained = next
-	v := *k.view.Load()
+	sy.drained = next
+	v := *sy.view.Load()
 	v.Drained = next
 	if v.Servers != nil {
 		v.Servers = v.Servers.WithDrained(halls)
 	}
-	k.view.Store(&v)
-	k.updateColdLimits(now)
+	sy.view.Store(&v)
+	sy.updateColdLimits(now)
 }
 
 // drainedHalls returns the names of the drained halls.
-func (k *Syncer) drainedHalls() map[string]bool {
-	out := make(map[string]bool, len(k.drained))
-	for hall := range k.drained {
+func (sy *Syncer) drainedHalls() map[string]bool {
+	out := make(map[string]bool, len(sy.drained))
+	for hall := range sy.drained {
 		out[hall] = true
 	}
 	return out
@@ -58,43 +58,43 @@
 
 // recordCold records until when a server is cold according to a newer entry. The entry may be a
 // moment old. The time counts from now, which ends later than the server asked for.
-func (k *Syncer) recordCold(s *fleet.Server, row revision.Revision, now time.Time) {
-	if !row.After(k.coldRows[s.Incarnation()]) {
+func (sy *Syncer) recordCold(s *fleet.Server, row revision.Revision, now time.Time) {
+	if !row.After(sy.coldRows[s.Incarnation()]) {
 		return
 	}
-	k.coldRows[s.Incarnation()] = row
-	believed := routemap.ClampColdTime(s.ColdFor)
-	if believed != s.ColdFor {
-		k.Log.Warn().Str("server", s.ID).Dur("cold_for", s.ColdFor).Dur("taken_as", believed).Msg("storesync: cold time of a server is out of range; it is clamped")
+	sy.coldRows[s.Incarnation()] = row
+	clamped := routemap.ClampColdTime(s.ColdFor)
+	if clamped != s.ColdFor {
+		sy.Log.Warn().Str("server", s.ID).Dur("cold_for", s.ColdFor).Dur("taken_as", clamped).Msg("storesync: cold time of a server is out of range; it is clamped")
 	}
-	if believed > 0 {
-		k.coldUntil[s.Incarnation()] = now.Add(believed)
+	if clamped > 0 {
+		sy.coldUntil[s.Incarnation()] = now.Add(clamped)
 	}
 }
 
 // updateColdLimits sets for each server until when it is cold and how much this daemon may send
 // to it.
-func (k *Syncer) updateColdLimits(now time.Time) {
-	v := k.view.Load()
-	maps.DeleteFunc(k.coldUntil, func(_ fleet.Incarnation, until time.Time) bool { return now.After(until) })
-	if v.Servers == nil || v.Map == nil || (len(k.coldUntil) == 0 && len(k.undrainedAt) == 0) {
+func (sy *Syncer) updateColdLimits(now time.Time) {
+	v := sy.view.Load()
+	maps.DeleteFunc(sy.coldUntil, func(_ fleet.Incarnation, until time.Time) bool { return now.After(until) })
+	if v.Servers == nil || v.Map == nil || (len(sy.coldUntil) == 0 && len(sy.undrainedAt) == 0) {
 		return
 	}
 	var daemons []string
 	for _, s := range v.Servers.All() {
 		service := v.Map.Service(s.Service)
-		until := k.coldUntil[s.Incarnation()]
-		if back, ok := k.undrainedAt[s.Hall]; ok && service.ColdFor > 0 {
-			until = latest(until, back.Add(routemap.ClampColdTime(service.ColdFor)))
+		until := sy.coldUntil[s.Incarnation()]
+		if undrained, ok := sy.undrainedAt[s.Hall]; ok && service.ColdFor > 0 {
+			until = latest(until, undrained.Add(routemap.ClampColdTime(service.ColdFor)))
 		}
 		if service.ColdRate == 0 || !now.Before(until) {
 			continue
 		}
 		if daemons == nil {
-			daemons = slices.Collect(maps.Keys(*k.members.Load()))
+			daemons = slices.Collect(maps.Keys(*sy.members.Load()))
 		}
-		most := fleet.ColdCapacity(service.ColdRate, k.ColdOverage, k.ColdSlack)
-		s.State.SetColdLimit(fleet.ColdLimit{From: k.startedAt.Add(fleet.ColdWindow), Until: until, MaxRequests: fleet.ColdShare(s.ID, k.Self.ID, daemons, most)})
+		maxRequests := fleet.ColdCapacity(service.ColdRate, sy.ColdOverage, sy.ColdSlack)
+		s.State.SetColdLimit(fleet.ColdLimit{From: sy.startedAt.Add(fleet.ColdWindow), Until: until, MaxRequests: fleet.ColdShare(s.ID, sy.Self.ID, daemons, maxRequests)})
 	}
 }
 
@@ -106,8 +106,8 @@
 }
 
 // regionsOf returns the regions of the data halls.
-func (k *Syncer) regionsOf() []string {
-	return slices.Sorted(maps.Values(k.Regions))
+func (sy *Syncer) regionsOf() []string {
+	return slices.Sorted(maps.Values(sy.Regions))
 }
 
 // InRegions reports whether a server in a data hall may serve a request of the route for an
--- a/daemon/storesync/keeper.go
+++ b/daemon/storesync/keeper.go
@@ -146,7 +146,7 @@
 	topics      map[gossip.Topic]*topicState
 	// announcedSums are the checksums of the topics at the last update sent.
 	announcedSums map[gossip.Topic]uint64
-	loads         map[fleet.Incarnation]*fleet.ServerState
+	states        map[fleet.Incarnation]*fleet.ServerState
 	// entries has the decoded rows of servers, by key. atAddress is how many listed servers
 	// have an address.
 	entries   map[string]serverEntry
@@ -229,8 +229,8 @@
 	message any
 }
 
-// observation is an observation of a version that may be in roll-out.
-type observation struct{ fact Observation }
+// answerObserved is an observation of a version that may be in roll-out.
+type answerObserved struct{ observation Observation }
 
 // writeDone is the outcome of writing the state of a roll-out.
 type writeDone struct {
@@ -238,93 +238,93 @@
 	err     error
 }
 
-func (storeAnswer) event() {}
-func (peerMessage) event() {}
-func (observation) event() {}
-func (writeDone) event()   {}
+func (storeAnswer) event()    {}
+func (peerMessage) event()    {}
+func (answerObserved) event() {}
+func (writeDone) event()      {}
 
 // New returns a syncer without any data.
 func New() *Syncer {
-	k := &Syncer{
+	sy := &Syncer{
 		events: make(chan event, eventBacklog), republish: make(chan struct{}, 1), leaving: map[fleet.Incarnation]uint64{},
-		topics: map[gossip.Topic]*topicState{}, loads: map[fleet.Incarnation]*fleet.ServerState{}, unlisted: map[fleet.Incarnation]unlisted{}, halls: map[string]*fleet.HallState{},
+		topics: map[gossip.Topic]*topicState{}, states: map[fleet.Incarnation]*fleet.ServerState{}, unlisted: map[fleet.Incarnation]unlisted{}, halls: map[string]*fleet.HallState{},
 		drained: map[string]time.Time{}, undrainedAt: map[string]time.Time{}, coldUntil: map[fleet.Incarnation]time.Time{}, coldRows: map[fleet.Incarnation]revision.Revision{}, lapsed: map[string]time.Time{},
 		firstSeen: map[string]time.Time{}, pendingRequests: map[uint64]time.Time{}, subscribers: map[string]time.Time{}, announcedSums: map[gossip.Topic]uint64{}, readers: newReaders(),
 		malformedSums: map[string]uint64{}, rollouts: newRollouts(), sessions: newSessions(), serverLoad: serverload.NewTracker(), limits: newLimits(),
 		entries: map[string]serverEntry{}, starts: map[string]int64{}, registry: quarantine.NewRegistry(), quarantineRows: map[quarantine.Fingerprint]quarantineRow{},
 	}
 	for _, t := range []gossip.Topic{gossip.Operator, gossip.Servers, gossip.Progress, gossip.Members} {
-		k.topics[t] = newTopicState()
+		sy.topics[t] = newTopicState()
 	}
-	k.topics[gossip.Servers].takeDirty()
-	k.view.Store(&View{sessions: k.sessions, Quarantine: k.registry})
-	k.members.Store(&map[string]Member{})
-	k.reading.Store(true)
+	sy.topics[gossip.Servers].takeDirty()
+	sy.view.Store(&View{sessions: sy.sessions, Quarantine: sy.registry})
+	sy.members.Store(&map[string]Member{})
+	sy.reading.Store(true)
 	// The first follower is for the configuration. Run sets its hold time.
-	k.followers = []*follower{
-		{topic: gossip.Operator, batchDelay: batchDelay, enabled: k.reading.Load},
-		{topic: gossip.Servers, pollWait: longPollWait, batchDelay: longBatchDelay, enabled: k.reading.Load},
-		{topic: gossip.Members, pollWait: longPollWait, batchDelay: longBatchDelay, delay: membersDelay, enabled: k.reading.Load},
-		{topic: gossip.Progress, pollWait: longPollWait, batchDelay: batchDelay, enabled: func() bool { return k.reading.Load() && (k.rollouts.open.Load() || k.progressLost.Load()) }},
+	sy.followers = []*follower{
+		{topic: gossip.Operator, batchDelay: batchDelay, enabled: sy.reading.Load},
+		{topic: gossip.Servers, pollWait: longPollWait, batchDelay: longBatchDelay, enabled: sy.reading.Load},
+		{topic: gossip.Members, pollWait: longPollWait, batchDelay: longBatchDelay, delay: membersDelay, enabled: sy.reading.Load},
+		{topic: gossip.Progress, pollWait: longPollWait, batchDelay: batchDelay, enabled: func() bool { return sy.reading.Load() && (sy.rollouts.open.Load() || sy.progressLost.Load()) }},
 	}
-	k.run = func(ctx context.Context) error { return k.loop(ctx) }
-	return k
+	sy.run = func(ctx context.Context) error { return sy.loop(ctx) }
+	return sy
 }
 
 // View returns the latest view.
-func (k *Syncer) View() *View { return k.view.Load() }
+func (sy *Syncer) View() *View { return sy.view.Load() }
 
 // ReadsStore reports whether this daemon reads the store now.
-func (k *Syncer) ReadsStore() bool { return k.reading.Load() }
+func (sy *Syncer) ReadsStore() bool { return sy.reading.Load() }
 
 // HandleMessage enqueues a message of another daemon.
-func (k *Syncer) HandleMessage(from string, message any) {
-	k.enqueue(peerMessage{from: from, message: message})
+func (sy *Syncer) HandleMessage(from string, message any) {
+	sy.enqueue(peerMessage{from: from, message: message})
 }
 
 // enqueue passes an event to the syncer's goroutine. If the queue is full the event is dropped:
 // its contents will be sent again.
-func (k *Syncer) enqueue(e event) {
+func (sy *Syncer) enqueue(e event) {
 	select {
-	case k.events <- e:
+	case sy.events <- e:
 	default:
 	}
 }
 
 // Run follows the store until ctx ends.
-func (k *Syncer) Run(ctx context.Context) error { return k.run(ctx) }
+func (sy *Syncer) Run(ctx context.Context) error { return sy.run(ctx) }
 
-func (k *Syncer) loop(ctx context.Context) error {
-	if k.SessionPause > 0 {
-		k.sessions.pause = k.SessionPause
+func (sy *Syncer) loop(ctx context.Context) error {
+	if sy.SessionPause > 0 {
+		sy.sessions.pause = sy.SessionPause
 	}
-	if k.Seed == 0 {
-		k.Seed = rand.Uint64()
+	if sy.Seed == 0 {
+		sy.Seed = rand.Uint64()
 	}
-	k.suspendedTotal = k.SuspendClock.Now()
-	v := *k.view.Load()
-	v.Regions, v.SuspendClock, v.SuspendedTotal = k.Regions, k.SuspendClock, k.suspendedTotal
-	k.view.Store(&v)
-	k.random = k.draws("keeper")
-	k.nonce = k.random.Uint64()
-	k.readers.self, k.readers.maxUsableAge = k.Self, 2*k.pollWait()+usableAgeSlack
-	k.followers[0].pollWait = k.pollWait()
-	k.startedAt = time.Now()
-	k.deferReading.Store(k.FirstStart)
-	for _, f := range k.followers {
-		go k.follow(ctx, f)
+	sy.suspendedTotal = sy.SuspendClock.Now()
+	v := *sy.view.Load()
+	v.Regions, v.SuspendClock, v.SuspendedTotal = sy.Regions, sy.SuspendClock, sy.suspendedTotal
+	sy.view.Store(&v)
+	sy.random = sy.draws("keeper")
+	sy.nonce = sy.random.Uint64()
+	sy.readers.self, sy.readers.maxUsableAge = sy.Self, 2*sy.pollWait()+usableAgeSlack
+	sy.followers[0].pollWait = sy.pollWait()
+	sy.startedAt = time.Now()
+	sy.deferReading.Store(sy.FirstStart)
+	for _, f := range sy.followers {
+		go sy.follow(ctx, f)
 	}
-	go k.publishMember(ctx)
+	go sy.publishMember(ctx)
 	// Daemons that start together must not send at the same moments.
-	clock.Wait(ctx, time.Duration(k.random.Int64N(int64(tickInterval))))
+	clock.Wait(ctx, time.Duration(sy.random.Int64N(int64(tickInterval))))
 	tick := clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case e := <-k.events:
-			k.handle(e)
+		case e := <-sy.events:
+			sy.handle(e)
 		case <-tick.C:
-			k.tick(ctx, time.Now())
+			sy.tick(ctx, time.Now())
 		case <-ctx.Done():
 			return nil
 		}
@@ -332,174 +332,174 @@
 }
 
 // draws returns the random number generator of one goroutine.
-func (k *Syncer) draws(name string) *rand.Rand {
-	return rand.New(rand.NewPCG(k.Seed, xxhash.Sum64String(name)))
+func (sy *Syncer) draws(name string) *rand.Rand {
+	return rand.New(rand.NewPCG(sy.Seed, xxhash.Sum64String(name)))
 }
 
-func (k *Syncer) handle(e event) {
-	k.detectSuspension(time.Now())
+func (sy *Syncer) handle(e event) {
+	sy.detectSuspension(time.Now())
 	switch e := e.(type) {
 	case storeAnswer:
-		k.handleStoreAnswer(e, time.Now())
+		sy.handleStoreAnswer(e, time.Now())
 	case peerMessage:
-		k.handlePeerMessage(e, time.Now())
-	case observation:
-		k.rollouts.observe(e.fact, time.Now())
+		sy.handlePeerMessage(e, time.Now())
+	case answerObserved:
+		sy.rollouts.observe(e.observation, time.Now())
 	case writeDone:
-		k.handleWriteDone(e)
+		sy.handleWriteDone(e)
 	case crashesObserved:
-		k.handleCrashes(e, time.Now())
+		sy.handleCrashes(e, time.Now())
 	case limitObserved:
-		k.handleLimitObserved(e)
+		sy.handleLimitObserved(e)
 	}
 }
 
 // deliver passes an event on, waiting while the queue is full.
-func (k *Syncer) deliver(ctx context.Context, e event) {
+func (sy *Syncer) deliver(ctx context.Context, e event) {
 	select {
-	case k.events <- e:
+	case sy.events <- e:
 	case <-ctx.Done():
 	}
 }
 
 // handleStoreAnswer handles an answer of the store.
-func (k *Syncer) handleStoreAnswer(e storeAnswer, now time.Time) {
+func (sy *Syncer) handleStoreAnswer(e storeAnswer, now time.Time) {
 	// The age of an answer counts from the start of the call, including any suspension of the
 	// VM.
-	e.at = e.at.Add(e.suspendedTotal - k.SuspendClock.Now())
-	t := k.topics[e.topic]
+	e.at = e.at.Add(e.suspendedTotal - sy.SuspendClock.Now())
+	t := sy.topics[e.topic]
 	if e.err != nil {
-		k.handleStoreError(e, t, now)
+		sy.handleStoreError(e, t, now)
 		return
 	}
 	if e.topic == gossip.Operator {
-		k.storeUnavailable.Store(false)
-		k.storeAnsweredAt = e.at
-		if k.readers.hadReader && now.Sub(t.confirmed) > k.readers.maxUsableAge {
-			k.announceStoreFound()
+		sy.storeUnavailable.Store(false)
+		sy.storeAnsweredAt = e.at
+		if sy.readers.hadReader && now.Sub(t.confirmed) > sy.readers.maxUsableAge {
+			sy.announceStoreFound()
 		}
 	}
 	if !t.unavailableSince.IsZero() {
-		k.Recoveries.Add(1)
-		k.Log.Info().Str("topic", string(e.topic)).Dur("away", now.Sub(t.unavailableSince)).Stringer("version", e.page.Version).Msg("storesync: store available again")
+		sy.Recoveries.Add(1)
+		sy.Log.Info().Str("topic", string(e.topic)).Dur("away", now.Sub(t.unavailableSince)).Stringer("version", e.page.Version).Msg("storesync: store available again")
 		t.unavailableSince, t.recoveredAt = time.Time{}, now
 	}
-	k.rollouts.clock(e.page.ClockMS, now)
+	sy.rollouts.clock(e.page.ClockMS, now)
 	var gone []string
 	var newer bool
-	k.checkEra(e.topic, e.page.Version, now)
+	sy.checkEra(e.topic, e.page.Version, now)
 	if e.full {
 		gone, newer = t.replace(e.page.Rows, e.page.Version, e.at, now)
 	} else {
 		gone, newer = t.applyPage(e.page, e.at, now)
 	}
-	k.applyTopicChange(e.topic, gone, newer, now)
+	sy.applyTopicChange(e.topic, gone, newer, now)
 }
 
 // handleStoreError handles a failed call to the store.
-func (k *Syncer) handleStoreError(e storeAnswer, t *topicState, now time.Time) {
+func (sy *Syncer) handleStoreError(e storeAnswer, t *topicState, now time.Time) {
 	if isKind(e.err, EraChanged) {
-		k.Log.Info().Str("topic", string(e.topic)).Stringer("version", t.version).Err(e.err).Msg("storesync: era of the store has changed; all rows are read again")
+		sy.Log.Info().Str("topic", string(e.topic)).Stringer("version", t.version).Err(e.err).Msg("storesync: era of the store has changed; all rows are read again")
 		return
 	}
 	if isKind(e.err, HistoryLost) {
-		k.Log.Info().Str("topic", string(e.topic)).Stringer("version", t.version).Msg("storesync: store no longer has the history of changes; all rows are read again")
+		sy.Log.Info().Str("topic", string(e.topic)).Stringer("version", t.version).Msg("storesync: store no longer has the history of changes; all rows are read again")
 		return
 	}
 	if e.topic == gossip.Operator {
-		k.interruptOthers(now)
+		sy.interruptOthers(now)
 	}
 	if t.unavailableSince.IsZero() {
 		t.unavailableSince = now
-		k.Outages.Add(1)
-		k.Log.Warn().Str("topic", string(e.topic)).Err(e.err).Stringer("version", t.version).Dur("age", now.Sub(t.confirmed)).Msg("storesync: store unavailable")
+		sy.Outages.Add(1)
+		sy.Log.Warn().Str("topic", string(e.topic)).Err(e.err).Stringer("version", t.version).Dur("age", now.Sub(t.confirmed)).Msg("storesync: store unavailable")
 	}
 }
 
 // interruptOthers ends the calls about all topics but the operator topic. Only that one is
 // tried until the store answers again.
-func (k *Syncer) interruptOthers(now time.Time) {
-	k.storeUnavailable.Store(true)
-	for _, f := range k.followers {
+func (sy *Syncer) interruptOthers(now time.Time) {
+	sy.storeUnavailable.Store(true)
+	for _, f := range sy.followers {
 		if f.topic == gossip.Operator {
 			continue
 		}
 		f.interrupt()
-		if t := k.topics[f.topic]; t.unavailableSince.IsZero() {
+		if t := sy.topics[f.topic]; t.unavailableSince.IsZero() {
 			t.unavailableSince = now
 		}
 	}
 }
 
 // applyTopicChange updates the view after rows of a topic have changed.
-func (k *Syncer) applyTopicChange(topic gossip.Topic, gone []string, newer bool, now time.Time) {
+func (sy *Syncer) applyTopicChange(topic gossip.Topic, gone []string, newer bool, now time.Time) {
 	if topic == gossip.Servers {
-		k.recordLapsed(gone, now)
+		sy.recordLapsed(gone, now)
 	}
 	if !newer {
-		k.publishView()
+		sy.publishView()
 		return
 	}
 	switch topic {
 	case gossip.Operator:
-		k.readOperator(now)
+		sy.readOperator(now)
 	case gossip.Servers:
-		k.applyServerChanges(now)
+		sy.applyServerChanges(now)
 	case gossip.Progress:
-		k.readProgress(now)
+		sy.readProgress(now)
 	case gossip.Members:
-		k.readMembers(now)
-		k.updateColdLimits(now)
+		sy.readMembers(now)
+		sy.updateColdLimits(now)
 	}
-	k.publishView()
+	sy.publishView()
 }
 
 // recordLapsed records servers whose entries are gone. While the store is unavailable, entries
 // of running servers expire. They get relistTimeout after its recovery to be listed again.
-func (k *Syncer) recordLapsed(gone []string, now time.Time) {
-	t := k.topics[gossip.Servers]
+func (sy *Syncer) recordLapsed(gone []string, now time.Time) {
+	t := sy.topics[gossip.Servers]
 	until := t.recoveredAt.Add(relistTimeout)
 	if !t.unavailableSince.IsZero() {
 		until = now.Add(relistTimeout)
 	}
 	for _, id := range gone {
 		if now.Before(until) {
-			k.lapsed[id] = until
+			sy.lapsed[id] = until
 		}
 	}
 }
 
 // publishView publishes a view of the current state.
-func (k *Syncer) publishView() {
-	v := *k.view.Load()
-	v.ConfigAt = k.topics[gossip.Operator].confirmed
-	v.ServersAt = k.topics[gossip.Servers].confirmed
-	v.Daemons = k.daemons()
-	v.SuspendedTotal, v.ResumedAt = k.suspendedTotal, k.resumedAt
-	v.rollouts, v.withdrawn, v.ejected, v.firstSeen = k.rollouts.snapshot(), k.rollouts.withdrawnCopy(), maps.Clone(k.rollouts.ejected), k.firstSeen
-	k.view.Store(&v)
+func (sy *Syncer) publishView() {
+	v := *sy.view.Load()
+	v.ConfigAt = sy.topics[gossip.Operator].confirmed
+	v.ServersAt = sy.topics[gossip.Servers].confirmed
+	v.Daemons = sy.daemons()
+	v.SuspendedTotal, v.ResumedAt = sy.suspendedTotal, sy.resumedAt
+	v.rollouts, v.withdrawn, v.ejected, v.firstSeen = sy.rollouts.snapshot(), sy.rollouts.withdrawnCopy(), maps.Clone(sy.rollouts.ejected), sy.firstSeen
+	sy.view.Store(&v)
 }
 
 // tick performs the periodic work.
-func (k *Syncer) tick(ctx context.Context, now time.Time) {
-	k.detectSuspension(now)
-	for id, until := range k.lapsed {
+func (sy *Syncer) tick(ctx context.Context, now time.Time) {
+	sy.detectSuspension(now)
+	for id, until := range sy.lapsed {
 		if now.After(until) {
-			delete(k.lapsed, id)
-			k.readServers(now)
+			delete(sy.lapsed, id)
+			sy.readServers(now)
 		}
 	}
-	k.queryReader(now)
-	k.endFirstStart(now)
-	k.queryPeers(now)
-	k.sendUpdates(now)
-	k.sendSessions(now)
-	k.sendCrashes(now)
-	k.sendLimits(now)
-	k.writeQuarantines(ctx, now)
-	k.sendLoad(now)
-	k.sendUsage(now)
-	k.driveRollouts(ctx, now)
-	k.handleRestore(ctx, now)
-	k.publishView()
+	sy.queryReader(now)
+	sy.endFirstStart(now)
+	sy.queryPeers(now)
+	sy.sendUpdates(now)
+	sy.sendSessions(now)
+	sy.sendCrashes(now)
+	sy.sendLimits(now)
+	sy.writeQuarantines(ctx, now)
+	sy.sendLoad(now)
+	sy.sendUsage(now)
+	sy.advanceRollouts(ctx, now)
+	sy.handleRestore(ctx, now)
+	sy.publishView()
 }
--- a/daemon/storesync/limits.go
+++ b/daemon/storesync/limits.go
@@ -50,66 +50,66 @@
 func (limitObserved) event() {}
 
 // AnnounceLimit announces the limit of a server to the other daemons.
-func (k *Syncer) AnnounceLimit(s *fleet.Server) { k.enqueue(limitObserved{server: s}) }
+func (sy *Syncer) AnnounceLimit(s *fleet.Server) { sy.enqueue(limitObserved{server: s}) }
 
-func (k *Syncer) handleLimitObserved(e limitObserved) {
-	k.limits.known[e.server.Incarnation()] = e.server
-	k.limits.changed = true
+func (sy *Syncer) handleLimitObserved(e limitObserved) {
+	sy.limits.known[e.server.Incarnation()] = e.server
+	sy.limits.changed = true
 }
 
 // sharers returns the daemons that share limits. There are none while the list of daemons is
 // unknown.
-func (k *Syncer) sharers() quota.Daemons {
-	out := quota.Daemons{Self: k.Self.ID, ByHall: map[string][]string{}}
-	members := *k.members.Load()
+func (sy *Syncer) sharers() quota.Daemons {
+	out := quota.Daemons{Self: sy.Self.ID, ByHall: map[string][]string{}}
+	members := *sy.members.Load()
 	for _, m := range members {
 		out.ByHall[m.Hall] = append(out.ByHall[m.Hall], m.ID)
 	}
-	if _, listed := members[k.Self.ID]; !listed && len(members) > 0 {
-		out.ByHall[k.Self.Hall] = append(out.ByHall[k.Self.Hall], k.Self.ID)
+	if _, listed := members[sy.Self.ID]; !listed && len(members) > 0 {
+		out.ByHall[sy.Self.Hall] = append(out.ByHall[sy.Self.Hall], sy.Self.ID)
 	}
 	return out
 }
 
 // shareLimits divides the limits among the daemons that are listed now.
-func (k *Syncer) shareLimits(now time.Time) {
-	v := *k.view.Load()
-	v.Sharers = k.sharers()
-	k.view.Store(&v)
-	for _, s := range k.limits.known {
+func (sy *Syncer) shareLimits(now time.Time) {
+	v := *sy.view.Load()
+	v.Sharers = sy.sharers()
+	sy.view.Store(&v)
+	for _, s := range sy.limits.known {
 		s.ApplyLimit(v.Sharers, now)
 	}
 }
 
 // relistLimits updates the limits for a rebuilt server list. A limit belongs to the incarnation
 // of the server that announced it.
-func (k *Syncer) relistLimits(servers []*fleet.Server, now time.Time) {
-	maps.DeleteFunc(k.limits.known, func(i fleet.Incarnation, _ *fleet.Server) bool { return k.loads[i] == nil })
+func (sy *Syncer) relistLimits(servers []*fleet.Server, now time.Time) {
+	maps.DeleteFunc(sy.limits.known, func(i fleet.Incarnation, _ *fleet.Server) bool { return sy.states[i] == nil })
 	for _, s := range servers {
-		k.relistLimit(s, now)
+		sy.relistLimit(s, now)
 	}
 }
 
 // relistChangedLimits updates the limits for the changed servers only.
-func (k *Syncer) relistChangedLimits(c serverChanges, now time.Time) {
+func (sy *Syncer) relistChangedLimits(c serverChanges, now time.Time) {
 	for _, s := range c.removed {
-		if k.loads[s.Incarnation()] == nil {
-			delete(k.limits.known, s.Incarnation())
+		if sy.states[s.Incarnation()] == nil {
+			delete(sy.limits.known, s.Incarnation())
 		}
 	}
 	for _, s := range c.added {
-		k.relistLimit(s, now)
+		sy.relistLimit(s, now)
 	}
 }
 
-func (k *Syncer) relistLimit(s *fleet.Server, now time.Time) {
+func (sy *Syncer) relistLimit(s *fleet.Server, now time.Time) {
 	if s.State.Notices.State().Limit.ReceivedAt.IsZero() {
 		return
 	}
-	was := k.limits.known[s.Incarnation()]
-	k.limits.known[s.Incarnation()] = s
+	was := sy.limits.known[s.Incarnation()]
+	sy.limits.known[s.Incarnation()] = s
 	if was == nil || was.State != s.State || was.Hall != s.Hall {
-		s.ApplyLimit(k.view.Load().Sharers, now)
+		s.ApplyLimit(sy.view.Load().Sharers, now)
 	}
 }
 
@@ -141,51 +141,51 @@
 func ageMS(now, at time.Time) uint64 { return uint64(max(0, now.Sub(at).Milliseconds())) }
 
 // addLimits adds limits to a request.
-func (k *Syncer) addLimits(ask *gossip.Request, now time.Time) {
-	ask.LimitSum = k.limits.sum()
-	if k.limits.readerDiffers || k.limits.changed && !k.reading.Load() {
-		ask.Limits = k.limits.list(now)
+func (sy *Syncer) addLimits(req *gossip.Request, now time.Time) {
+	req.LimitSum = sy.limits.sum()
+	if sy.limits.readerDiffers || sy.limits.changed && !sy.reading.Load() {
+		req.Limits = sy.limits.list(now)
 	}
 }
 
 // handleRequestLimits merges the limits of a request and returns those for the response.
-func (k *Syncer) handleRequestLimits(from string, m gossip.Request, now time.Time) []gossip.Limit {
-	k.mergeLimits(from, m.Limits, now)
-	if k.limits.sum() == m.LimitSum {
+func (sy *Syncer) handleRequestLimits(from string, m gossip.Request, now time.Time) []gossip.Limit {
+	sy.mergeLimits(from, m.Limits, now)
+	if sy.limits.sum() == m.LimitSum {
 		return nil
 	}
-	return k.limits.list(now)
+	return sy.limits.list(now)
 }
 
 // handleResponseLimits merges the limits that another daemon sends.
-func (k *Syncer) handleResponseLimits(from string, m gossip.Response, now time.Time) {
-	k.mergeLimits(from, m.Limits, now)
+func (sy *Syncer) handleResponseLimits(from string, m gossip.Response, now time.Time) {
+	sy.mergeLimits(from, m.Limits, now)
 	if m.Nonce == 0 {
 		return
 	}
-	k.limits.readerDiffers = k.limits.sum() != m.LimitSum
-	if !k.reading.Load() && !k.limits.readerDiffers {
-		k.limits.changed = false
+	sy.limits.readerDiffers = sy.limits.sum() != m.LimitSum
+	if !sy.reading.Load() && !sy.limits.readerDiffers {
+		sy.limits.changed = false
 	}
 }
 
 // mergeLimits merges limits that another daemon has learned.
-func (k *Syncer) mergeLimits(from string, told []gossip.Limit, now time.Time) {
-	for _, l := range told {
-		e, ok := k.entries[l.ID]
+func (sy *Syncer) mergeLimits(from string, received []gossip.Limit, now time.Time) {
+	for _, l := range received {
+		e, ok := sy.entries[l.ID]
 		if !ok || e.server == nil || e.server.Born != l.Born || math.IsNaN(l.Rate) || l.Rate < 0 {
 			continue
 		}
 		s := e.server
-		word := notice.Limit{Rate: l.Rate, Lifted: l.Rate == 0}
-		was, is := s.State.Notices.ObserveLimit(word, msBefore(now, l.RequestedMS), msBefore(now, l.ReceivedMS), from)
+		limit := notice.Limit{Rate: l.Rate, Lifted: l.Rate == 0}
+		was, is := s.State.Notices.ObserveLimit(limit, msBefore(now, l.RequestedMS), msBefore(now, l.ReceivedMS), from)
 		if is.Rate == was.Rate {
 			continue
 		}
-		k.limits.known[s.Incarnation()], k.limits.changed = s, true
-		s.ApplyLimit(k.view.Load().Sharers, now)
-		if k.OnLimitChange != nil {
-			k.OnLimitChange(s, was, is)
+		sy.limits.known[s.Incarnation()], sy.limits.changed = s, true
+		s.ApplyLimit(sy.view.Load().Sharers, now)
+		if sy.OnLimitChange != nil {
+			sy.OnLimitChange(s, was, is)
 		}
 	}
 }
@@ -196,20 +196,20 @@
 
 // sendLimits sends changed limits from a reader to its hall and to other halls. Other daemons
 // send theirs with the next request to their reader.
-func (k *Syncer) sendLimits(now time.Time) {
-	if !k.reading.Load() || len(k.limits.known) == 0 {
+func (sy *Syncer) sendLimits(now time.Time) {
+	if !sy.reading.Load() || len(sy.limits.known) == 0 {
 		return
 	}
-	again := now.Sub(k.limits.sentAt) >= limitsInterval
-	if !k.limits.changed && !again {
+	resend := now.Sub(sy.limits.sentAt) >= limitsInterval
+	if !sy.limits.changed && !resend {
 		return
 	}
-	tell := gossip.Response{Limits: k.limits.list(now)}
-	if to := k.hallSubscribers(now); k.limits.changed && len(to) > 0 {
-		k.Peers.SendAll(to, tell)
+	resp := gossip.Response{Limits: sy.limits.list(now)}
+	if to := sy.hallSubscribers(now); sy.limits.changed && len(to) > 0 {
+		sy.Peers.SendAll(to, resp)
 	}
-	k.limits.changed, k.limits.sentAt = false, now
-	if len(tell.Limits) > 0 {
-		k.broadcast(tell)
+	sy.limits.changed, sy.limits.sentAt = false, now
+	if len(resp.Limits) > 0 {
+		sy.broadcast(resp)
 	}
 }
--- a/daemon/storesync/members.go
+++ b/daemon/storesync/members.go
@@ -31,43 +31,43 @@
 
 // publishMember writes the entry of this daemon until the store has accepted it, and again when
 // the store may have lost it.
-func (k *Syncer) publishMember(ctx context.Context) {
-	data, err := cbor.Marshal(k.Self)
+func (sy *Syncer) publishMember(ctx context.Context) {
+	data, err := cbor.Marshal(sy.Self)
 	if err != nil {
-		k.Log.Error().Err(err).Msg("storesync: cannot encode the entry of this daemon")
+		sy.Log.Error().Err(err).Msg("storesync: cannot encode the entry of this daemon")
 		return
 	}
 	for pause := minBackoff; ctx.Err() == nil; pause = min(2*pause, maxBackoff) {
-		if !k.putMember(ctx, data) {
+		if !sy.putMember(ctx, data) {
 			clock.Wait(ctx, pause)
 			continue
 		}
 		pause = minBackoff
 		select {
-		case <-k.republish:
+		case <-sy.republish:
 		case <-ctx.Done():
 		}
 	}
 }
 
 // putMember writes the entry of this daemon once.
-func (k *Syncer) putMember(ctx context.Context, data []byte) bool {
+func (sy *Syncer) putMember(ctx context.Context, data []byte) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	k.Calls.Add(1)
-	if err := k.Store.Put(ctx, gossip.Members, k.Self.ID, data); err != nil {
-		k.Log.Warn().Err(err).Msg("storesync: write of the entry of this daemon failed; it is retried")
+	sy.Calls.Add(1)
+	if err := sy.Store.Put(ctx, gossip.Members, sy.Self.ID, data); err != nil {
+		sy.Log.Warn().Err(err).Msg("storesync: write of the entry of this daemon failed; it is retried")
 		return false
 	}
 	return true
 }
 
 // readMembers reads the list of daemons and the requests in quarantine.
-func (k *Syncer) readMembers(now time.Time) {
+func (sy *Syncer) readMembers(now time.Time) {
 	members := map[string]Member{}
-	for _, row := range k.topics[gossip.Members].rows {
+	for _, row := range sy.topics[gossip.Members].rows {
 		if strings.HasPrefix(row.Key, quarantinePrefix) {
-			k.readQuarantine(row, now)
+			sy.readQuarantine(row, now)
 			continue
 		}
 		var m Member
@@ -76,34 +76,34 @@
 			err = errMemberKey
 		}
 		if err != nil {
-			k.malformed(gossip.Members, row, err)
+			sy.malformed(gossip.Members, row, err)
 			continue
 		}
 		members[m.ID] = m
-		if was, ok := (*k.members.Load())[m.ID]; ok && was.Start != m.Start {
-			k.Peers.Forget(m.ID)
+		if was, ok := (*sy.members.Load())[m.ID]; ok && was.Start != m.Start {
+			sy.Peers.Forget(m.ID)
 		}
 	}
-	k.members.Store(&members)
-	k.shareLimits(now)
-	k.readers.setMembers(members)
+	sy.members.Store(&members)
+	sy.shareLimits(now)
+	sy.readers.setMembers(members)
 }
 
 // daemons is the number of daemons including this one. It is 0 while their list is unknown.
-func (k *Syncer) daemons() int {
-	if !k.topics[gossip.Members].known {
+func (sy *Syncer) daemons() int {
+	if !sy.topics[gossip.Members].known {
 		return 0
 	}
-	members := *k.members.Load()
-	if _, ok := members[k.Self.ID]; ok {
+	members := *sy.members.Load()
+	if _, ok := members[sy.Self.ID]; ok {
 		return len(members)
 	}
 	return len(members) + 1
 }
 
 // PublicKey returns the public key that a daemon has published, or nil.
-func (k *Syncer) PublicKey(id string) ed25519.PublicKey {
-	m, ok := (*k.members.Load())[id]
+func (sy *Syncer) PublicKey(id string) ed25519.PublicKey {
+	m, ok := (*sy.members.Load())[id]
 	if !ok || len(m.Public) != ed25519.PublicKeySize {
 		return nil
 	}
@@ -111,10 +111,10 @@
 }
 
 // others returns the other daemons in a fixed order.
-func (k *Syncer) others() []Member {
+func (sy *Syncer) others() []Member {
 	var out []Member
-	for id, m := range *k.members.Load() {
-		if id != k.Self.ID {
+	for id, m := range *sy.members.Load() {
+		if id != sy.Self.ID {
 			out = append(out, m)
 		}
 	}
--- a/daemon/storesync/notices.go
+++ b/daemon/storesync/notices.go
@@ -28,20 +28,20 @@
 
 // noticesOf returns the notices of an incarnation of a server, including those from before its
 // entry was removed.
-func (k *Syncer) noticesOf(i fleet.Incarnation) *notice.Tracker {
-	if was, ok := k.unlisted[i]; ok {
-		delete(k.unlisted, i)
+func (sy *Syncer) noticesOf(i fleet.Incarnation) *notice.Tracker {
+	if was, ok := sy.unlisted[i]; ok {
+		delete(sy.unlisted, i)
 		return was.notices
 	}
 	return &notice.Tracker{}
 }
 
 // keepNotices keeps the notices of servers that have been removed from the list.
-func (k *Syncer) keepNotices(listed map[fleet.Incarnation]*fleet.ServerState, now time.Time) {
-	maps.DeleteFunc(k.unlisted, func(_ fleet.Incarnation, u unlisted) bool { return now.Sub(u.since) > unlistedTTL })
-	for i, l := range k.loads {
-		if listed[i] == nil && l.Notices.Active(now) && len(k.unlisted) < maxUnlisted {
-			k.unlisted[i] = unlisted{notices: l.Notices, since: now}
+func (sy *Syncer) keepNotices(listed map[fleet.Incarnation]*fleet.ServerState, now time.Time) {
+	maps.DeleteFunc(sy.unlisted, func(_ fleet.Incarnation, u unlisted) bool { return now.Sub(u.since) > unlistedTTL })
+	for i, l := range sy.states {
+		if listed[i] == nil && l.Notices.Active(now) && len(sy.unlisted) < maxUnlisted {
+			sy.unlisted[i] = unlisted{notices: l.Notices, since: now}
 		}
 	}
 }
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -16,54 +16,54 @@
 
 // queryReader sends a request to the daemon that reads the store for this one, and starts
 // reading itself if there is none.
-func (k *Syncer) queryReader(now time.Time) {
-	fresh, still := k.readers.expire(now)
+func (sy *Syncer) queryReader(now time.Time) {
+	newlySilent, still := sy.readers.expire(now)
 	for _, id := range still {
 		// The daemon may have restarted and not know the connection.
-		k.Peers.Forget(id)
+		sy.Peers.Forget(id)
 	}
-	for _, id := range fresh {
-		k.Log.Warn().Str("reader", id).Msg("storesync: reader of this hall does not answer")
+	for _, id := range newlySilent {
+		sy.Log.Warn().Str("reader", id).Msg("storesync: reader of this hall does not answer")
 	}
-	k.updateReading(now)
-	due := k.readers.queryTargets(now.Sub(k.topics[gossip.Operator].confirmed), now)
+	sy.updateReading(now)
+	due := sy.readers.queryTargets(now.Sub(sy.topics[gossip.Operator].confirmed), now)
 	if len(due) == 0 {
 		return
 	}
-	ask := k.newRequest(gossipedTopics, now)
-	reader, ok := k.readers.reader()
+	req := sy.newRequest(gossipedTopics, now)
+	reader, ok := sy.readers.reader()
 	for _, m := range due {
-		k.readers.recordQuery(m.ID, now)
-		to := ask
-		if ok && m.ID == reader.ID && !k.reading.Load() {
+		sy.readers.recordQuery(m.ID, now)
+		to := req
+		if ok && m.ID == reader.ID && !sy.reading.Load() {
 			// Only the reader passes sessions on. The other daemons may not even run.
-			to.Sessions = k.sessions.takeUnsent(now)
-			to.Usage = k.unacknowledgedUsage(reader, ask.Nonce, now)
+			to.Sessions = sy.sessions.takeUnsent(now)
+			to.Usage = sy.unacknowledgedUsage(reader, req.Nonce, now)
 		}
-		k.Peers.Send(m.ID, m.Addr, to)
+		sy.Peers.Send(m.ID, m.Addr, to)
 	}
 }
 
 // updateReading starts or stops reading the store.
-func (k *Syncer) updateReading(now time.Time) {
-	if !k.hasAllTopics() {
+func (sy *Syncer) updateReading(now time.Time) {
+	if !sy.hasAllTopics() {
 		return
 	}
-	age := now.Sub(k.topics[gossip.Operator].confirmed)
-	reads := k.readers.mayRead(age, now)
-	k.passive.Store(k.readers.passive(now))
-	reader, ok := k.readers.reader()
-	if k.reading.Load() && k.readers.hadReader && !ok {
+	age := now.Sub(sy.topics[gossip.Operator].confirmed)
+	reads := sy.readers.mayRead(age, now)
+	sy.passive.Store(sy.readers.passive(now))
+	reader, ok := sy.readers.reader()
+	if sy.reading.Load() && sy.readers.hadReader && !ok {
 		// It keeps reading until there is a reader.
 		reads = true
 	}
-	if k.reading.Load() == reads {
+	if sy.reading.Load() == reads {
 		return
 	}
-	k.reading.Store(reads)
-	k.Log.Info().Bool("reading", reads).Str("reader", reader.ID).Dur("age", age).Msg("storesync: reader of the store has changed")
+	sy.reading.Store(reads)
+	sy.Log.Info().Bool("reading", reads).Str("reader", reader.ID).Dur("age", age).Msg("storesync: reader of the store has changed")
 	if !reads {
-		k.stopReading()
+		sy.stopReading()
 	}
 }
 
@@ -74,29 +74,29 @@
 
 // endFirstStart ends the time in which a daemon leaves the reading to another one: when that
 // one has answered, when no daemon of its hall precedes it, or when the time is over.
-func (k *Syncer) endFirstStart(now time.Time) {
-	if !k.deferReading.Load() {
+func (sy *Syncer) endFirstStart(now time.Time) {
+	if !sy.deferReading.Load() {
 		return
 	}
-	first := k.topics[gossip.Members].known && k.readers.isFirst()
-	if first || !k.reading.Load() || now.Sub(k.startedAt) >= firstStartTimeout {
-		k.deferReading.Store(false)
+	first := sy.topics[gossip.Members].known && sy.readers.isFirst()
+	if first || !sy.reading.Load() || now.Sub(sy.startedAt) >= firstStartTimeout {
+		sy.deferReading.Store(false)
 	}
 }
 
 // hasAllTopics reports whether the topics that every daemon needs have been read once.
-func (k *Syncer) hasAllTopics() bool {
-	return k.topics[gossip.Operator].known && k.topics[gossip.Servers].known && k.topics[gossip.Members].known
+func (sy *Syncer) hasAllTopics() bool {
+	return sy.topics[gossip.Operator].known && sy.topics[gossip.Servers].known && sy.topics[gossip.Members].known
 }
 
 // stopReading ends the calls to the store. From now on the reader finds out whether the store
 // answers.
-func (k *Syncer) stopReading() {
-	for _, f := range k.followers {
+func (sy *Syncer) stopReading() {
+	for _, f := range sy.followers {
 		f.interrupt()
 	}
 	now := time.Now()
-	for _, t := range k.topics {
+	for _, t := range sy.topics {
 		if !t.unavailableSince.IsZero() {
 			t.unavailableSince, t.recoveredAt = time.Time{}, now
 		}
@@ -104,55 +104,55 @@
 }
 
 // newRequest creates a request about topics.
-func (k *Syncer) newRequest(topics []gossip.Topic, now time.Time) gossip.Request {
-	k.nonce++
-	k.pendingRequests[k.nonce] = now
-	ask := gossip.Request{Nonce: k.nonce, Load: k.requestLoad(now)}
-	k.addLimits(&ask, now)
+func (sy *Syncer) newRequest(topics []gossip.Topic, now time.Time) gossip.Request {
+	sy.nonce++
+	sy.pendingRequests[sy.nonce] = now
+	req := gossip.Request{Nonce: sy.nonce, Load: sy.requestLoad(now)}
+	sy.addLimits(&req, now)
 	for _, topic := range topics {
-		t := k.topics[topic]
-		ask.Digests = append(ask.Digests, gossip.TopicDigest{Topic: topic, Version: t.version, Sum: t.sum, LostRows: uint64(len(t.held))})
+		t := sy.topics[topic]
+		req.Digests = append(req.Digests, gossip.TopicDigest{Topic: topic, Version: t.version, Sum: t.sum, LostRows: uint64(len(t.held))})
 	}
-	return ask
+	return req
 }
 
 // handlePeerMessage handles a message of another daemon.
-func (k *Syncer) handlePeerMessage(e peerMessage, now time.Time) {
+func (sy *Syncer) handlePeerMessage(e peerMessage, now time.Time) {
 	switch m := e.message.(type) {
 	case gossip.Request:
-		k.handleRequest(e.from, m, now)
+		sy.handleRequest(e.from, m, now)
 	case gossip.Response:
-		k.handleResponse(e.from, m, now)
+		sy.handleResponse(e.from, m, now)
 	case gossip.Evidence:
-		k.rollouts.handleEvidence(e.from, m, now)
+		sy.rollouts.handleEvidence(e.from, m, now)
 	}
 }
 
 // handleRequest answers the request of another daemon with the state of this one.
-func (k *Syncer) handleRequest(to string, m gossip.Request, now time.Time) {
-	member, ok := (*k.members.Load())[to]
+func (sy *Syncer) handleRequest(to string, m gossip.Request, now time.Time) {
+	member, ok := (*sy.members.Load())[to]
 	if !ok {
 		return
 	}
-	k.subscribers[to] = now
-	k.handleRequestSessions(m.Sessions, now)
-	k.mergeUsage(m.Usage)
-	tell := gossip.Response{Nonce: m.Nonce, Withdrawn: k.rollouts.withdrawnNames(), StoreUnreachable: k.storeUnreachable(now), Load: k.handleRequestLoad(member, m.Load, now)}
-	tell.Limits = k.handleRequestLimits(to, m, now)
-	tell.LimitSum = k.limits.sum()
+	sy.subscribers[to] = now
+	sy.handleRequestSessions(m.Sessions, now)
+	sy.mergeUsage(m.Usage)
+	resp := gossip.Response{Nonce: m.Nonce, Withdrawn: sy.rollouts.withdrawnNames(), StoreUnreachable: sy.storeUnreachable(now), Load: sy.handleRequestLoad(member, m.Load, now)}
+	resp.Limits = sy.handleRequestLimits(to, m, now)
+	resp.LimitSum = sy.limits.sum()
 	holdsMore := false
-	for _, have := range m.Digests {
-		t := k.topics[have.Topic]
+	for _, digest := range m.Digests {
+		t := sy.topics[digest.Topic]
 		if t == nil || !t.known {
 			continue
 		}
-		tell.Updates = append(tell.Updates, t.updateFor(have.Topic, have.Sum, now))
-		holdsMore = holdsMore || have.LostRows > uint64(len(t.held))
+		resp.Updates = append(resp.Updates, t.updateFor(digest.Topic, digest.Sum, now))
+		holdsMore = holdsMore || digest.LostRows > uint64(len(t.held))
 	}
-	k.Peers.Send(to, member.Addr, tell)
-	if holdsMore && now.Sub(k.heldQueriedAt) >= queryInterval {
-		k.heldQueriedAt = now
-		k.Peers.Send(to, member.Addr, k.newRequest(gossipedTopics, now))
+	sy.Peers.Send(to, member.Addr, resp)
+	if holdsMore && now.Sub(sy.heldQueriedAt) >= queryInterval {
+		sy.heldQueriedAt = now
+		sy.Peers.Send(to, member.Addr, sy.newRequest(gossipedTopics, now))
 	}
 }
 
@@ -165,10 +165,10 @@
 	if sum == t.sum {
 		return out
 	}
-	var known, onItsWay bool
-	out.Rows, out.Removed, known, onItsWay = t.changesSince(sum, now)
+	var known, inTransit bool
+	out.Rows, out.Removed, known, inTransit = t.changesSince(sum, now)
 	switch {
-	case onItsWay:
+	case inTransit:
 		// The update with this change was sent a moment ago. The next request shows whether it
 		// has arrived.
 		out.Rows, out.Removed = nil, nil
@@ -193,28 +193,28 @@
 const subscriptionTTL = 3 * time.Second
 
 // sendUpdates sends the topics that have changed since the last update to the subscribers.
-func (k *Syncer) sendUpdates(now time.Time) {
-	var tell gossip.Response
+func (sy *Syncer) sendUpdates(now time.Time) {
+	var resp gossip.Response
 	for _, topic := range gossipedTopics {
-		t := k.topics[topic]
-		if t.known && t.sum != k.announcedSums[topic] {
-			tell.Updates = append(tell.Updates, t.updateSince(topic, k.announcedSums[topic], now))
-			k.announcedSums[topic] = t.sum
+		t := sy.topics[topic]
+		if t.known && t.sum != sy.announcedSums[topic] {
+			resp.Updates = append(resp.Updates, t.updateSince(topic, sy.announcedSums[topic], now))
+			sy.announcedSums[topic] = t.sum
 		}
 	}
-	if to := k.subscriberAddrs(now); len(tell.Updates) > 0 && len(to) > 0 {
-		k.Peers.SendAll(to, tell)
+	if to := sy.subscriberAddrs(now); len(resp.Updates) > 0 && len(to) > 0 {
+		sy.Peers.SendAll(to, resp)
 	}
 }
 
 // subscriberAddrs returns the addresses of the daemons that this one reads the store for, by
 // ID.
-func (k *Syncer) subscriberAddrs(now time.Time) map[string]string {
+func (sy *Syncer) subscriberAddrs(now time.Time) map[string]string {
 	to := map[string]string{}
-	for id, at := range k.subscribers {
-		member, ok := (*k.members.Load())[id]
+	for id, at := range sy.subscribers {
+		member, ok := (*sy.members.Load())[id]
 		if !ok || now.Sub(at) > subscriptionTTL {
-			delete(k.subscribers, id)
+			delete(sy.subscribers, id)
 			continue
 		}
 		to[id] = member.Addr
@@ -223,87 +223,87 @@
 }
 
 // sendWithdrawn sends the names of the withdrawn versions to the subscribers.
-func (k *Syncer) sendWithdrawn(now time.Time) {
-	k.Peers.SendAll(k.subscriberAddrs(now), gossip.Response{Withdrawn: k.rollouts.withdrawnNames()})
+func (sy *Syncer) sendWithdrawn(now time.Time) {
+	sy.Peers.SendAll(sy.subscriberAddrs(now), gossip.Response{Withdrawn: sy.rollouts.withdrawnNames()})
 }
 
 // handleResponse merges the state of another daemon. Its age counts from when the request was
 // sent, so that a delayed response does not appear younger. An update without a request
 // confirms nothing.
-func (k *Syncer) handleResponse(from string, m gossip.Response, now time.Time) {
-	defer k.publishView()
-	k.handleSessions(from, m.Sessions, now)
-	k.mergeCrashes(from, m.Crashes, now)
+func (sy *Syncer) handleResponse(from string, m gossip.Response, now time.Time) {
+	defer sy.publishView()
+	sy.handleSessions(from, m.Sessions, now)
+	sy.mergeCrashes(from, m.Crashes, now)
 	for _, name := range m.Withdrawn {
-		k.rollouts.withdrawNamed(name)
+		sy.rollouts.withdrawNamed(name)
 	}
-	k.handleLoad(from, m, now)
-	k.handleResponseLimits(from, m, now)
-	k.mergeUsage(m.Usage)
+	sy.handleLoad(from, m, now)
+	sy.handleResponseLimits(from, m, now)
+	sy.mergeUsage(m.Usage)
 	if m.StoreRecovered {
-		k.handleStoreFound(from, now)
+		sy.handleStoreFound(from, now)
 	}
-	asked, ok := k.pendingRequests[m.Nonce]
-	if m.Nonce != 0 && (!ok || now.Sub(asked) > responseTimeout) {
+	sentAt, ok := sy.pendingRequests[m.Nonce]
+	if m.Nonce != 0 && (!ok || now.Sub(sentAt) > responseTimeout) {
 		return
 	}
-	if ok && k.Usage != nil {
-		k.Usage.Acknowledged(m.Nonce)
+	if ok && sy.Usage != nil {
+		sy.Usage.Acknowledged(m.Nonce)
 	}
-	for _, known := range m.Updates {
-		t := k.topics[known.Topic]
+	for _, update := range m.Updates {
+		t := sy.topics[update.Topic]
 		if t == nil {
 			continue
 		}
 		var confirmed time.Time
 		if m.Nonce != 0 {
-			confirmed = asked.Add(-time.Duration(known.AgeMS) * time.Millisecond)
+			confirmed = sentAt.Add(-time.Duration(update.AgeMS) * time.Millisecond)
 		}
-		k.applyUpdate(from, known, confirmed, now)
+		sy.applyUpdate(from, update, confirmed, now)
 	}
 	if m.Nonce == 0 {
 		return
 	}
-	for _, known := range m.Updates {
-		if known.Topic == gossip.Operator {
-			age := now.Sub(asked.Add(-time.Duration(known.AgeMS) * time.Millisecond))
-			k.readers.recordAnswer(from, age, m.StoreUnreachable, now)
-			k.updateSource(from, !m.StoreUnreachable && age <= k.readers.maxUsableAge)
+	for _, update := range m.Updates {
+		if update.Topic == gossip.Operator {
+			age := now.Sub(sentAt.Add(-time.Duration(update.AgeMS) * time.Millisecond))
+			sy.readers.recordAnswer(from, age, m.StoreUnreachable, now)
+			sy.updateSource(from, !m.StoreUnreachable && age <= sy.readers.maxUsableAge)
 		}
 	}
 }
 
 // applyUpdate merges the state of a topic at another daemon.
-func (k *Syncer) applyUpdate(from string, known gossip.Update, confirmed, now time.Time) {
-	t := k.topics[known.Topic]
-	if returned := now.Add(-time.Duration(known.ReturnedMS) * time.Millisecond); known.ReturnedMS > 0 && returned.After(t.recoveredAt) {
-		t.recoveredAt = returned
+func (sy *Syncer) applyUpdate(from string, update gossip.Update, confirmed, now time.Time) {
+	t := sy.topics[update.Topic]
+	if recoveredAt := now.Add(-time.Duration(update.ReturnedMS) * time.Millisecond); update.ReturnedMS > 0 && recoveredAt.After(t.recoveredAt) {
+		t.recoveredAt = recoveredAt
 	}
 	var gone []string
 	newer := false
 	switch {
-	case known.Sum == t.sum:
+	case update.Sum == t.sum:
 		t.known = true
-		k.checkEra(known.Topic, known.Version, now)
-		t.version = revision.Latest(t.version, known.Version)
+		sy.checkEra(update.Topic, update.Version, now)
+		t.version = revision.Latest(t.version, update.Version)
 		t.confirm(confirmed)
-	case t.known && !known.Version.After(t.version):
-		if known.Version == t.version && !t.restoredAt.IsZero() {
+	case t.known && !update.Version.After(t.version):
+		if update.Version == t.version && !t.restoredAt.IsZero() {
 			// One of the two daemons holds rows that the store has lost.
 			t.confirm(confirmed)
 		}
-		gone, newer = t.mergeHeld(known, now)
-	case known.Complete:
-		k.checkEra(known.Topic, known.Version, now)
-		t.noteHeldByPeer(known, now)
-		gone, newer = t.replace(known.Rows, known.Version, confirmed, now)
+		gone, newer = t.mergeHeld(update, now)
+	case update.Complete:
+		sy.checkEra(update.Topic, update.Version, now)
+		t.recordHeldByPeer(update, now)
+		gone, newer = t.replace(update.Rows, update.Version, confirmed, now)
 	default:
-		k.checkEra(known.Topic, known.Version, now)
-		t.noteHeldByPeer(known, now)
-		gone, newer = t.apply(known, confirmed, now)
+		sy.checkEra(update.Topic, update.Version, now)
+		t.recordHeldByPeer(update, now)
+		gone, newer = t.apply(update, confirmed, now)
 	}
 	if newer {
-		k.Log.Info().Str("topic", string(known.Topic)).Str("from", from).Stringer("version", known.Version).Uint64("age_ms", known.AgeMS).Msg("storesync: update received from another daemon")
-		k.applyTopicChange(known.Topic, gone, newer, now)
+		sy.Log.Info().Str("topic", string(update.Topic)).Str("from", from).Stringer("version", update.Version).Uint64("age_ms", update.AgeMS).Msg("storesync: update received from another daemon")
+		sy.applyTopicChange(update.Topic, gone, newer, now)
 	}
 }
--- a/daemon/storesync/quarantine.go
+++ b/daemon/storesync/quarantine.go
@@ -68,81 +68,81 @@
 
 // RecordServerExit counts the exit of a server against the requests in flight there, and
 // notifies the other daemons.
-func (k *Syncer) RecordServerExit(server string, contents []quarantine.Fingerprint) {
-	e := crashesObserved{crashes: k.registry.RecordServerExit(server, contents, time.Now())}
-	k.ServerExits.Add(1)
-	k.Log.Warn().Str("server", server).Int("requests", len(contents)).Int("counted", len(e.crashes)).Msg("quarantine: server exited with requests in flight")
+func (sy *Syncer) RecordServerExit(server string, contents []quarantine.Fingerprint) {
+	e := crashesObserved{crashes: sy.registry.RecordServerExit(server, contents, time.Now())}
+	sy.ServerExits.Add(1)
+	sy.Log.Warn().Str("server", server).Int("requests", len(contents)).Int("counted", len(e.crashes)).Msg("quarantine: server exited with requests in flight")
 	if len(e.crashes) > 0 {
-		k.enqueue(e)
+		sy.enqueue(e)
 	}
 }
 
 // Answered records a content that a server has answered completely.
-func (k *Syncer) Answered(content quarantine.Fingerprint) { k.registry.Answered(content, time.Now()) }
+func (sy *Syncer) Answered(content quarantine.Fingerprint) { sy.registry.Answered(content, time.Now()) }
 
 // handleCrashes handles servers that exited under requests of this daemon.
-func (k *Syncer) handleCrashes(e crashesObserved, now time.Time) {
+func (sy *Syncer) handleCrashes(e crashesObserved, now time.Time) {
 	for _, c := range e.crashes {
-		k.queueCrash(crashReport{crash: c, otherHalls: true, left: crashSendCount})
-		k.trackQuarantine(c.Content, now, quarantineRow{due: now, own: true})
+		sy.queueCrash(crashReport{crash: c, otherHalls: true, left: crashSendCount})
+		sy.trackQuarantine(c.Content, now, quarantineRow{due: now, own: true})
 	}
-	k.ownCrashes = append(k.ownCrashes, e.crashes...)
+	sy.ownCrashes = append(sy.ownCrashes, e.crashes...)
 }
 
 // resendCrashes sends the recent crashes that this daemon has seen again if its reader has
 // changed.
-func (k *Syncer) resendCrashes(now time.Time) {
-	k.ownCrashes = slices.DeleteFunc(k.ownCrashes, func(c quarantine.Crash) bool { return now.Sub(c.At) > crashResendWindow })
-	reader, _ := k.readers.reader()
-	if k.reading.Load() {
-		reader = k.Self
+func (sy *Syncer) resendCrashes(now time.Time) {
+	sy.ownCrashes = slices.DeleteFunc(sy.ownCrashes, func(c quarantine.Crash) bool { return now.Sub(c.At) > crashResendWindow })
+	reader, _ := sy.readers.reader()
+	if sy.reading.Load() {
+		reader = sy.Self
 	}
-	if reader.ID == k.crashReader {
+	if reader.ID == sy.crashReader {
 		return
 	}
-	k.crashReader = reader.ID
-	for _, c := range k.ownCrashes {
-		k.queueCrash(crashReport{crash: c, otherHalls: true, left: crashSendCount})
+	sy.crashReader = reader.ID
+	for _, c := range sy.ownCrashes {
+		sy.queueCrash(crashReport{crash: c, otherHalls: true, left: crashSendCount})
 	}
 }
 
 // mergeCrashes merges crashes seen by other daemons. A reader passes new ones on to its hall,
 // and to other halls if they come from its own hall.
-func (k *Syncer) mergeCrashes(from string, crashes []gossip.Crash, now time.Time) {
-	m, known := (*k.members.Load())[from]
-	for _, told := range crashes {
-		c := quarantine.Crash{Content: quarantine.Fingerprint(told.Content), Server: told.Server, At: now.Add(-time.Duration(told.AgeMS) * time.Millisecond)}
-		if !k.registry.RecordCrash(c) {
+func (sy *Syncer) mergeCrashes(from string, crashes []gossip.Crash, now time.Time) {
+	m, known := (*sy.members.Load())[from]
+	for _, received := range crashes {
+		c := quarantine.Crash{Content: quarantine.Fingerprint(received.Content), Server: received.Server, At: now.Add(-time.Duration(received.AgeMS) * time.Millisecond)}
+		if !sy.registry.RecordCrash(c) {
 			continue
 		}
-		if k.reading.Load() {
-			k.queueCrash(crashReport{crash: c, otherHalls: known && m.Hall == k.Self.Hall, left: crashSendCount})
+		if sy.reading.Load() {
+			sy.queueCrash(crashReport{crash: c, otherHalls: known && m.Hall == sy.Self.Hall, left: crashSendCount})
 		}
-		k.trackQuarantine(c.Content, now, quarantineRow{due: now.Add(k.writeDelay(canary.RolledBack))})
+		sy.trackQuarantine(c.Content, now, quarantineRow{due: now.Add(sy.writeDelay(canary.RolledBack))})
 	}
 }
 
 // queueCrash queues a crash for sending if the backlog is not full.
-func (k *Syncer) queueCrash(n crashReport) {
-	if len(k.pendingCrashes) < crashBacklog {
-		k.pendingCrashes = append(k.pendingCrashes, n)
+func (sy *Syncer) queueCrash(n crashReport) {
+	if len(sy.pendingCrashes) < crashBacklog {
+		sy.pendingCrashes = append(sy.pendingCrashes, n)
 	}
 }
 
 // sendCrashes sends the queued crashes: a reader to its hall and to other halls, another daemon
 // to its reader.
-func (k *Syncer) sendCrashes(now time.Time) {
-	k.resendCrashes(now)
-	if len(k.pendingCrashes) == 0 {
+func (sy *Syncer) sendCrashes(now time.Time) {
+	sy.resendCrashes(now)
+	if len(sy.pendingCrashes) == 0 {
 		return
 	}
-	reader, ok := k.readers.reader()
-	if !k.reading.Load() && !ok {
+	reader, ok := sy.readers.reader()
+	if !sy.reading.Load() && !ok {
 		return
 	}
 	var all, otherHalls []gossip.Crash
 	var waiting []crashReport
-	for i, n := range k.pendingCrashes {
+	for i, n := range sy.pendingCrashes {
 		if i >= maxCrashesPerMessage {
 			waiting = append(waiting, n)
 			continue
@@ -156,87 +156,87 @@
 			waiting = append(waiting, n)
 		}
 	}
-	k.pendingCrashes = waiting
-	if !k.reading.Load() {
-		k.Peers.Send(reader.ID, reader.Addr, gossip.Response{Crashes: all})
+	sy.pendingCrashes = waiting
+	if !sy.reading.Load() {
+		sy.Peers.Send(reader.ID, reader.Addr, gossip.Response{Crashes: all})
 		return
 	}
-	if to := k.hallSubscribers(now); len(to) > 0 {
-		k.Peers.SendAll(to, gossip.Response{Crashes: all})
+	if to := sy.hallSubscribers(now); len(to) > 0 {
+		sy.Peers.SendAll(to, gossip.Response{Crashes: all})
 	}
 	if len(otherHalls) > 0 {
-		k.broadcast(gossip.Response{Crashes: otherHalls})
+		sy.broadcast(gossip.Response{Crashes: otherHalls})
 	}
 }
 
 // trackQuarantine logs a request that has entered quarantine, and schedules the write of its
 // row.
-func (k *Syncer) trackQuarantine(f quarantine.Fingerprint, now time.Time, c quarantineRow) {
-	until, in := k.registry.Quarantined(f, now)
+func (sy *Syncer) trackQuarantine(f quarantine.Fingerprint, now time.Time, c quarantineRow) {
+	until, in := sy.registry.Quarantined(f, now)
 	if !in {
 		return
 	}
-	if _, noted := k.quarantineRows[f]; !noted {
-		k.Log.Warn().Stringer("content", f).Dur("for", until.Sub(now)).Msg("quarantine: request quarantined because servers exited under it")
-		k.quarantineRows[f] = c
+	if _, noted := sy.quarantineRows[f]; !noted {
+		sy.Log.Warn().Stringer("content", f).Dur("for", until.Sub(now)).Msg("quarantine: request quarantined because servers exited under it")
+		sy.quarantineRows[f] = c
 	}
 }
 
 // writeQuarantines writes the rows of requests in quarantine that the store does not have. The
 // daemon that has seen the crash writes at once, and readers take turns if the row does not
 // arrive: if the store is unavailable, hundreds of daemons would otherwise all try.
-func (k *Syncer) writeQuarantines(ctx context.Context, now time.Time) {
-	for f, c := range k.quarantineRows {
-		until, in := k.registry.Quarantined(f, now)
+func (sy *Syncer) writeQuarantines(ctx context.Context, now time.Time) {
+	for f, c := range sy.quarantineRows {
+		until, in := sy.registry.Quarantined(f, now)
 		if !in {
-			delete(k.quarantineRows, f)
+			delete(sy.quarantineRows, f)
 			continue
 		}
 		key := quarantinePrefix + f.String()
-		_, lost := k.topics[gossip.Members].held[key]
-		if row, ok := k.topics[gossip.Members].rows[key]; ok && !lost && k.quarantineActive(row, now) || now.Before(c.due) || !c.own && !k.reading.Load() {
+		_, lost := sy.topics[gossip.Members].held[key]
+		if row, ok := sy.topics[gossip.Members].rows[key]; ok && !lost && sy.quarantineActive(row, now) || now.Before(c.due) || !c.own && !sy.reading.Load() {
 			continue
 		}
 		// Retry if the row does not arrive from the store.
-		k.quarantineRows[f] = quarantineRow{due: now.Add(nonReaderWriteDelay), own: c.own}
+		sy.quarantineRows[f] = quarantineRow{due: now.Add(nonReaderWriteDelay), own: c.own}
 		data, err := cbor.Marshal(confinement{UntilMS: until.UnixMilli()})
 		if err != nil {
-			k.Log.Error().Err(err).Msg("quarantine: cannot encode a row")
+			sy.Log.Error().Err(err).Msg("quarantine: cannot encode a row")
 			continue
 		}
-		go k.putQuarantine(ctx, key, data)
+		go sy.putQuarantine(ctx, key, data)
 	}
 }
 
 // putQuarantine writes a row, whichever daemon has written it before and with whatever content.
-func (k *Syncer) putQuarantine(ctx context.Context, key string, data []byte) {
+func (sy *Syncer) putQuarantine(ctx context.Context, key string, data []byte) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	k.Calls.Add(1)
-	if err := k.Store.Put(ctx, gossip.Members, key, data); err != nil {
-		k.Log.Warn().Str("key", key).Err(err).Msg("quarantine: write of a row failed or its outcome is unknown; it is retried unless the row arrives")
+	sy.Calls.Add(1)
+	if err := sy.Store.Put(ctx, gossip.Members, key, data); err != nil {
+		sy.Log.Warn().Str("key", key).Err(err).Msg("quarantine: write of a row failed or its outcome is unknown; it is retried unless the row arrives")
 	}
 }
 
 // quarantineActive reports whether the quarantine of a row has not ended.
-func (k *Syncer) quarantineActive(row gossip.Row, now time.Time) bool {
+func (sy *Syncer) quarantineActive(row gossip.Row, now time.Time) bool {
 	var c confinement
 	return cbor.Unmarshal(row.Data, &c) == nil && c.UntilMS > now.UnixMilli()
 }
 
 // readQuarantine reads the row of a request in quarantine.
-func (k *Syncer) readQuarantine(row gossip.Row, now time.Time) {
+func (sy *Syncer) readQuarantine(row gossip.Row, now time.Time) {
 	f, err := strconv.ParseUint(strings.TrimPrefix(row.Key, quarantinePrefix), 16, 64)
 	var c confinement
 	if err == nil {
 		err = cbor.Unmarshal(row.Data, &c)
 	}
 	if err != nil {
-		k.malformed(gossip.Members, row, err)
+		sy.malformed(gossip.Members, row, err)
 		return
 	}
 	content := quarantine.Fingerprint(f)
-	if k.registry.Quarantine(content, time.UnixMilli(c.UntilMS), now) {
-		k.trackQuarantine(content, now, quarantineRow{due: now.Add(nonReaderWriteDelay)})
+	if sy.registry.Quarantine(content, time.UnixMilli(c.UntilMS), now) {
+		sy.trackQuarantine(content, now, quarantineRow{due: now.Add(nonReaderWriteDelay)})
 	}
 }
--- a/daemon/storesync/readers.go
+++ b/daemon/storesync/readers.go
@@ -185,17 +185,17 @@
 func (r *readers) queryTargets(age time.Duration, now time.Time) []Member {
 	reader, ok := r.reader()
 	settled := ok && r.answered[reader.ID]
-	trying := r.turnTakers(age)
+	takers := r.turnTakers(age)
 	var out []Member
 	for _, m := range r.preceding {
-		every := probeInterval
+		interval := probeInterval
 		switch {
-		case ok && m.ID == reader.ID, !settled && trying[m.ID]:
-			every = queryInterval
+		case ok && m.ID == reader.ID, !settled && takers[m.ID]:
+			interval = queryInterval
 		case !r.isSilent(m.ID) && !r.stale[m.ID]:
 			continue
 		}
-		if now.Sub(r.asked[m.ID]) >= every {
+		if now.Sub(r.asked[m.ID]) >= interval {
 			out = append(out, m)
 		}
 	}
@@ -206,9 +206,9 @@
 // different ones each time.
 func (r *readers) turnTakers(age time.Duration) map[string]bool {
 	var turn []string
-	most := extraQueries + 1<<int(max(0, age-r.maxUsableAge)/r.turnInterval())
+	limit := extraQueries + 1<<int(max(0, age-r.maxUsableAge)/r.turnInterval())
 	for _, m := range r.preceding {
-		if !r.isSilent(m.ID) && len(turn) < most {
+		if !r.isSilent(m.ID) && len(turn) < limit {
 			turn = append(turn, m.ID)
 		}
 	}
@@ -223,31 +223,31 @@
 // recordQuery records that a daemon is asked now.
 func (r *readers) recordQuery(id string, now time.Time) {
 	r.asked[id] = now
-	if _, waits := r.awaiting[id]; !waits {
+	if _, pending := r.awaiting[id]; !pending {
 		r.awaiting[id] = now
 	}
 }
 
 // recordAnswer records an answer, the age of its state, and whether the sender cannot reach the
 // store. A state that such a sender has received from others is not recent enough for a hall.
-func (r *readers) recordAnswer(id string, age time.Duration, cut bool, now time.Time) {
+func (r *readers) recordAnswer(id string, age time.Duration, unreachable bool, now time.Time) {
 	r.heardAt = now
 	delete(r.awaiting, id)
 	delete(r.silent, id)
 	r.answered[id] = true
-	r.stale[id] = cut || age > r.maxUsableAge
+	r.stale[id] = unreachable || age > r.maxUsableAge
 	r.hadReader = r.hadReader || !r.stale[id]
 }
 
 // expire marks the daemons whose answer is overdue as silent. It returns those that were not
 // silent before, and those that still are.
-func (r *readers) expire(now time.Time) (fresh, still []string) {
+func (r *readers) expire(now time.Time) (newlySilent, still []string) {
 	for id, since := range r.awaiting {
-		within := answerTimeout
+		timeout := answerTimeout
 		if !r.answered[id] {
-			within = firstAnswerTimeout
+			timeout = firstAnswerTimeout
 		}
-		if now.Sub(since) < within {
+		if now.Sub(since) < timeout {
 			continue
 		}
 		delete(r.awaiting, id)
@@ -257,7 +257,7 @@
 			continue
 		}
 		r.silent[id] = now
-		fresh = append(fresh, id)
+		newlySilent = append(newlySilent, id)
 	}
-	return fresh, still
+	return newlySilent, still
 }
--- a/daemon/storesync/rollouts.go
+++ b/daemon/storesync/rollouts.go
@@ -259,9 +259,9 @@
 }
 
 // keepDeparted keeps the evidence of a run of a daemon of the hall.
-func (r *rollouts) keepDeparted(l daemonRun, counts []gossip.Count) {
+func (r *rollouts) keepDeparted(run daemonRun, counts []gossip.Count) {
 	if len(counts) > 0 {
-		r.departed[l] = counts
+		r.departed[run] = counts
 	}
 }
 
@@ -299,8 +299,8 @@
 		m.Counts = without(m.Counts)
 		r.reports[src] = m
 	}
-	for l, counts := range r.departed {
-		r.departed[l] = without(counts)
+	for run, counts := range r.departed {
+		r.departed[run] = without(counts)
 	}
 	for hall, seen := range r.halls {
 		seen.counts = without(seen.counts)
--- a/daemon/storesync/sessions.go
+++ b/daemon/storesync/sessions.go
@@ -80,45 +80,45 @@
 const sessionsInterval = 500 * time.Millisecond
 
 // RecordSession records which version serves a session.
-func (k *Syncer) RecordSession(service string, hash uint64, version string) {
+func (sy *Syncer) RecordSession(service string, hash uint64, version string) {
 	if !canary.Eligible(hash) {
 		return
 	}
 	now := time.Now()
-	r, ok := k.View().Rollout(service)
+	r, ok := sy.View().Rollout(service)
 	if ok && r.State == canary.Running && version == r.Order.Version && canary.KeepsActiveSessions(now.Sub(r.Since), r.Order.Within) {
 		// The session has moved to the new version. Later in the roll-out the next order may be
 		// near, for which this version is an old one.
 		return
 	}
-	k.sessions.record(hash, now)
+	sy.sessions.record(hash, now)
 }
 
 // sendSessions sends sessions: those of this hall to other halls and to the subscribers, those
 // of other halls to the subscribers only.
-func (k *Syncer) sendSessions(now time.Time) {
-	if !k.reading.Load() || now.Sub(k.sessionsSentAt) < sessionsInterval {
+func (sy *Syncer) sendSessions(now time.Time) {
+	if !sy.reading.Load() || now.Sub(sy.sessionsSentAt) < sessionsInterval {
 		return
 	}
-	k.sessionsSentAt = now
-	own := append(k.sessions.takeUnsent(now), k.hallSessions...)
-	all := append(own[:len(own):len(own)], k.remoteSessions...)
-	k.hallSessions, k.remoteSessions = nil, nil
-	if to := k.hallSubscribers(now); len(all) > 0 && len(to) > 0 {
-		k.Peers.SendAll(to, gossip.Response{Sessions: all})
+	sy.sessionsSentAt = now
+	own := append(sy.sessions.takeUnsent(now), sy.hallSessions...)
+	all := append(own[:len(own):len(own)], sy.remoteSessions...)
+	sy.hallSessions, sy.remoteSessions = nil, nil
+	if to := sy.hallSubscribers(now); len(all) > 0 && len(to) > 0 {
+		sy.Peers.SendAll(to, gossip.Response{Sessions: all})
 	}
 	if len(own) == 0 {
 		return
 	}
-	k.broadcast(gossip.Response{Sessions: own})
+	sy.broadcast(gossip.Response{Sessions: own})
 }
 
 // hallSubscribers returns the subscribers in this hall. Subscribers in other halls learn of
 // sessions from their own readers. Sending to them too would form a loop.
-func (k *Syncer) hallSubscribers(now time.Time) map[string]string {
-	to := k.subscriberAddrs(now)
+func (sy *Syncer) hallSubscribers(now time.Time) map[string]string {
+	to := sy.subscriberAddrs(now)
 	for id := range to {
-		if (*k.members.Load())[id].Hall != k.Self.Hall {
+		if (*sy.members.Load())[id].Hall != sy.Self.Hall {
 			delete(to, id)
 		}
 	}
@@ -127,21 +127,21 @@
 
 // handleRequestSessions records the sessions in a request of a daemon of this hall, to pass
 // them on.
-func (k *Syncer) handleRequestSessions(hashes []uint64, now time.Time) {
-	k.sessions.recordRemote(hashes, now)
-	if k.reading.Load() {
-		k.hallSessions = appendCapped(k.hallSessions, hashes)
+func (sy *Syncer) handleRequestSessions(hashes []uint64, now time.Time) {
+	sy.sessions.recordRemote(hashes, now)
+	if sy.reading.Load() {
+		sy.hallSessions = appendCapped(sy.hallSessions, hashes)
 	}
 }
 
 // handleSessions records the sessions that another daemon sends. Those of other halls are
 // passed on within this one. Those of this hall have been sent to all by their reader, and
 // passing them on would form a loop.
-func (k *Syncer) handleSessions(from string, hashes []uint64, now time.Time) {
-	k.sessions.recordRemote(hashes, now)
-	m, ok := (*k.members.Load())[from]
-	if ok && m.Hall != k.Self.Hall && k.reading.Load() {
-		k.remoteSessions = appendCapped(k.remoteSessions, hashes)
+func (sy *Syncer) handleSessions(from string, hashes []uint64, now time.Time) {
+	sy.sessions.recordRemote(hashes, now)
+	m, ok := (*sy.members.Load())[from]
+	if ok && m.Hall != sy.Self.Hall && sy.reading.Load() {
+		sy.remoteSessions = appendCapped(sy.remoteSessions, hashes)
 	}
 }
 
--- a/daemon/storesync/sources.go
+++ b/daemon/storesync/sources.go
@@ -10,80 +10,80 @@
 
 // queryPeers asks other daemons when the state of this one becomes old: first the one that last
 // had a newer state, later any.
-func (k *Syncer) queryPeers(now time.Time) {
-	for nonce, at := range k.pendingRequests {
+func (sy *Syncer) queryPeers(now time.Time) {
+	for nonce, at := range sy.pendingRequests {
 		if now.Sub(at) > responseTimeout {
-			delete(k.pendingRequests, nonce)
+			delete(sy.pendingRequests, nonce)
 		}
 	}
-	if k.deferReading.Load() {
+	if sy.deferReading.Load() {
 		// The daemons of other halls have no newer state, and traffic between halls costs
 		// money.
 		return
 	}
-	age := now.Sub(k.topics[gossip.Operator].confirmed)
-	if age <= k.readers.maxUsableAge || now.Sub(k.peersQueriedAt) < queryInterval/2 {
+	age := now.Sub(sy.topics[gossip.Operator].confirmed)
+	if age <= sy.readers.maxUsableAge || now.Sub(sy.peersQueriedAt) < queryInterval/2 {
 		return
 	}
-	var ask []Member
-	if m, ok := (*k.members.Load())[k.source]; ok {
-		ask = append(ask, m)
+	var targets []Member
+	if m, ok := (*sy.members.Load())[sy.source]; ok {
+		targets = append(targets, m)
 	}
-	if others := k.others(); age > k.readers.maxUsableAge+2*queryInterval {
+	if others := sy.others(); age > sy.readers.maxUsableAge+2*queryInterval {
 		for i := range min(peersPerQuery, len(others)) {
-			ask = append(ask, others[(int(k.nonce%uint64(len(others)))*peersPerQuery+i)%len(others)])
+			targets = append(targets, others[(int(sy.nonce%uint64(len(others)))*peersPerQuery+i)%len(others)])
 		}
 	}
-	if len(ask) == 0 {
+	if len(targets) == 0 {
 		return
 	}
-	k.peersQueriedAt = now
-	question := k.newRequest(gossipedTopics, now)
-	for _, m := range ask {
-		k.Peers.Send(m.ID, m.Addr, question)
+	sy.peersQueriedAt = now
+	req := sy.newRequest(gossipedTopics, now)
+	for _, m := range targets {
+		sy.Peers.Send(m.ID, m.Addr, req)
 	}
 }
 
 // announceStoreFound announces to the hall that the store answers this daemon.
-func (k *Syncer) announceStoreFound() {
+func (sy *Syncer) announceStoreFound() {
 	to := map[string]string{}
-	for _, m := range k.others() {
-		if m.Hall == k.Self.Hall {
+	for _, m := range sy.others() {
+		if m.Hall == sy.Self.Hall {
 			to[m.ID] = m.Addr
 		}
 	}
 	if len(to) > 0 {
-		k.Log.Info().Int("daemons", len(to)).Msg("storesync: store answers this daemon; announced to its hall")
-		k.Peers.SendAll(to, gossip.Response{StoreRecovered: true})
+		sy.Log.Info().Int("daemons", len(to)).Msg("storesync: store answers this daemon; announced to its hall")
+		sy.Peers.SendAll(to, gossip.Response{StoreRecovered: true})
 	}
 }
 
 // handleStoreFound sends a request to a daemon of the hall that the store has just answered.
-func (k *Syncer) handleStoreFound(from string, now time.Time) {
-	m, ok := (*k.members.Load())[from]
+func (sy *Syncer) handleStoreFound(from string, now time.Time) {
+	m, ok := (*sy.members.Load())[from]
 	if !ok {
 		return
 	}
-	k.source = from
-	if now.Sub(k.topics[gossip.Operator].confirmed) > k.readers.maxUsableAge {
-		k.Peers.Send(m.ID, m.Addr, k.newRequest(gossipedTopics, now))
+	sy.source = from
+	if now.Sub(sy.topics[gossip.Operator].confirmed) > sy.readers.maxUsableAge {
+		sy.Peers.Send(m.ID, m.Addr, sy.newRequest(gossipedTopics, now))
 	}
 }
 
 // updateSource records a daemon that sent a recent enough state, preferring the own hall, and
 // drops one that no longer does.
-func (k *Syncer) updateSource(from string, useful bool) {
-	members := *k.members.Load()
+func (sy *Syncer) updateSource(from string, useful bool) {
+	members := *sy.members.Load()
 	switch {
-	case !useful && k.source == from:
-		k.source = ""
-	case useful && (k.source == "" || members[k.source].Hall != k.Self.Hall && members[from].Hall == k.Self.Hall):
-		k.source = from
+	case !useful && sy.source == from:
+		sy.source = ""
+	case useful && (sy.source == "" || members[sy.source].Hall != sy.Self.Hall && members[from].Hall == sy.Self.Hall):
+		sy.source = from
 	}
 }
 
 // storeUnreachable reports whether this daemon tries the store and has had no answer for so
 // long that its state is too old for others.
-func (k *Syncer) storeUnreachable(now time.Time) bool {
-	return k.reading.Load() && now.Sub(k.storeAnsweredAt) > k.readers.maxUsableAge
+func (sy *Syncer) storeUnreachable(now time.Time) bool {
+	return sy.reading.Load() && now.Sub(sy.storeAnsweredAt) > sy.readers.maxUsableAge
 }
--- a/daemon/storesync/standstill.go
+++ b/daemon/storesync/standstill.go
@@ -13,25 +13,25 @@
 // detectSuspension detects that the VM was suspended since the last check. Everything that was
 // confirmed before is older by that time, and pending requests are dropped: their responses may
 // be from before the suspension.
-func (k *Syncer) detectSuspension(now time.Time) {
-	total := k.SuspendClock.Now()
-	d := total - k.suspendedTotal
+func (sy *Syncer) detectSuspension(now time.Time) {
+	total := sy.SuspendClock.Now()
+	d := total - sy.suspendedTotal
 	if d < suspend.Least {
 		return
 	}
-	k.suspendedTotal, k.resumedAt = total, now
-	for _, t := range k.topics {
+	sy.suspendedTotal, sy.resumedAt = total, now
+	for _, t := range sy.topics {
 		t.confirmed = t.confirmed.Add(-d)
 	}
-	k.storeAnsweredAt = k.storeAnsweredAt.Add(-d)
-	for id, until := range k.lapsed {
-		k.lapsed[id] = until.Add(-d)
+	sy.storeAnsweredAt = sy.storeAnsweredAt.Add(-d)
+	for id, until := range sy.lapsed {
+		sy.lapsed[id] = until.Add(-d)
 	}
-	clear(k.pendingRequests)
-	k.rollouts.shift(d)
-	k.publishView()
-	k.Suspensions.Add(1)
-	k.Log.Warn().Dur("for", d).Msg("storesync: VM was suspended; no requests are served until the configuration is confirmed")
+	clear(sy.pendingRequests)
+	sy.rollouts.shift(d)
+	sy.publishView()
+	sy.Suspensions.Add(1)
+	sy.Log.Warn().Dur("for", d).Msg("storesync: VM was suspended; no requests are served until the configuration is confirmed")
 }
 
 // shift moves the start of orders and the clock of the store back by the time of a suspension.
--- a/daemon/storesync/starts.go
+++ b/daemon/storesync/starts.go
@@ -15,17 +15,17 @@
 
 // checkStart records the start time of a server. An entry with an earlier start than the latest
 // known one was written by another writer, and is rejected.
-func (k *Syncer) checkStart(s fleet.Server) error {
+func (sy *Syncer) checkStart(s fleet.Server) error {
 	if s.Born == 0 {
 		return nil
 	}
-	if latest := k.starts[s.ID]; s.Born < latest {
+	if latest := sy.starts[s.ID]; s.Born < latest {
 		return fmt.Errorf("the server has begun at %d, later than %d", latest, s.Born)
 	}
-	if len(k.starts) >= maxStarts {
-		clear(k.starts)
+	if len(sy.starts) >= maxStarts {
+		clear(sy.starts)
 	}
-	k.starts[s.ID] = s.Born
+	sy.starts[s.ID] = s.Born
 	return nil
 }
 
@@ -41,28 +41,28 @@
 
 // reportRestarts reports servers that have restarted under the same ID, as they were before:
 // the in-flight requests of this daemon there are lost.
-func (k *Syncer) reportRestarts(was *fleet.List, servers []*fleet.Server) {
-	if was == nil || k.OnServerRestart == nil {
+func (sy *Syncer) reportRestarts(was *fleet.List, servers []*fleet.Server) {
+	if was == nil || sy.OnServerRestart == nil {
 		return
 	}
-	before := map[string]*fleet.Server{}
+	previous := map[string]*fleet.Server{}
 	for _, s := range was.All() {
-		before[s.ID] = s
+		previous[s.ID] = s
 	}
 	for _, s := range servers {
-		old, ok := before[s.ID]
+		old, ok := previous[s.ID]
 		if !ok || old.Born == s.Born {
 			continue
 		}
-		k.reportRestart(old, s)
+		sy.reportRestart(old, s)
 	}
 }
 
 // reportRestart reports one restarted server.
-func (k *Syncer) reportRestart(was, is *fleet.Server) {
-	if k.OnServerRestart == nil {
+func (sy *Syncer) reportRestart(was, is *fleet.Server) {
+	if sy.OnServerRestart == nil {
 		return
 	}
-	k.Log.Info().Str("server", is.ID).Int64("born", is.Born).Bool("was_leaving", was.Leaving).Msg("storesync: server restarted under the same ID")
-	k.OnServerRestart(was)
+	sy.Log.Info().Str("server", is.ID).Int64("born", is.Born).Bool("was_leaving", was.Leaving).Msg("storesync: server restarted under the same ID")
+	sy.OnServerRestart(was)
 }
--- a/daemon/storesync/topic.go
+++ b/daemon/storesync/topic.go
@@ -69,9 +69,9 @@
 
 // takeDirty returns the keys of rows that have changed since its last call.
 func (t *topicState) takeDirty() map[string]bool {
-	fresh := t.dirty
+	dirty := t.dirty
 	t.dirty = map[string]bool{}
-	return fresh
+	return dirty
 }
 
 // replace sets all rows as of a version. It reports whether the version is newer than the known
@@ -171,35 +171,35 @@
 
 // changesSince returns the changes since the rows had a checksum, if they are known, and
 // whether all of them are so recent that the update with them may still be in transit.
-func (t *topicState) changesSince(sum uint64, now time.Time) (rows []gossip.Row, removed []string, known, onItsWay bool) {
-	at := slices.IndexFunc(t.history, func(c change) bool { return c.before == sum })
-	if at < 0 {
+func (t *topicState) changesSince(sum uint64, now time.Time) (rows []gossip.Row, removed []string, known, inTransit bool) {
+	i := slices.IndexFunc(t.history, func(c change) bool { return c.before == sum })
+	if i < 0 {
 		return nil, nil, false, false
 	}
 	seen := map[string]bool{}
-	for _, c := range t.history[at:] {
+	for _, c := range t.history[i:] {
 		for _, key := range c.keys {
 			if seen[key] {
 				continue
 			}
 			seen[key] = true
-			if row, there := t.rows[key]; there {
+			if row, exists := t.rows[key]; exists {
 				rows = append(rows, row)
 			} else {
 				removed = append(removed, key)
 			}
 		}
 	}
-	return rows, removed, true, now.Sub(t.history[at].at) < maxUpdateDelay
+	return rows, removed, true, now.Sub(t.history[i].at) < maxUpdateDelay
 }
 
 // apply applies the changes of an update if the result equals the rows of the sender.
-func (t *topicState) apply(k gossip.Update, confirmed, now time.Time) (gone []string, ok bool) {
-	if t.sum != k.Base || t.sumAfter(k.Rows, k.Removed) != k.Sum {
+func (t *topicState) apply(update gossip.Update, confirmed, now time.Time) (gone []string, ok bool) {
+	if t.sum != update.Base || t.sumAfter(update.Rows, update.Removed) != update.Sum {
 		return nil, false
 	}
-	gone = t.set(k.Rows, k.Removed, now)
-	t.version, t.known = revision.Latest(k.Version, t.version), true
+	gone = t.set(update.Rows, update.Removed, now)
+	t.version, t.known = revision.Latest(update.Version, t.version), true
 	t.confirm(confirmed)
 	return gone, true
 }
--- a/daemon/storesync/usage.go
+++ b/daemon/storesync/usage.go
@@ -28,29 +28,29 @@
 
 // unacknowledgedUsage returns the usage to send to the reader of the hall. A reader that has
 // restarted has no records and receives all.
-func (k *Syncer) unacknowledgedUsage(reader Member, nonce uint64, now time.Time) []usage.Record {
-	if k.Usage == nil {
+func (sy *Syncer) unacknowledgedUsage(reader Member, nonce uint64, now time.Time) []usage.Record {
+	if sy.Usage == nil {
 		return nil
 	}
-	return k.Usage.Unacknowledged(reader.ID+"@"+strconv.FormatUint(reader.Start, 10), nonce, now)
+	return sy.Usage.Unacknowledged(reader.ID+"@"+strconv.FormatUint(reader.Start, 10), nonce, now)
 }
 
 // mergeUsage merges the usage of another daemon.
-func (k *Syncer) mergeUsage(records []usage.Record) {
-	if k.Usage != nil {
-		k.Usage.Merge(records)
+func (sy *Syncer) mergeUsage(records []usage.Record) {
+	if sy.Usage != nil {
+		sy.Usage.Merge(records)
 	}
 }
 
 // sendUsage sends the usage from a reader to the other readers and to the daemon that reports.
-func (k *Syncer) sendUsage(now time.Time) {
-	if k.Usage == nil || !k.reading.Load() || now.Sub(k.usageSentAt) < usageInterval {
+func (sy *Syncer) sendUsage(now time.Time) {
+	if sy.Usage == nil || !sy.reading.Load() || now.Sub(sy.usageSentAt) < usageInterval {
 		return
 	}
-	k.usageSentAt = now
-	records, holder := k.Usage.Updates(now)
+	sy.usageSentAt = now
+	records, holder := sy.Usage.Updates(now)
 	if len(records) == 0 {
 		return
 	}
-	k.broadcastWith((*k.members.Load())[holder], gossip.Response{Usage: records})
+	sy.broadcastWith((*sy.members.Load())[holder], gossip.Response{Usage: records})
 }
