--- a/daemon/storesync/follow.go
+++ b/daemon/storesync/follow.go
@@ -14,8 +14,8 @@
 // Intervals of the calls to the store.
 const (
 	// holdDivisor gives the time for which the store holds a call about the configuration that
-	// has no changes to return, as a fraction of InForceWithin. The knowledge of a reader is
-	// then at most two calls old. A daemon that sees it become older still has time to read the
+	// has no changes to return, as a fraction of InForceWithin. The state of a reader is then
+	// at most two calls old. A daemon whose state becomes older still has time to read the
 	// store itself.
 	holdDivisor = 4
 	// defaultInForce replaces InForceWithin if the settings do not set it.
@@ -60,8 +60,8 @@
 // follower keeps one topic up to date from the store.
 type follower struct {
 	topic gossip.Topic
-	// pollWait is how long the store holds a call, gather how long changes are
-	// gathered after one.
+	// pollWait is how long the store holds a call, batchDelay the pause after an answer with
+	// changes.
 	pollWait   time.Duration
 	batchDelay time.Duration
 	// delay is the time between the start and the first call.
--- a/daemon/storesync/readers.go
+++ b/daemon/storesync/readers.go
@@ -17,13 +17,14 @@
 // While the store does not answer the readers, the daemons of a hall try it in turns as their
 // state becomes older: one, then one more, then two, four, and so on, so that all have tried
 // within allTurnsWithin, whatever their number. A daemon that gets an answer from the store
-// announces it to its hall and is sent requests at once.
+// announces it to its hall, and the others ask it at once.
 //
 // The configuration of a daemon is therefore at most 3.5 s old as long as the store serves one
 // daemon of its hall and the configuration must be in force within the default time. This is
-// the sum of maxUsableAge, 1.2 s, until it looks for another reader; 0.65 s by which the daemon
-// that tries the store may have learned of the failure later (a call and the batch delay after
-// it); allTurnsWithin, 1.25 s; and 0.4 s for two ticks, the call and the request that follows.
+// the sum of maxUsableAge, 1.2 s, until it looks for another reader; 0.65 s by which the state
+// of the daemon that tries the store may be newer, so that its turn comes later (a call and the
+// batch delay after it); allTurnsWithin, 1.25 s; and 0.4 s for two ticks, the call and the
+// request that follows.
 const (
 	// queryInterval is the time between two requests to the reader of the hall. The state of a
 	// daemon is older than that of the reader by up to this time.
@@ -50,8 +51,8 @@
 	// aloneTimeout is how long no daemon must have answered until this one reads the store by
 	// itself.
 	aloneTimeout = 2 * answerTimeout
-	// extraQueries is how many daemons more are asked at once when no reader is known.
-	extraQueries = 3
+	// queriesWithoutReader is how many daemons are asked at once while no reader is known to answer.
+	queriesWithoutReader = 3
 )
 
 // readers decides whether this daemon reads the store, and which daemons it asks otherwise. The
@@ -73,10 +74,10 @@
 	asked    map[string]time.Time
 	// answered are the daemons that have answered since they were last silent.
 	answered map[string]bool
-	// hadReader is set once a daemon has sent a recent enough state. heardAt is when any daemon
-	// last answered.
-	hadReader bool
-	heardAt   time.Time
+	// hadReader is set once a daemon has sent a recent enough state. lastAnswerAt is when any
+	// daemon last answered.
+	hadReader    bool
+	lastAnswerAt time.Time
 	// round rotates the daemons that are asked.
 	round int
 }
@@ -128,7 +129,7 @@
 // mayRead reports whether it is this daemon's turn to read the store, given the age of its
 // state.
 func (r *readers) mayRead(age time.Duration, now time.Time) bool {
-	if r.hadReader && now.Sub(r.heardAt) > aloneTimeout {
+	if r.hadReader && now.Sub(r.lastAnswerAt) > aloneTimeout {
 		return true
 	}
 	if m, ok := r.reader(); ok && r.answered[m.ID] {
@@ -206,14 +207,14 @@
 // different ones each time.
 func (r *readers) turnTakers(age time.Duration) map[string]bool {
 	var turn []string
-	limit := extraQueries + 1<<int(max(0, age-r.maxUsableAge)/r.turnInterval())
+	limit := queriesWithoutReader + 1<<int(max(0, age-r.maxUsableAge)/r.turnInterval())
 	for _, m := range r.preceding {
 		if !r.isSilent(m.ID) && len(turn) < limit {
 			turn = append(turn, m.ID)
 		}
 	}
 	out := map[string]bool{}
-	for range min(extraQueries, len(turn)) {
+	for range min(queriesWithoutReader, len(turn)) {
 		r.round++
 		out[turn[r.round%len(turn)]] = true
 	}
@@ -231,7 +232,7 @@
 // recordAnswer records an answer, the age of its state, and whether the sender cannot reach the
 // store. A state that such a sender has received from others is not recent enough for a hall.
 func (r *readers) recordAnswer(id string, age time.Duration, unreachable bool, now time.Time) {
-	r.heardAt = now
+	r.lastAnswerAt = now
 	delete(r.awaiting, id)
 	delete(r.silent, id)
 	r.answered[id] = true
--- a/daemon/storesync/syncer.go
+++ b/daemon/storesync/syncer.go
@@ -42,7 +42,7 @@
 // Sender sends messages to other daemons without blocking.
 type Sender interface {
 	Send(id, addr string, m any)
-	// SendAll sends one message to several daemons, by id and address.
+	// SendAll sends one message to several daemons, by ID and address.
 	SendAll(to map[string]string, m any)
 	// Forget closes the connections to a daemon.
 	Forget(id string)
