--- a/daemon/storesync/bench_test.go
+++ b/daemon/storesync/bench_test.go
@@ -9,8 +9,8 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-// fleetRows are entries of 10,000 servers.
-func fleetRows() []gossip.Row {
+// serverRows returns the rows of 10,000 servers.
+func serverRows() []gossip.Row {
 	rows := make([]gossip.Row, 10_000)
 	for i := range rows {
 		rows[i] = gossip.Row{Key: "i-" + strconv.Itoa(i), Data: []byte("v1@h" + strconv.Itoa(i%5)), Version: revision.New(1, uint64(i+1))}
@@ -18,12 +18,12 @@
 	return rows
 }
 
-// BenchmarkChangeOfOneServer is what a daemon does when one server of 10,000 has changed.
-func BenchmarkChangeOfOneServer(b *testing.B) {
-	rows := fleetRows()
-	for name, take := range map[string]func(*storesync.Table, gossip.Row){"read": (*storesync.Table).Change, "told": (*storesync.Table).Told} {
+// BenchmarkServerRowChange measures how a daemon applies a change of one server out of 10,000.
+func BenchmarkServerRowChange(b *testing.B) {
+	rows := serverRows()
+	for name, take := range map[string]func(*storesync.ServerList, gossip.Row){"read": (*storesync.ServerList).ApplyRow, "told": (*storesync.ServerList).ApplyUpdate} {
 		b.Run(name, func(b *testing.B) {
-			table := storesync.NewTable(decoder{}, rows)
+			table := storesync.NewServerList(decoder{}, rows)
 			version := uint64(len(rows))
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/daemon/storesync/draws_race_test.go
+++ b/daemon/storesync/draws_race_test.go
@@ -2,6 +2,7 @@
 
 package storesync_test
 
-// drawsEach is how many draws of who is served each bubble makes; with the race detector
-// each takes six times as long, so that the make file plays all of them without it.
-const drawsEach = 3
+// outagesPerBubble is how many random outages each bubble of
+// TestStoreThatServesSomeIsFoundWhoeverTheyAre plays. With the race detector each takes six
+// times as long, so the makefile runs the full number without it.
+const outagesPerBubble = 3
--- a/daemon/storesync/draws_test.go
+++ b/daemon/storesync/draws_test.go
@@ -2,5 +2,6 @@
 
 package storesync_test
 
-// drawsEach is how many draws of who is served each bubble makes: 1,000 in all.
-const drawsEach = 50
+// outagesPerBubble is how many random outages each bubble of
+// TestStoreThatServesSomeIsFoundWhoeverTheyAre plays: 1,000 in all.
+const outagesPerBubble = 50
--- a/daemon/storesync/era_test.go
+++ b/daemon/storesync/era_test.go
@@ -13,8 +13,8 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-// leaving reports whether a daemon knows that a server takes nothing new.
-func leaving(k *storesync.Syncer, id string) bool {
+// unusable reports whether a daemon sends a server no new requests, because it is leaving or not listed.
+func unusable(k *storesync.Syncer, id string) bool {
 	for _, s := range k.View().Servers.Service("s") {
 		if s.ID == id {
 			return !s.Open(time.Now())
@@ -23,20 +23,20 @@
 	return true
 }
 
-// drill has the store return from a copy of so long ago.
-func (s *system) drill(copied state, away time.Duration) {
+// restoreAfterOutage makes the store unreachable for a time and then restores it from a copy.
+func (s *cluster) restoreAfterOutage(copied storeCopy, away time.Duration) {
 	for _, l := range s.links {
 		l.fail(errDown)
 	}
-	pass(away)
-	s.rows.returns(copied)
+	advance(away)
+	s.store.restore(copied)
 	for _, l := range s.links {
 		l.fail(nil)
 	}
 }
 
-// numbers are the configurations in force.
-func numbers(daemons []*storesync.Syncer) []uint64 {
+// configNumbers returns the number of the configuration in force at each daemon.
+func configNumbers(daemons []*storesync.Syncer) []uint64 {
 	var out []uint64
 	for _, k := range daemons {
 		out = append(out, k.View().Map.Number)
@@ -44,29 +44,30 @@
 	return out
 }
 
-// What is written after a return has a lower version than what was known before it. It is in
-// force within two seconds all the same, and answers of the store keep daemons current.
-func TestChangesAfterAReturnFromACopyAreInForce(t *testing.T) {
+// Rows that are written after the store was restored from a copy have lower versions than those
+// that daemons knew before. They must be in force within two seconds, and answers of the
+// store must count as confirmations again.
+func TestChangesAfterARestoreAreInForce(t *testing.T) {
 	for _, away := range []time.Duration{0, 50 * time.Millisecond, 3 * time.Second} {
 		t.Run(away.String(), func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
-				s := newSystem(t)
-				s.config(1, "k")
+				s := newCluster(t)
+				s.writeConfig(1, "k")
 				for _, id := range []string{"a", "b", "c"} {
-					s.rows.set(gossip.Servers, id, "v1@h1#100")
+					s.store.set(gossip.Servers, id, "v1@h1#100")
 				}
-				daemons := halls(s, 1)
-				pass(4 * time.Second)
-				copied := s.rows.copied()
+				daemons := startTwoHalls(s, 1)
+				advance(4 * time.Second)
+				copied := s.store.copyState()
 				for n := range uint64(8) {
-					s.config(2+n, "k", "k2")
+					s.writeConfig(2+n, "k", "k2")
 				}
-				s.rows.set(gossip.Servers, "a", "v1@h1#100")
-				pass(3 * time.Second)
-				s.drill(copied, away)
-				s.config(20, "k3")
-				s.rows.set(gossip.Servers, "b", "v2@h1#200")
-				pass(2 * time.Second)
+				s.store.set(gossip.Servers, "a", "v1@h1#100")
+				advance(3 * time.Second)
+				s.restoreAfterOutage(copied, away)
+				s.writeConfig(20, "k3")
+				s.store.set(gossip.Servers, "b", "v2@h1#200")
+				advance(2 * time.Second)
 				for i, k := range daemons {
 					if n := k.View().Map.Number; n != 20 {
 						t.Errorf("daemon %d has configuration %d in force two seconds after 20 was written", i, n)
@@ -75,7 +76,7 @@
 						t.Errorf("daemon %d was last confirmed %v ago", i, age)
 					}
 					if born := k.View().Servers.Service("s")[1].Born; born != 200 {
-						t.Errorf("daemon %d knows the start %d of a server that has begun again", i, born)
+						t.Errorf("daemon %d has start time %d for a server that has restarted", i, born)
 					}
 				}
 			})
@@ -83,100 +84,101 @@
 	}
 }
 
-// What was acknowledged before the return is not in the copy. It holds until it is written
-// again: a configuration, a server that leaves or is gone, a hall that is emptied.
+// Changes that were acknowledged after the copy was made are missing from the restored store.
+// They stay in force until they are written again: a configuration, a server that is leaving or
+// removed, a drained hall.
 func TestWhatAReturnedStoreHasLostHolds(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k", "revoked")
+		s := newCluster(t)
+		s.writeConfig(1, "k", "revoked")
 		for _, id := range []string{"a", "gone", "leaves"} {
-			s.rows.set(gossip.Servers, id, "v1@h1#100")
+			s.store.set(gossip.Servers, id, "v1@h1#100")
 		}
-		s.rows.set(gossip.Servers, "there", "v1@h2#100")
-		s.decode = func(string) storesync.Decoder { return drainDecoder{} }
-		daemons := halls(s, 1)
-		pass(4 * time.Second)
-		copied := s.rows.copied()
-		s.config(5, "k")
-		s.rows.set(gossip.Servers, "leaves", "v1@h1#100!")
-		s.rows.set(gossip.Servers, "gone", "")
-		s.rows.set(gossip.Operator, "empty/h2", "{}")
-		s.rows.set(gossip.Servers, "new", "v1@h1#100")
-		pass(2 * time.Second)
-		s.drill(copied, 100*time.Millisecond)
+		s.store.set(gossip.Servers, "there", "v1@h2#100")
+		s.newDecoder = func(string) storesync.Decoder { return leavingDecoder{} }
+		daemons := startTwoHalls(s, 1)
+		advance(4 * time.Second)
+		copied := s.store.copyState()
+		s.writeConfig(5, "k")
+		s.store.set(gossip.Servers, "leaves", "v1@h1#100!")
+		s.store.set(gossip.Servers, "gone", "")
+		s.store.set(gossip.Operator, "empty/h2", "{}")
+		s.store.set(gossip.Servers, "new", "v1@h1#100")
+		advance(2 * time.Second)
+		s.restoreAfterOutage(copied, 100*time.Millisecond)
 		check := func(when string) {
 			for i, k := range daemons {
 				if n := k.View().Map.Number; n != 5 {
 					t.Errorf("%s: daemon %d went back to configuration %d", when, i, n)
 				}
-				if !leaving(k, "leaves") || !leaving(k, "gone") || leaving(k, "new") {
-					t.Errorf("%s: daemon %d: the leaving server %v, the one that is gone %v, the new one %v are out of use", when, i, leaving(k, "leaves"), leaving(k, "gone"), leaving(k, "new"))
+				if !unusable(k, "leaves") || !unusable(k, "gone") || unusable(k, "new") {
+					t.Errorf("%s: daemon %d: out of use: leaving server %v, removed server %v, new server %v", when, i, unusable(k, "leaves"), unusable(k, "gone"), unusable(k, "new"))
 				}
 				if k.View().Drained["h2"].IsZero() {
-					t.Errorf("%s: daemon %d uses a hall that is emptied", when, i)
+					t.Errorf("%s: daemon %d uses a drained hall", when, i)
 				}
 			}
 		}
 		for n := range 15 {
-			pass(100 * time.Millisecond)
-			check(fmt.Sprint(n*100, " ms after the return"))
+			advance(100 * time.Millisecond)
+			check(fmt.Sprint(n*100, " ms after the restore"))
 		}
-		s.config(5, "k")
-		s.rows.set(gossip.Operator, "empty/h2", "{}")
-		s.rows.set(gossip.Servers, "leaves", "v1@h1#100!")
-		s.rows.set(gossip.Servers, "gone", "")
-		s.rows.set(gossip.Servers, "new", "v1@h1#100")
-		pass(10 * time.Second)
-		check("after all is written again")
-		// What comes then is news.
-		s.rows.set(gossip.Servers, "leaves", "v1@h1#300")
-		s.rows.set(gossip.Operator, "empty/h2", "")
-		pass(2 * time.Second)
+		s.writeConfig(5, "k")
+		s.store.set(gossip.Operator, "empty/h2", "{}")
+		s.store.set(gossip.Servers, "leaves", "v1@h1#100!")
+		s.store.set(gossip.Servers, "gone", "")
+		s.store.set(gossip.Servers, "new", "v1@h1#100")
+		advance(10 * time.Second)
+		check("after all rows are written again")
+		// Later changes are in force as usual.
+		s.store.set(gossip.Servers, "leaves", "v1@h1#300")
+		s.store.set(gossip.Operator, "empty/h2", "")
+		advance(2 * time.Second)
 		for i, k := range daemons {
-			if leaving(k, "leaves") || !k.View().Drained["h2"].IsZero() {
-				t.Errorf("daemon %d holds what is over", i)
+			if unusable(k, "leaves") || !k.View().Drained["h2"].IsZero() {
+				t.Errorf("daemon %d keeps a server leaving or a hall drained after the end of that", i)
 			}
 		}
 	})
 }
 
-// A daemon that starts before all is written again reads the copy. Its hall tells it what the
-// others hold.
-func TestDaemonThatStartsAfterAReturnHearsWhatTheStoreHasLost(t *testing.T) {
+// A daemon that starts before all rows are written again reads the restored copy. The other daemons
+// of its hall send it the rows that the store has lost.
+func TestDaemonThatStartsAfterARestoreReceivesLostRows(t *testing.T) {
 	for _, after := range []time.Duration{0, 200 * time.Millisecond, time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
-				s := newSystem(t)
-				s.config(1, "k")
-				s.rows.set(gossip.Servers, "gone", "v1@h1#100")
-				s.rows.set(gossip.Servers, "leaves", "v1@h1#100")
-				s.decode = func(string) storesync.Decoder { return drainDecoder{} }
-				halls(s, 1)
-				pass(4 * time.Second)
-				copied := s.rows.copied()
-				s.config(5, "k")
-				s.rows.set(gossip.Servers, "leaves", "v1@h1#100!")
-				s.rows.set(gossip.Servers, "gone", "")
-				pass(2 * time.Second)
-				s.drill(copied, 100*time.Millisecond)
-				pass(after)
-				late := s.daemonIn("h1-late", "h1")
-				pass(contact)
-				if v := late.View(); v.Map.Number != 5 || !leaving(late, "leaves") || !leaving(late, "gone") {
-					t.Errorf("it has configuration %d in force; out of use are the leaving server %v, the one that is gone %v", v.Map.Number, leaving(late, "leaves"), leaving(late, "gone"))
+				s := newCluster(t)
+				s.writeConfig(1, "k")
+				s.store.set(gossip.Servers, "gone", "v1@h1#100")
+				s.store.set(gossip.Servers, "leaves", "v1@h1#100")
+				s.newDecoder = func(string) storesync.Decoder { return leavingDecoder{} }
+				startTwoHalls(s, 1)
+				advance(4 * time.Second)
+				copied := s.store.copyState()
+				s.writeConfig(5, "k")
+				s.store.set(gossip.Servers, "leaves", "v1@h1#100!")
+				s.store.set(gossip.Servers, "gone", "")
+				advance(2 * time.Second)
+				s.restoreAfterOutage(copied, 100*time.Millisecond)
+				advance(after)
+				late := s.startDaemonIn("h1-late", "h1")
+				advance(startupTime)
+				if v := late.View(); v.Map.Number != 5 || !unusable(late, "leaves") || !unusable(late, "gone") {
+					t.Errorf("configuration %d is in force; out of use: leaving server %v, removed server %v", v.Map.Number, unusable(late, "leaves"), unusable(late, "gone"))
 				}
 			})
 		})
 	}
 }
 
-// contact is how long a daemon must have run for the platform's bounds to hold for it.
-const contact = 3 * time.Second
+// startupTime is how long a daemon must have run before the deadlines of the platform apply to it.
+const startupTime = 3 * time.Second
 
-// drainDecoder reads servers with ! at the end as leaving.
-type drainDecoder struct{ decoder }
+// leavingDecoder reads servers whose row ends with ! as leaving.
+type leavingDecoder struct{ decoder }
 
-func (d drainDecoder) Server(row gossip.Row) (fleet.Server, error) {
+func (d leavingDecoder) Server(row gossip.Row) (fleet.Server, error) {
 	data, leaves := bytes.CutSuffix(row.Data, []byte("!"))
 	row.Data = data
 	s, err := d.decoder.Server(row)
@@ -184,161 +186,162 @@
 	return s, err
 }
 
-// A row that nobody writes again is gone after a while: the store is believed then.
-func TestRowsThatAReturnedStoreLacksAreGoneInTheEnd(t *testing.T) {
+// A row that is missing from the restored store, and that nobody writes again, is dropped after a while.
+func TestRowsMissingAfterARestoreAreDroppedInTheEnd(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
-		s.rows.set(gossip.Servers, "a", "v1#100")
-		daemons := []*storesync.Syncer{s.daemon("d"), s.daemon("e")}
-		pass(4 * time.Second)
-		copied := s.rows.copied()
-		s.rows.set(gossip.Servers, "b", "v1#100")
-		pass(2 * time.Second)
-		s.drill(copied, 0)
-		pass(time.Second)
+		s := newCluster(t)
+		s.writeConfig(1, "k")
+		s.store.set(gossip.Servers, "a", "v1#100")
+		daemons := []*storesync.Syncer{s.startDaemon("d"), s.startDaemon("e")}
+		advance(4 * time.Second)
+		copied := s.store.copyState()
+		s.store.set(gossip.Servers, "b", "v1#100")
+		advance(2 * time.Second)
+		s.restoreAfterOutage(copied, 0)
+		advance(time.Second)
 		for _, k := range daemons {
-			if got := servers(k); len(got) != 2 {
-				t.Errorf("just after the return %v are used", got)
+			if got := serverIDs(k); len(got) != 2 {
+				t.Errorf("just after the restore the servers in use are %v", got)
 			}
 		}
-		pass(7 * time.Second)
+		advance(7 * time.Second)
 		for _, k := range daemons {
-			if got := servers(k); len(got) != 1 {
-				t.Errorf("long after the return %v are used", got)
+			if got := serverIDs(k); len(got) != 1 {
+				t.Errorf("long after the restore the servers in use are %v", got)
 			}
 		}
 	})
 }
 
-// The state of a roll-out that the store has lost is nobody else's to write: the operator would
-// wait for it, or see an old one.
-func TestStateOfARolloutThatAReturnedStoreHasLostIsWrittenAgain(t *testing.T) {
+// Only daemons write the state of a roll-out. If they did not write a lost state again, the
+// operator would wait for it, or see an old one.
+func TestRolloutStateLostInARestoreIsWrittenAgain(t *testing.T) {
 	for name, before := range map[string]time.Duration{"running": 300 * time.Millisecond, "completed": 12 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
-				s, keepers := rollout(t, 30, 10)
-				copied := s.rows.copied()
+				s, syncers := startRollout(t, 30, 10)
+				copied := s.store.copyState()
 				if name == "running" {
-					s.rows.mu.Lock()
+					s.store.mu.Lock()
 					delete(copied.tables[gossip.Progress], "s")
-					s.rows.mu.Unlock()
+					s.store.mu.Unlock()
 				}
-				pass(before)
-				want := s.progress()
-				s.drill(copied, 100*time.Millisecond)
-				pass(3 * time.Second)
-				if got := s.progress(); got.State < want.State || got.Version != want.Version || got.SinceMS != want.SinceMS {
-					t.Errorf("the store has %+v, it had %+v", got, want)
+				advance(before)
+				want := s.storedProgress()
+				s.restoreAfterOutage(copied, 100*time.Millisecond)
+				advance(3 * time.Second)
+				if got := s.storedProgress(); got.State < want.State || got.Version != want.Version || got.SinceMS != want.SinceMS {
+					t.Errorf("the state in the store is %+v, it was %+v before the restore", got, want)
 				}
-				if name == "completed" && (!uses(keepers[0], lowest, "v2") || !uses(keepers[0], highest, "v2")) {
+				if name == "completed" && (!prefersVersion(syncers[0], lowestHash, "v2") || !prefersVersion(syncers[0], highestHash, "v2")) {
 					t.Error("a completed version is not used")
 				}
 				if name == "completed" && want.State != canary.Completed {
-					t.Errorf("the roll-out was %v before the drill", want.State)
+					t.Errorf("the roll-out was %v before the restore", want.State)
 				}
 			})
 		})
 	}
 }
 
-// An order that the operator has written again is the same order: it does not begin anew.
-func TestOrderThatIsWrittenAgainIsTheSame(t *testing.T) {
+// An order that the operator writes again after a restore is the same order: its roll-out does not restart.
+func TestOrderWrittenAgainDoesNotRestartTheRollout(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
-		s.rows.set(gossip.Servers, "old", "v1")
-		daemons := halls(s, 1)
-		pass(4 * time.Second)
-		copied := s.rows.copied()
-		s.config(2, "k")
+		s := newCluster(t)
+		s.writeConfig(1, "k")
+		s.store.set(gossip.Servers, "old", "v1")
+		daemons := startTwoHalls(s, 1)
+		advance(4 * time.Second)
+		copied := s.store.copyState()
+		s.writeConfig(2, "k")
 		order := `{"Version":"v2","Seconds":20}`
-		s.rows.set(gossip.Operator, "order/s", order)
-		pass(3 * time.Second)
-		before := s.progress()
-		s.drill(copied, 100*time.Millisecond)
-		s.rows.set(gossip.Operator, "order/s", order)
-		s.config(2, "k")
-		pass(4 * time.Second)
-		got := s.progress()
+		s.store.set(gossip.Operator, "order/s", order)
+		advance(3 * time.Second)
+		before := s.storedProgress()
+		s.restoreAfterOutage(copied, 100*time.Millisecond)
+		s.store.set(gossip.Operator, "order/s", order)
+		s.writeConfig(2, "k")
+		advance(4 * time.Second)
+		got := s.storedProgress()
 		if got.SinceMS != before.SinceMS || got.State != canary.Running {
-			t.Errorf("the state was %+v and is %+v", before, got)
+			t.Errorf("the state was %+v before the restore and is %+v", before, got)
 		}
-		for i, k := range append(daemons, s.daemonIn("late", "h1")) {
-			pass(time.Second)
+		for i, k := range append(daemons, s.startDaemonIn("late", "h1")) {
+			advance(time.Second)
 			if r, ok := k.View().Rollout("s"); !ok || !r.Started {
-				t.Errorf("daemon %d knows the order %v as %+v", i, ok, r)
+				t.Errorf("daemon %d: order known %v, roll-out %+v", i, ok, r)
 			}
 		}
 	})
 }
 
-// Daemons that started a moment before the drill are not in the copy's list of daemons.
-func TestDaemonsThatAReturnedStoreHasLostAreListedAgain(t *testing.T) {
+// Daemons that started shortly before the restore are missing from the copy's list of daemons.
+func TestDaemonsLostInARestoreAreListedAgain(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
-		s.rows.set(gossip.Servers, "a", "v1")
-		first := s.daemon("d")
-		pass(3 * time.Second)
-		copied := s.rows.copied()
-		second := s.daemon("e")
-		pass(3 * time.Second)
-		s.drill(copied, 100*time.Millisecond)
-		pass(8 * time.Second)
-		if s.rows.get(gossip.Members, "e") == "" || first.View().Daemons != 2 || second.View().Daemons != 2 {
-			t.Errorf("the daemons know %d and %d, the store has the second one: %v", first.View().Daemons, second.View().Daemons, s.rows.get(gossip.Members, "e") != "")
+		s := newCluster(t)
+		s.writeConfig(1, "k")
+		s.store.set(gossip.Servers, "a", "v1")
+		first := s.startDaemon("d")
+		advance(3 * time.Second)
+		copied := s.store.copyState()
+		second := s.startDaemon("e")
+		advance(3 * time.Second)
+		s.restoreAfterOutage(copied, 100*time.Millisecond)
+		advance(8 * time.Second)
+		if s.store.get(gossip.Members, "e") == "" || first.View().Daemons != 2 || second.View().Daemons != 2 {
+			t.Errorf("the daemons count %d and %d daemons; second one in the store: %v", first.View().Daemons, second.View().Daemons, s.store.get(gossip.Members, "e") != "")
 		}
 	})
 }
 
-// Whatever order drills, changes and cuts come in, and whoever hears of them first: a daemon
-// never goes back, and all know the latest of all within two seconds of the last.
-func TestNoOrderOfDrillsTakesADaemonBack(t *testing.T) {
+// Whatever the order of restores, changes and outages, and whichever daemon learns of them first:
+// no daemon goes back to an older configuration, and all have the latest one within two seconds
+// of the last change.
+func TestNoOrderOfRestoresTakesADaemonBack(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inBubble(t, func(t *testing.T) { playDrills(t, seed) })
+			inBubble(t, func(t *testing.T) { runRandomRestores(t, seed) })
 		})
 	}
 }
 
-func playDrills(t *testing.T, seed uint64) {
+func runRandomRestores(t *testing.T, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 3))
-	s := newSystem(t)
-	s.decode = func(string) storesync.Decoder { return drainDecoder{} }
-	s.config(1, "k")
-	s.rows.set(gossip.Servers, "a", "v1@h1#100")
-	daemons := halls(s, 1)
-	pass(4 * time.Second)
-	number, gone := uint64(1), false
+	s := newCluster(t)
+	s.newDecoder = func(string) storesync.Decoder { return leavingDecoder{} }
+	s.writeConfig(1, "k")
+	s.store.set(gossip.Servers, "a", "v1@h1#100")
+	daemons := startTwoHalls(s, 1)
+	advance(4 * time.Second)
+	number, left := uint64(1), false
 	highest := make([]uint64, len(daemons))
-	look := func() {
+	checkNoRollback := func() {
 		t.Helper()
-		for i, n := range numbers(daemons) {
+		for i, n := range configNumbers(daemons) {
 			if n < highest[i] {
 				t.Fatalf("daemon %d went back from configuration %d to %d", i, highest[i], n)
 			}
 			highest[i] = n
 		}
 	}
-	copied := s.rows.copied()
+	copied := s.store.copyState()
 	ids := []string{"h1-0-1", "h1-1-1", "h1-2-1", "h2-0-1", "h2-1-1", "h2-2-1"}
 	for range 30 {
 		switch random.IntN(6) {
 		case 0:
-			copied = s.rows.copied()
+			copied = s.store.copyState()
 		case 1:
-			s.rows.returns(copied)
-			// The operator and the servers write theirs again.
+			s.store.restore(copied)
+			// The operator and the servers write their rows again.
 			time.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
-			s.config(number, "k")
-			if gone {
-				s.rows.set(gossip.Servers, "a", "v1@h1#100!")
+			s.writeConfig(number, "k")
+			if left {
+				s.store.set(gossip.Servers, "a", "v1@h1#100!")
 			}
 		case 2, 3:
 			number += 1 + random.Uint64N(3)
-			s.config(number, "k")
+			s.writeConfig(number, "k")
 		case 4:
 			s.links[ids[random.IntN(len(ids))]].fail(errDown)
 		case 5:
@@ -347,25 +350,25 @@
 			}
 		}
 		if random.IntN(12) == 0 {
-			gone = true
-			s.rows.set(gossip.Servers, "a", "v1@h1#100!")
+			left = true
+			s.store.set(gossip.Servers, "a", "v1@h1#100!")
 		}
 		time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
-		look()
+		checkNoRollback()
 	}
 	for _, l := range s.links {
 		l.fail(nil)
 	}
 	number++
-	s.config(number, "k")
-	pass(2 * time.Second)
-	look()
+	s.writeConfig(number, "k")
+	advance(2 * time.Second)
+	checkNoRollback()
 	for i, k := range daemons {
 		if n := k.View().Map.Number; n != number {
 			t.Errorf("daemon %d has configuration %d in force, %d was written two seconds ago", i, n, number)
 		}
-		if gone != leaving(k, "a") {
-			t.Errorf("daemon %d: the server leaves %v, known %v", i, gone, leaving(k, "a"))
+		if left != unusable(k, "a") {
+			t.Errorf("daemon %d: server leaving is %v, out of use is %v", i, left, unusable(k, "a"))
 		}
 	}
 }
--- a/daemon/storesync/evidence_test.go
+++ b/daemon/storesync/evidence_test.go
@@ -8,96 +8,95 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-// Daemons that stop in turn took with them what they had seen of a version: two seconds later
-// it counted for nothing, and a bad version went on with the evidence that others had. A reader
-// that had just started judged a good one by its own twelve answers.
-//
-//	13.868 "age":8200,"seen":"... of 86 answers"   21.909 "age":16200,"seen":"... of 59 answers"
-//	22.212 "the version is bad" "age":16500,"doubt_for":0,"why":"not known to be good: slower than the old version in 0.66 of pairs (sd 0.10 ...) of 12 answers"
-func TestWhatADaemonHasSeenOutlivesIt(t *testing.T) {
+// The evidence about a version that a daemon collected must count after the daemon stops. When
+// daemons stopped in turn, their evidence was dropped two seconds later (86 answers became 59 in
+// eight seconds): a faulty version went on although others had evidence against it. A
+// reader that had just started rejected a good version on its own twelve answers (slower than the
+// old version in 0.66 of pairs, standard deviation 0.10).
+func TestEvidenceOfADaemonOutlivesIt(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := rollout(t, 3, 90)
+		s, syncers := startRollout(t, 3, 90)
 		var first, second int
-		for i, k := range keepers {
+		for i, k := range syncers {
 			if !k.ReadsStore() {
 				first, second = second, i
 			}
 		}
-		// Two failures are not enough to condemn a version, four are.
-		fail(keepers[second], 2)
-		pass(2 * time.Second)
-		s.stops[second]()
-		pass(5 * time.Second)
-		if p := s.progress(); p.State != canary.Running {
+		// Two failures are too few to reject a version, four are enough.
+		observeFailures(syncers[second], 2)
+		advance(2 * time.Second)
+		s.cancels[second]()
+		advance(5 * time.Second)
+		if p := s.storedProgress(); p.State != canary.Running {
 			t.Fatalf("two failures: the state is %v", p.State)
 		}
-		fail(keepers[first], 2)
-		pass(3 * time.Second)
-		if p := s.progress(); p.State != canary.RolledBack {
-			t.Errorf("two failures at a daemon that is gone, and two more: the state is %v", p.State)
+		observeFailures(syncers[first], 2)
+		advance(3 * time.Second)
+		if p := s.storedProgress(); p.State != canary.RolledBack {
+			t.Errorf("two failures at a daemon that has stopped, and two more: the state is %v", p.State)
 		}
 	})
 }
 
-// A hall's new reader knows less than the one before it. What that one has told other halls
-// counts until the new one has more to tell.
-func TestWhatAHallHasSeenOutlivesItsReader(t *testing.T) {
+// The new reader of a hall has less evidence than the one before it. What the old one sent to
+// other halls counts until the new one has more.
+func TestEvidenceOfAHallOutlivesItsReader(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
-		s.rows.set("servers", "old", "v1")
-		a := s.daemonIn("a", "h1")
-		b := s.daemonIn("b", "h1")
-		other := s.daemonIn("c", "h2")
-		pass(12 * time.Second)
-		s.rows.set("servers", "new", "v2")
-		s.rows.set("operator", "order/s", `{"Version":"v2","Seconds":90}`)
-		pass(time.Second)
+		s := newCluster(t)
+		s.writeConfig(1, "k")
+		s.store.set("servers", "old", "v1")
+		a := s.startDaemonIn("a", "h1")
+		b := s.startDaemonIn("b", "h1")
+		other := s.startDaemonIn("c", "h2")
+		advance(12 * time.Second)
+		s.store.set("servers", "new", "v2")
+		s.store.set("operator", "order/s", `{"Version":"v2","Seconds":90}`)
+		advance(time.Second)
 		reader, left := a, b
 		if b.ReadsStore() {
 			reader, left = b, a
 		}
-		fail(reader, 2)
-		pass(2 * time.Second)
+		observeFailures(reader, 2)
+		advance(2 * time.Second)
 		for i, k := range []*storesync.Syncer{a, b} {
 			if k == reader {
-				s.stops[i]()
+				s.cancels[i]()
 			}
 		}
-		pass(10 * time.Second)
+		advance(10 * time.Second)
 		if !left.ReadsStore() {
-			t.Fatal("nobody reads for the hall")
+			t.Fatal("no daemon reads the store for the hall")
 		}
-		fail(other, 2)
-		pass(3 * time.Second)
-		if p := s.progress(); p.State != canary.RolledBack {
-			t.Errorf("two failures told by a reader that is gone, and two more in another hall: the state is %v", p.State)
+		observeFailures(other, 2)
+		advance(3 * time.Second)
+		if p := s.storedProgress(); p.State != canary.RolledBack {
+			t.Errorf("two failures sent by a reader that has stopped, and two more in another hall: the state is %v", p.State)
 		}
 	})
 }
 
-// A doubt counts once it has stood while all daemons told what they had seen: one that comes
-// and goes with a few answers takes no version back, however much of its time has gone.
-func TestDoubtOfAMomentTakesNoVersionBack(t *testing.T) {
+// A suspicion counts once it has lasted while all daemons reported their evidence: one that comes
+// and goes with a few answers rolls no version back, however late in the roll-out.
+func TestBriefSuspicionDoesNotRollBack(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := rollout(t, 3, 40)
-		see := func(n int, factor float64) {
+		s, syncers := startRollout(t, 3, 40)
+		observeBoth := func(n int, factor float64) {
 			for i := range n {
-				k, usual := keepers[i%len(keepers)], usualTime(i)
+				k, usual := syncers[i%len(syncers)], typicalRatio(i)
 				k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
 				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: factor * usual, Server: "new"})
 			}
 		}
-		see(60, 1)
-		pass(27 * time.Second)
-		see(180, 1.7)
-		pass(1300 * time.Millisecond)
-		if p := s.progress(); p.State != canary.Running {
-			t.Errorf("after a doubt of a moment the state is %v", p.State)
+		observeBoth(60, 1)
+		advance(27 * time.Second)
+		observeBoth(180, 1.7)
+		advance(1300 * time.Millisecond)
+		if p := s.storedProgress(); p.State != canary.Running {
+			t.Errorf("after a brief suspicion the state is %v", p.State)
 		}
-		pass(2 * time.Second)
-		if p := s.progress(); p.State != canary.RolledBack {
-			t.Errorf("after a doubt that stands the state is %v", p.State)
+		advance(2 * time.Second)
+		if p := s.storedProgress(); p.State != canary.RolledBack {
+			t.Errorf("after a lasting suspicion the state is %v", p.State)
 		}
 	})
 }
--- a/daemon/storesync/export_test.go
+++ b/daemon/storesync/export_test.go
@@ -7,31 +7,31 @@
 	"ladderridge.example/core/revision"
 )
 
-// Table is the state of the servers' topic, for benchmarks.
-type Table struct{ keeper *Syncer }
+// ServerList is the state of the servers topic, for benchmarks.
+type ServerList struct{ syncer *Syncer }
 
-// NewTable returns a table with rows.
-func NewTable(d Decoder, rows []gossip.Row) *Table {
+// NewServerList returns a list of servers with the given rows.
+func NewServerList(d Decoder, rows []gossip.Row) *ServerList {
 	k := New()
 	k.Decoder = d
 	k.topics[gossip.Servers].replace(rows, revision.New(1, 1), time.Now(), time.Now())
 	k.readServers(time.Now())
-	return &Table{keeper: k}
+	return &ServerList{syncer: k}
 }
 
-// Change takes one changed row from the store.
-func (t *Table) Change(row gossip.Row) {
+// ApplyRow applies one changed row read from the store.
+func (t *ServerList) ApplyRow(row gossip.Row) {
 	now := time.Now()
-	t.keeper.topics[gossip.Servers].applyPage(Page{Rows: []gossip.Row{row}, Version: row.Version}, now, now)
-	t.keeper.applyServerChanges(now)
+	t.syncer.topics[gossip.Servers].applyPage(Page{Rows: []gossip.Row{row}, Version: row.Version}, now, now)
+	t.syncer.applyServerChanges(now)
 }
 
-// Told takes one changed row from another daemon.
-func (t *Table) Told(row gossip.Row) {
+// ApplyUpdate applies one changed row received from another daemon.
+func (t *ServerList) ApplyUpdate(row gossip.Row) {
 	now := time.Now()
-	topic := t.keeper.topics[gossip.Servers]
+	topic := t.syncer.topics[gossip.Servers]
 	old := topic.rows[row.Key]
 	sum := topic.sum - gossip.Sum([]gossip.Row{old}) + gossip.Sum([]gossip.Row{row})
 	topic.apply(gossip.Update{Topic: gossip.Servers, Version: row.Version, Sum: sum, Base: topic.sum, Rows: []gossip.Row{row}}, now, now)
-	t.keeper.applyServerChanges(now)
+	t.syncer.applyServerChanges(now)
 }
--- a/daemon/storesync/halls_test.go
+++ b/daemon/storesync/halls_test.go
@@ -11,7 +11,7 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-// usedHalls are the halls to which a daemon would send requests.
+// usedHalls returns the halls to which a daemon would send requests.
 func usedHalls(k *storesync.Syncer) map[string]bool {
 	out := map[string]bool{}
 	for i := range uint64(50) {
@@ -22,106 +22,106 @@
 	return out
 }
 
-// inTwoHalls is a system with servers in the halls "a" and "b" and daemons in "a".
-func inTwoHalls(t *testing.T, daemons int) (*system, []*storesync.Syncer) {
+// newTwoHallCluster starts daemons in the hall "a", with servers in the halls "a" and "b".
+func newTwoHallCluster(t *testing.T, daemons int) (*cluster, []*storesync.Syncer) {
 	t.Helper()
-	s := newSystem(t)
-	s.config(1, "k")
+	s := newCluster(t)
+	s.writeConfig(1, "k")
 	for _, hall := range []string{"a", "b"} {
 		for i := range 3 {
-			s.rows.set(gossip.Servers, fmt.Sprintf("%s%d", hall, i), "v1@"+hall)
+			s.store.set(gossip.Servers, fmt.Sprintf("%s%d", hall, i), "v1@"+hall)
 		}
 	}
-	var keepers []*storesync.Syncer
+	var syncers []*storesync.Syncer
 	for i := range daemons {
-		keepers = append(keepers, s.daemonIn(fmt.Sprintf("d%d", i), "a"))
+		syncers = append(syncers, s.startDaemonIn(fmt.Sprintf("d%d", i), "a"))
 	}
-	pass(12 * time.Second)
-	return s, keepers
+	advance(12 * time.Second)
+	return s, syncers
 }
 
-// An emptied hall gets nothing from any daemon within a second, those that the store
-// turns away and one that starts meanwhile among them, until it is taken back; another
-// one may be emptied at the same time.
-func TestEmptiedHallGetsNothingUntilItIsTakenBack(t *testing.T) {
+// Within a second, no daemon sends requests to a drained hall, including daemons that the store
+// rejects and one that starts meanwhile. This lasts until the hall is no longer drained; another hall
+// may be drained at the same time.
+func TestDrainedHallGetsNoRequests(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := inTwoHalls(t, 6)
+		s, syncers := newTwoHallCluster(t, 6)
 		for _, id := range []string{"d1", "d3", "d5"} {
-			s.turnAway(id, id == "d3")
-		}
-		pass(4 * time.Second)
-		s.rows.set(gossip.Operator, "empty/b", "{}")
-		pass(time.Second)
-		keepers = append(keepers, s.daemonIn("late", "a"))
-		pass(time.Second)
-		for i, k := range keepers {
+			s.disconnectStore(id, id == "d3")
+		}
+		advance(4 * time.Second)
+		s.store.set(gossip.Operator, "empty/b", "{}")
+		advance(time.Second)
+		syncers = append(syncers, s.startDaemonIn("late", "a"))
+		advance(time.Second)
+		for i, k := range syncers {
 			if used := usedHalls(k); used["b"] || !used["a"] {
 				t.Errorf("daemon %d uses the halls %v", i, used)
 			}
 			if age := time.Since(k.View().Drained["b"]); age > 2*time.Second {
-				t.Errorf("daemon %d knows it for %v", i, age)
+				t.Errorf("daemon %d: the hall is drained since %v ago", i, age)
 			}
 		}
-		s.rows.set(gossip.Operator, "empty/a", "{}")
-		pass(time.Second)
-		for i, k := range keepers {
+		s.store.set(gossip.Operator, "empty/a", "{}")
+		advance(time.Second)
+		for i, k := range syncers {
 			if used := usedHalls(k); len(used) > 0 {
-				t.Errorf("with both emptied daemon %d uses %v", i, used)
+				t.Errorf("with both halls drained daemon %d uses %v", i, used)
 			}
 		}
-		s.rows.set(gossip.Operator, "empty/b", "")
-		pass(time.Second)
-		for i, k := range keepers {
+		s.store.set(gossip.Operator, "empty/b", "")
+		advance(time.Second)
+		for i, k := range syncers {
 			if used := usedHalls(k); used["a"] || !used["b"] {
-				t.Errorf("with one taken back daemon %d uses %v", i, used)
+				t.Errorf("with one hall no longer drained daemon %d uses %v", i, used)
 			}
 		}
 	})
 }
 
-// A daemon that was cut off knows of an emptied hall within a second of its return, and
-// a list of servers that changes meanwhile does not bring the hall back.
-func TestEmptiedHallIsKnownAfterACut(t *testing.T) {
+// A daemon that was cut off learns of a drained hall within a second of its reconnection, and a
+// change of the list of servers meanwhile does not bring the hall back into use.
+func TestDrainedHallIsKnownAfterAnOutage(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := inTwoHalls(t, 3)
-		s.mesh.mu.Lock()
-		s.mesh.holding["d0"] = true
-		s.mesh.mu.Unlock()
-		s.turnAway("d0", true)
-		s.rows.set(gossip.Operator, "empty/b", "{}")
-		pass(6 * time.Second)
-		if !usedHalls(keepers[0])["b"] {
-			t.Fatal("the daemon that is cut off is not")
-		}
-		s.mesh.mu.Lock()
-		s.mesh.holding["d0"], s.mesh.held["d0"] = false, nil
-		s.mesh.mu.Unlock()
-		s.takeBack("d0")
-		pass(1500 * time.Millisecond)
-		s.rows.set(gossip.Servers, "b9", "v1@b")
-		pass(time.Second)
-		for i, k := range keepers {
+		s, syncers := newTwoHallCluster(t, 3)
+		s.network.mu.Lock()
+		s.network.delaying["d0"] = true
+		s.network.mu.Unlock()
+		s.disconnectStore("d0", true)
+		s.store.set(gossip.Operator, "empty/b", "{}")
+		advance(6 * time.Second)
+		if !usedHalls(syncers[0])["b"] {
+			t.Fatal("the daemon that should be cut off learned of the drained hall")
+		}
+		s.network.mu.Lock()
+		s.network.delaying["d0"], s.network.delayed["d0"] = false, nil
+		s.network.mu.Unlock()
+		s.reconnectStore("d0")
+		advance(1500 * time.Millisecond)
+		s.store.set(gossip.Servers, "b9", "v1@b")
+		advance(time.Second)
+		for i, k := range syncers {
 			if usedHalls(k)["b"] {
-				t.Errorf("daemon %d uses the emptied hall", i)
+				t.Errorf("daemon %d uses the drained hall", i)
 			}
 		}
 	})
 }
 
-// coldConfig puts a configuration into the store in which servers are cold for three
-// seconds after their start.
-func (s *system) coldConfig(number uint64) {
+// writeColdConfig writes a configuration in which servers count as cold for three seconds after
+// their start.
+func (s *cluster) writeColdConfig(number uint64) {
 	data, err := json.Marshal(configRow{Number: number, Keys: []string{"k"}, Cold: 3})
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.rows.set(gossip.Operator, "config", string(data))
+	s.store.set(gossip.Operator, "config", string(data))
 }
 
-// shares adds up what all daemons may send to a cold server in a second, and counts
-// those that take it for cold.
-func shares(keepers []*storesync.Syncer, id string) (sum, cold int) {
-	for _, k := range keepers {
+// coldShares sums the requests per second that all daemons may send to a cold server, and counts the
+// daemons that consider it cold.
+func coldShares(syncers []*storesync.Syncer, id string) (sum, cold int) {
+	for _, k := range syncers {
 		s := server(k, id)
 		if s == nil {
 			continue
@@ -133,52 +133,52 @@
 	return sum, cold
 }
 
-// The servers of a hall that is taken back count as cold, and so do those that say so
-// themselves; all daemons' shares together are what such a server bears.
-func TestServersThatReturnAreCold(t *testing.T) {
+// The servers of a hall that is no longer drained count as cold, and so do servers that report it
+// themselves. The shares of all daemons together do not exceed the capacity of such a server.
+func TestServersOfAHallNoLongerDrainedAreCold(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		const bears = 24
-		s, keepers := inTwoHalls(t, 40)
-		s.coldConfig(2)
-		s.rows.set(gossip.Operator, "empty/b", "{}")
-		pass(2 * time.Second)
-		s.rows.set(gossip.Operator, "empty/b", "")
-		s.rows.set(gossip.Servers, "a9", "v1@a@2500ms")
-		pass(700 * time.Millisecond)
+		const capacity = 24
+		s, syncers := newTwoHallCluster(t, 40)
+		s.writeColdConfig(2)
+		s.store.set(gossip.Operator, "empty/b", "{}")
+		advance(2 * time.Second)
+		s.store.set(gossip.Operator, "empty/b", "")
+		s.store.set(gossip.Servers, "a9", "v1@a@2500ms")
+		advance(700 * time.Millisecond)
 		for _, id := range []string{"b0", "b1", "a9"} {
-			if sum, cold := shares(keepers, id); cold != len(keepers) || sum > bears || sum < bears/2 {
-				t.Errorf("%d daemons take %s for cold and may send %d", cold, id, sum)
+			if sum, cold := coldShares(syncers, id); cold != len(syncers) || sum > capacity || sum < capacity/2 {
+				t.Errorf("%d daemons consider %s cold and may send %d requests/s", cold, id, sum)
 			}
 		}
-		if _, cold := shares(keepers, "a0"); cold != 0 {
-			t.Errorf("%d daemons take a server for cold that never was", cold)
+		if _, cold := coldShares(syncers, "a0"); cold != 0 {
+			t.Errorf("%d daemons consider a server cold that never was", cold)
 		}
-		// It goes cold again and says so.
-		pass(5 * time.Second)
-		if _, cold := shares(keepers, "a9"); cold != 0 {
-			t.Errorf("%d daemons still take it for cold", cold)
+		// The server becomes cold again and reports it.
+		advance(5 * time.Second)
+		if _, cold := coldShares(syncers, "a9"); cold != 0 {
+			t.Errorf("%d daemons still consider the server cold", cold)
 		}
-		s.rows.set(gossip.Servers, "a9", "v1@a@1s")
-		pass(700 * time.Millisecond)
-		if sum, cold := shares(keepers, "a9"); cold != len(keepers) || sum > bears {
-			t.Errorf("%d daemons take it for cold again and may send %d", cold, sum)
+		s.store.set(gossip.Servers, "a9", "v1@a@1s")
+		advance(700 * time.Millisecond)
+		if sum, cold := coldShares(syncers, "a9"); cold != len(syncers) || sum > capacity {
+			t.Errorf("%d daemons consider the server cold again and may send %d requests/s", cold, sum)
 		}
 	})
 }
 
-// A server that says that it is cold for a day is cold for as long as can be meant.
-func TestColdForADayIsNotBelieved(t *testing.T) {
+// A server that reports to be cold for a day counts as cold for the longest plausible time only.
+func TestReportedColdTimeIsBounded(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := inTwoHalls(t, 2)
-		s.coldConfig(2)
-		s.rows.set(gossip.Servers, "a9", "v1@a@24h")
-		pass(time.Second)
-		if _, cold := shares(keepers, "a9"); cold != 2 {
-			t.Fatal("it does not count as cold at all")
-		}
-		pass(11 * time.Minute)
-		if _, cold := shares(keepers, "a9"); cold != 0 {
-			t.Error("it is cold for a day")
+		s, syncers := newTwoHallCluster(t, 2)
+		s.writeColdConfig(2)
+		s.store.set(gossip.Servers, "a9", "v1@a@24h")
+		advance(time.Second)
+		if _, cold := coldShares(syncers, "a9"); cold != 2 {
+			t.Fatal("the server does not count as cold at all")
+		}
+		advance(11 * time.Minute)
+		if _, cold := coldShares(syncers, "a9"); cold != 0 {
+			t.Error("the server still counts as cold after eleven minutes")
 		}
 	})
 }
--- a/daemon/storesync/harness_test.go
+++ b/daemon/storesync/harness_test.go
@@ -26,19 +26,19 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-// rows is a store in memory with faults. All keepers of a test share it.
-type rows struct {
+// fakeStore is an in-memory store with fault injection, shared by all daemons of a test.
+type fakeStore struct {
 	mu      sync.Mutex
 	version uint64
-	// era counts the returns from a copy.
-	era     uint64
-	tables  map[gossip.Topic]map[string]gossip.Row
-	removed []removal
-	changed chan struct{}
-	began   time.Time
-	// forgotten is the version up to which the history is gone.
-	forgotten uint64
-	reads     int
+	// era counts how often the store was restored from a copy.
+	era       uint64
+	tables    map[gossip.Topic]map[string]gossip.Row
+	removed   []removal
+	changed   chan struct{}
+	startedAt time.Time
+	// historyLostTo is the version up to which the change history is discarded.
+	historyLostTo uint64
+	reads         int
 }
 
 type removal struct {
@@ -47,18 +47,18 @@
 	version uint64
 }
 
-func newRows() *rows {
-	return &rows{era: 1, tables: map[gossip.Topic]map[string]gossip.Row{}, changed: make(chan struct{}), began: time.Now()}
+func newFakeStore() *fakeStore {
+	return &fakeStore{era: 1, tables: map[gossip.Topic]map[string]gossip.Row{}, changed: make(chan struct{}), startedAt: time.Now()}
 }
 
 // set writes a row, or removes it if data is empty.
-func (s *rows) set(topic gossip.Topic, key, data string) {
+func (s *fakeStore) set(topic gossip.Topic, key, data string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(topic, key, data)
 }
 
-func (s *rows) put(topic gossip.Topic, key, data string) {
+func (s *fakeStore) put(topic gossip.Topic, key, data string) {
 	s.version++
 	if s.tables[topic] == nil {
 		s.tables[topic] = map[string]gossip.Row{}
@@ -73,24 +73,24 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *rows) get(topic gossip.Topic, key string) string {
+func (s *fakeStore) get(topic gossip.Topic, key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return string(s.tables[topic][key].Data)
 }
 
-// since returns what has changed after a version.
-func (s *rows) since(topic gossip.Topic, after uint64) storesync.Page {
-	p := storesync.Page{Version: revision.New(s.era, s.version), ClockMS: 1000 + uint64(time.Since(s.began).Milliseconds())}
+// since returns the changes after a version.
+func (s *fakeStore) since(topic gossip.Topic, after uint64) storesync.Page {
+	p := storesync.Page{Version: revision.New(s.era, s.version), ClockMS: 1000 + uint64(time.Since(s.startedAt).Milliseconds())}
 	for _, row := range s.tables[topic] {
 		if row.Version.Number > after {
-			// The store knows rows by number alone.
+			// The store compares rows by version number alone, without the era.
 			row.Version.Era = s.era
 			p.Rows = append(p.Rows, row)
 		}
 	}
 	for _, r := range s.removed {
-		// What was set again is there: the last change of a key stands.
+		// A row that was written again is not removed: the last change of a key counts.
 		if _, back := s.tables[topic][r.key]; r.topic == topic && r.version > after && !back {
 			p.Removed = append(p.Removed, r.key)
 		}
@@ -98,26 +98,26 @@
 	return p
 }
 
-// state is a copy of the rows at a moment.
-type state struct {
+// storeCopy is a backup of the rows at one moment.
+type storeCopy struct {
 	version uint64
 	tables  map[gossip.Topic]map[string]gossip.Row
 	removed []removal
 }
 
-// copied returns the rows as they are.
-func (s *rows) copied() state {
+// copyState returns a backup of the current rows.
+func (s *fakeStore) copyState() storeCopy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := state{version: s.version, tables: map[gossip.Topic]map[string]gossip.Row{}, removed: slices.Clone(s.removed)}
+	out := storeCopy{version: s.version, tables: map[gossip.Topic]map[string]gossip.Row{}, removed: slices.Clone(s.removed)}
 	for topic, of := range s.tables {
 		out.tables[topic] = maps.Clone(of)
 	}
 	return out
 }
 
-// returns has the store come back from a copy.
-func (s *rows) returns(from state) {
+// restore replaces the rows by those of a copy and begins a new era.
+func (s *fakeStore) restore(from storeCopy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era++
@@ -129,20 +129,19 @@
 	s.changed = make(chan struct{})
 }
 
-// link is one daemon's way to the store, which may be cut.
+// link is the connection of one daemon to the store, with fault injection.
 type link struct {
-	*rows
+	*fakeStore
 	mu sync.Mutex
-	// down is the error of all calls, hold what is added to the time of a
-	// read's answer.
-	down error
-	hold time.Duration
-	// silent answers no call.
-	silent bool
-	// loseWrites does writes and loses their answers.
+	// down is the error of all calls, answerDelay the delay before the answer to a read.
+	down        error
+	answerDelay time.Duration
+	// unresponsive leaves calls unanswered.
+	unresponsive bool
+	// loseWrites applies writes, but returns an error for them.
 	loseWrites bool
-	// stood is how long the daemon's VM has stood still, in nanoseconds.
-	stood atomic.Int64
+	// suspended is how long the daemon's VM has been suspended, in nanoseconds.
+	suspended atomic.Int64
 }
 
 func (l *link) fail(err error) {
@@ -151,46 +150,46 @@
 	l.down = err
 }
 
-// silence begins or ends that no call is answered; one that waits is not either.
-func (l *link) silence(on bool) {
+// setUnresponsive sets whether calls stay unanswered, including those under way.
+func (l *link) setUnresponsive(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent = on
+	l.unresponsive = on
 }
 
-func (l *link) isSilent() bool {
+func (l *link) isUnresponsive() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.silent
+	return l.unresponsive
 }
 
-// swallow waits until the caller gives up.
-func swallow(ctx context.Context) error {
+// waitForCancel blocks until the caller gives up.
+func waitForCancel(ctx context.Context) error {
 	<-ctx.Done()
 	return &storesync.Error{Op: "call", Kind: storesync.Unavailable, Err: ctx.Err()}
 }
 
-func (l *link) state() (error, time.Duration, bool) { //nolint:revive,staticcheck // The error is a state here.
+func (l *link) faults() (error, time.Duration, bool) { //nolint:revive,staticcheck // The error is an injected fault.
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.down, l.hold, l.loseWrites
+	return l.down, l.answerDelay, l.loseWrites
 }
 
 var errDown = &storesync.Error{Op: "call", Kind: storesync.Unavailable, Err: errors.New("down")}
 
 func (l *link) Read(ctx context.Context, topic gossip.Topic) (storesync.Page, error) {
-	if l.isSilent() {
-		return storesync.Page{}, swallow(ctx)
+	if l.isUnresponsive() {
+		return storesync.Page{}, waitForCancel(ctx)
 	}
-	down, hold, _ := l.state()
+	down, hold, _ := l.faults()
 	if down != nil {
 		return storesync.Page{}, down
 	}
-	l.rows.mu.Lock()
+	l.fakeStore.mu.Lock()
 	l.reads++
 	p := l.since(topic, 0)
 	p.Removed = nil
-	l.rows.mu.Unlock()
+	l.fakeStore.mu.Unlock()
 	time.Sleep(hold)
 	return p, nil
 }
@@ -198,16 +197,16 @@
 func (l *link) Follow(ctx context.Context, topic gossip.Topic, after revision.Revision, wait time.Duration) (storesync.Page, error) {
 	timeout := clock.After(wait)
 	for {
-		down, hold, _ := l.state()
+		down, hold, _ := l.faults()
 		if down != nil {
 			return storesync.Page{}, down
 		}
-		l.rows.mu.Lock()
+		l.fakeStore.mu.Lock()
 		p, changed := l.since(topic, after.Number), l.changed
-		lost, other := after.Number < l.forgotten, after.Era != l.era
-		l.rows.mu.Unlock()
-		if l.isSilent() {
-			return storesync.Page{}, swallow(ctx)
+		lost, other := after.Number < l.historyLostTo, after.Era != l.era
+		l.fakeStore.mu.Unlock()
+		if l.isUnresponsive() {
+			return storesync.Page{}, waitForCancel(ctx)
 		}
 		if other {
 			return storesync.Page{}, &storesync.Error{Op: "follow", Kind: storesync.EraChanged}
@@ -231,12 +230,12 @@
 }
 
 func (l *link) Write(_ context.Context, topic gossip.Topic, key string, data []byte, was revision.Revision) error {
-	down, _, lose := l.state()
+	down, _, lose := l.faults()
 	if down != nil {
 		return down
 	}
-	l.rows.mu.Lock()
-	defer l.rows.mu.Unlock()
+	l.fakeStore.mu.Lock()
+	defer l.fakeStore.mu.Unlock()
 	if l.tables[topic][key].Version.Number != was.Number {
 		return &storesync.Error{Op: "write", Kind: storesync.Conflict}
 	}
@@ -251,7 +250,7 @@
 }
 
 func (l *link) Put(_ context.Context, topic gossip.Topic, key string, data []byte) error {
-	down, _, _ := l.state()
+	down, _, _ := l.faults()
 	if down != nil {
 		return down
 	}
@@ -259,14 +258,14 @@
 	return nil
 }
 
-// decoder reads rows of the tests' own form: configurations and servers are
-// JSON of a few fields.
+// decoder reads rows in a format of the tests: configurations are JSON with a few fields, servers
+// are short strings.
 type decoder struct{}
 
 type configRow struct {
 	Number uint64
 	Keys   []string
-	// Cold is how many seconds servers of "s" are cold after their start.
+	// Cold is how many seconds the servers of "s" count as cold after their start.
 	Cold int
 }
 
@@ -295,16 +294,16 @@
 	return storesync.Config{Map: routemap.New(parts)}, nil
 }
 
-// Server reads VERSION, VERSION@HALL or VERSION@HALL@COLD, a duration, with #BORN behind it
-// if the server tells its start. Its address is its id, or what comes behind = there. A row
-// that begins with ! does not decode.
+// Server reads VERSION, VERSION@HALL or VERSION@HALL@COLD, where COLD is a duration, optionally
+// followed by #BORN, the start time of the server. The address is the id, or what follows =
+// in the id. A row that begins with ! is corrupted.
 func (decoder) Server(row gossip.Row) (fleet.Server, error) {
 	s := fleet.Server{ID: row.Key, Service: "s", Addr: row.Key}
 	if _, addr, ok := strings.Cut(row.Key, "="); ok {
 		s.Addr = addr
 	}
 	if row.Data[0] == '!' {
-		return s, errors.New("spoiled")
+		return s, errors.New("corrupted row")
 	}
 	data, born, _ := strings.Cut(string(row.Data), "#")
 	if born != "" {
@@ -336,37 +335,37 @@
 	return gossip.Row{Key: service, Data: data}, err
 }
 
-// mesh carries messages between the keepers of a test at once.
-type mesh struct {
+// network delivers messages between the daemons of a test without delay.
+type network struct {
 	mu      sync.Mutex
-	keepers map[string]*storesync.Syncer
-	// sessions counts the sessions in all messages.
+	syncers map[string]*storesync.Syncer
+	// sessions counts the sessions in all responses.
 	sessions int
-	// held are messages to a daemon that are kept back.
-	holding map[string]bool
-	held    map[string][]func()
-	// gone are daemons of which nothing is heard any more.
-	gone map[string]bool
+	// delaying marks daemons whose incoming messages are queued, delayed holds these messages.
+	delaying map[string]bool
+	delayed  map[string][]func()
+	// muted marks daemons whose outgoing messages are dropped.
+	muted map[string]bool
 }
 
 type sender struct {
-	mesh *mesh
-	from string
+	network *network
+	from    string
 }
 
 func (s sender) Send(id, _ string, m any) {
-	s.mesh.mu.Lock()
-	defer s.mesh.mu.Unlock()
+	s.network.mu.Lock()
+	defer s.network.mu.Unlock()
 	if tell, ok := m.(gossip.Response); ok {
-		s.mesh.sessions += len(tell.Sessions)
+		s.network.sessions += len(tell.Sessions)
 	}
-	k := s.mesh.keepers[id]
-	if k == nil || s.mesh.gone[s.from] {
+	k := s.network.syncers[id]
+	if k == nil || s.network.muted[s.from] {
 		return
 	}
 	deliver := func() { k.HandleMessage(s.from, m) }
-	if s.mesh.holding[id] {
-		s.mesh.held[id] = append(s.mesh.held[id], deliver)
+	if s.network.delaying[id] {
+		s.network.delayed[id] = append(s.network.delayed[id], deliver)
 		return
 	}
 	deliver()
@@ -380,76 +379,76 @@
 
 func (s sender) Forget(string) {}
 
-// system is a store with daemons that follow it.
-type system struct {
-	t     *testing.T
-	rows  *rows
-	mesh  *mesh
-	links map[string]*link
-	// firstStart tells the daemons that are started that all start for the first time.
+// cluster is a store with daemons that follow it.
+type cluster struct {
+	t       *testing.T
+	store   *fakeStore
+	network *network
+	links   map[string]*link
+	// firstStart is passed to the daemons: all of them start for the first time.
 	firstStart bool
-	// decode returns the decoder of a daemon; nil is that of all tests.
-	decode func(id string) storesync.Decoder
-	// stops end the daemons.
-	stops []context.CancelFunc
+	// newDecoder returns the decoder of a daemon; if nil, all use decoder.
+	newDecoder func(id string) storesync.Decoder
+	// cancels stop the daemons.
+	cancels []context.CancelFunc
 }
 
-// stopAll ends all daemons at once.
-func (s *system) stopAll() {
-	for _, stop := range s.stops {
+// stopAll stops all daemons at once.
+func (s *cluster) stopAll() {
+	for _, stop := range s.cancels {
 		stop()
 	}
-	s.stops = nil
+	s.cancels = nil
 	synctest.Wait()
 }
 
-// deafen has a daemon hear nobody any more.
-func (m *mesh) deafen(id string) {
+// dropIncoming drops all messages to a daemon from now on.
+func (m *network) dropIncoming(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.keepers, id)
+	delete(m.syncers, id)
 }
 
-// lose has nobody hear a daemon any more.
-func (m *mesh) lose(id string) {
+// dropOutgoing drops all messages from a daemon from now on.
+func (m *network) dropOutgoing(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.gone[id] = true
+	m.muted[id] = true
 }
 
-func newSystem(t *testing.T) *system {
+func newCluster(t *testing.T) *cluster {
 	t.Helper()
-	return &system{t: t, rows: newRows(), links: map[string]*link{}, mesh: &mesh{
-		keepers: map[string]*storesync.Syncer{}, holding: map[string]bool{}, held: map[string][]func(){}, gone: map[string]bool{},
+	return &cluster{t: t, store: newFakeStore(), links: map[string]*link{}, network: &network{
+		syncers: map[string]*storesync.Syncer{}, delaying: map[string]bool{}, delayed: map[string][]func(){}, muted: map[string]bool{},
 	}}
 }
 
-// daemon starts one.
-func (s *system) daemon(id string) *storesync.Syncer {
+// startDaemon starts a daemon in the hall "h".
+func (s *cluster) startDaemon(id string) *storesync.Syncer {
 	s.t.Helper()
-	return s.daemonIn(id, "h")
+	return s.startDaemonIn(id, "h")
 }
 
-// daemonIn starts one in a hall.
-func (s *system) daemonIn(id, hall string) *storesync.Syncer {
+// startDaemonIn starts a daemon in a hall.
+func (s *cluster) startDaemonIn(id, hall string) *storesync.Syncer {
 	s.t.Helper()
 	k := storesync.New()
-	l := &link{rows: s.rows}
-	k.Store, k.Decoder, k.Peers = l, decoder{}, sender{s.mesh, id}
-	if s.decode != nil {
-		k.Decoder = s.decode(id)
+	l := &link{fakeStore: s.store}
+	k.Store, k.Decoder, k.Peers = l, decoder{}, sender{s.network, id}
+	if s.newDecoder != nil {
+		k.Decoder = s.newDecoder(id)
 	}
 	k.Self = storesync.Member{ID: id, Hall: hall, Addr: id, Public: make([]byte, 32), Start: 1}
 	k.Log = log.Logger{Level: log.PanicLevel}
 	k.ColdOverage, k.ColdSlack = 1.5, 5
 	k.FirstStart, k.Seed = s.firstStart, xxhash.Sum64String(id)
-	s.mesh.mu.Lock()
-	s.mesh.keepers[id] = k
-	s.mesh.mu.Unlock()
-	k.SuspendClock = func() time.Duration { return time.Duration(l.stood.Load()) }
+	s.network.mu.Lock()
+	s.network.syncers[id] = k
+	s.network.mu.Unlock()
+	k.SuspendClock = func() time.Duration { return time.Duration(l.suspended.Load()) }
 	s.links[id] = l
 	ctx, cancel := context.WithCancel(s.t.Context())
-	s.stops = append(s.stops, cancel)
+	s.cancels = append(s.cancels, cancel)
 	done := make(chan error, 1)
 	go func() { done <- k.Run(ctx) }()
 	s.t.Cleanup(func() {
@@ -461,29 +460,29 @@
 	return k
 }
 
-// config puts a configuration into the store.
-func (s *system) config(number uint64, keys ...string) {
+// writeConfig writes a configuration to the store.
+func (s *cluster) writeConfig(number uint64, keys ...string) {
 	data, err := json.Marshal(configRow{Number: number, Keys: keys})
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.rows.set(gossip.Operator, "config", string(data))
+	s.store.set(gossip.Operator, "config", string(data))
 }
 
-// inBubble runs a test on the clock of a bubble.
+// inBubble runs a test in a synctest bubble, with a fake clock.
 func inBubble(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, f)
 }
 
-// pass lets time pass until nothing more happens.
-func pass(d time.Duration) {
+// advance advances the fake clock and waits until all goroutines are blocked.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// servers are the ids of the servers that a daemon uses.
-func servers(k *storesync.Syncer) []string {
+// serverIDs returns the sorted ids of the servers that a daemon uses.
+func serverIDs(k *storesync.Syncer) []string {
 	out := []string{}
 	for _, s := range k.View().Servers.Service("s") {
 		out = append(out, s.ID)
--- a/daemon/storesync/notices_test.go
+++ b/daemon/storesync/notices_test.go
@@ -8,35 +8,36 @@
 	"ladderridge.example/core/notice"
 )
 
-// What a server said of itself was bound to its entry: one that another writer spoiled, or
-// that lapsed, and that came back as it was, would have made the daemon forget that the
-// server leaves. Nothing on record shows it; a later start of the server is free.
-func TestNoticeOutlivesTheEntryAndNotTheStart(t *testing.T) {
+// What a server announced about itself must outlive its entry. If it were bound to the entry, one
+// that another writer corrupted, or that expired, and that came back unchanged would make the
+// daemon forget that the server is leaving. No recorded incident shows this. A restarted
+// server is not bound by earlier notices.
+func TestNoticeOutlivesTheEntryButNotARestart(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
-		s.rows.set(gossip.Servers, "a", "v1#100")
-		k := s.daemon("d")
-		pass(2 * time.Second)
-		before := only(t, k)
+		s := newCluster(t)
+		s.writeConfig(1, "k")
+		s.store.set(gossip.Servers, "a", "v1#100")
+		k := s.startDaemon("d")
+		advance(2 * time.Second)
+		before := onlyServer(t, k)
 		before.State.Notices.Observe(notice.Notice{Leaving: true}, time.Now())
-		s.rows.set(gossip.Servers, "a", "")
-		pass(5 * time.Second)
-		if got := only(t, k); got != nil {
+		s.store.set(gossip.Servers, "a", "")
+		advance(5 * time.Second)
+		if got := onlyServer(t, k); got != nil {
 			t.Fatalf("still listed: %+v", got.Incarnation())
 		}
-		// An answer that was under way tells more.
+		// An answer that was under way brings another notice.
 		before.State.Notices.Observe(notice.Notice{Backoff: time.Minute}, time.Now())
-		s.rows.set(gossip.Servers, "a", "v1#100")
-		pass(time.Second)
-		after := only(t, k)
+		s.store.set(gossip.Servers, "a", "v1#100")
+		advance(time.Second)
+		after := onlyServer(t, k)
 		if after == nil || after == before || after.Usable() || !after.State.Notices.State().InBackoff(time.Now()) {
-			t.Errorf("what the server said is forgotten with its entry")
+			t.Errorf("the notices were dropped with the entry")
 		}
-		s.rows.set(gossip.Servers, "a", "v1#200")
-		pass(time.Second)
-		if got := only(t, k); got == nil || !got.Open(time.Now()) {
-			t.Error("a later start is held to what an earlier one said")
+		s.store.set(gossip.Servers, "a", "v1#200")
+		advance(time.Second)
+		if got := onlyServer(t, k); got == nil || !got.Open(time.Now()) {
+			t.Error("notices from before a restart still apply")
 		}
 	})
 }
--- a/daemon/storesync/quarantine_test.go
+++ b/daemon/storesync/quarantine_test.go
@@ -9,140 +9,140 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-const deadly = quarantine.Fingerprint(77)
+const crashingRequest = quarantine.Fingerprint(77)
 
-// confined is how many daemons send the deadly request no more.
-func confined(daemons ...*storesync.Syncer) int {
+// quarantineCount counts the daemons that quarantine the crashing request.
+func quarantineCount(daemons ...*storesync.Syncer) int {
 	n := 0
 	for _, k := range daemons {
-		if _, in := k.View().Quarantined(deadly, time.Now()); in {
+		if _, in := k.View().Quarantined(crashingRequest, time.Now()); in {
 			n++
 		}
 	}
 	return n
 }
 
-// halls starts three daemons in each of two halls.
-func halls(s *system, generation int) []*storesync.Syncer {
+// startTwoHalls starts three daemons in each of two halls.
+func startTwoHalls(s *cluster, generation int) []*storesync.Syncer {
 	var out []*storesync.Syncer
 	for _, hall := range []string{"h1", "h2"} {
 		for n := range 3 {
-			out = append(out, s.daemonIn(fmt.Sprintf("%s-%d-%d", hall, n, generation), hall))
+			out = append(out, s.startDaemonIn(fmt.Sprintf("%s-%d-%d", hall, n, generation), hall))
 		}
 	}
 	return out
 }
 
-// A request under which servers ended came to seven daemons in turn. Each of them saw one or
-// two servers end and none of them three, so that none had reason to stop: its log lines
-// are from front-vad-hall-b-1 at 8.89 s, b-2 at 9.30 s, a-1 at 13.05 s and a-2 at 13.79 s.
+// A request that crashes servers came to seven daemons in turn. Each of them saw one or two
+// servers crash, less than the threshold of three, so that none quarantined the request. The
+// crashes were logged by daemons of two halls within five seconds.
 func TestCrashesSeenByDifferentDaemonsAddUp(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
-		daemons := halls(s, 1)
-		pass(3 * time.Second)
+		s := newCluster(t)
+		s.writeConfig(1, "k")
+		daemons := startTwoHalls(s, 1)
+		advance(3 * time.Second)
 		for n, k := range []int{1, 2, 5} {
-			if got := confined(daemons...); got > 0 {
-				t.Fatalf("%d daemons stop after %d servers", got, n)
+			if got := quarantineCount(daemons...); got > 0 {
+				t.Fatalf("%d daemons quarantine the request after %d server crashes", got, n)
 			}
-			daemons[k].RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
-			pass(300 * time.Millisecond)
+			daemons[k].RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{crashingRequest})
+			advance(300 * time.Millisecond)
 		}
-		pass(700 * time.Millisecond)
-		if got := confined(daemons...); got != len(daemons) {
-			t.Errorf("a second after the third server %d of %d daemons know", got, len(daemons))
+		advance(700 * time.Millisecond)
+		if got := quarantineCount(daemons...); got != len(daemons) {
+			t.Errorf("a second after the third crash %d of %d daemons quarantine the request", got, len(daemons))
 		}
 	})
 }
 
-// One server's end, seen by all daemons that had the request there, is one.
-func TestOneServersEndIsOneCrashForAll(t *testing.T) {
+// The crash of one server counts once, also if several daemons had sent the request there.
+func TestCrashOfOneServerCountsOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
-		daemons := halls(s, 1)
-		pass(3 * time.Second)
+		s := newCluster(t)
+		s.writeConfig(1, "k")
+		daemons := startTwoHalls(s, 1)
+		advance(3 * time.Second)
 		for _, k := range daemons {
-			k.RecordServerExit("i-1", []quarantine.Fingerprint{deadly})
+			k.RecordServerExit("i-1", []quarantine.Fingerprint{crashingRequest})
 		}
-		pass(2 * time.Second)
-		if got := confined(daemons...); got > 0 {
-			t.Errorf("%d daemons count one end several times", got)
+		advance(2 * time.Second)
+		if got := quarantineCount(daemons...); got > 0 {
+			t.Errorf("%d daemons count one crash several times", got)
 		}
 	})
 }
 
-// Daemons keep nothing on a disk. With all of them killed the request would have three
-// servers more each time: the store has it.
+// Daemons keep nothing on disk. If a quarantine were not in the store, the request would crash
+// three more servers each time all daemons are killed.
 func TestQuarantineOutlivesAllDaemons(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
-		before := halls(s, 1)
-		pass(3 * time.Second)
+		s := newCluster(t)
+		s.writeConfig(1, "k")
+		before := startTwoHalls(s, 1)
+		advance(3 * time.Second)
 		for n := range 3 {
-			before[n].RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
+			before[n].RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{crashingRequest})
 		}
-		pass(time.Second)
+		advance(time.Second)
 		s.stopAll()
-		after := halls(s, 2)
-		pass(3 * time.Second)
-		if got := confined(after...); got != len(after) {
-			t.Errorf("of %d daemons that start anew %d know", len(after), got)
+		after := startTwoHalls(s, 2)
+		advance(3 * time.Second)
+		if got := quarantineCount(after...); got != len(after) {
+			t.Errorf("of %d restarted daemons %d quarantine the request", len(after), got)
 		}
-		pass(10 * time.Minute)
-		if got := confined(after...); got > 0 {
-			t.Errorf("%d daemons still refuse after its time", got)
+		advance(10 * time.Minute)
+		if got := quarantineCount(after...); got > 0 {
+			t.Errorf("%d daemons still quarantine the request after its expiry", got)
 		}
 	})
 }
 
-// The news is a datagram, and its daemon's reader may be gone: what one daemon has seen
-// alone is enough for all as soon as the store has it.
-func TestQuarantineIsKnownThoughItsDaemonIsNotHeard(t *testing.T) {
+// Crashes are announced in datagrams, which may be lost, or sent to a reader that is gone. The
+// crashes that one daemon alone has seen reach all daemons through the store.
+func TestQuarantineReachesAllThroughTheStore(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
-		daemons := halls(s, 1)
-		pass(3 * time.Second)
-		s.mesh.lose(daemons[0].Self.ID)
+		s := newCluster(t)
+		s.writeConfig(1, "k")
+		daemons := startTwoHalls(s, 1)
+		advance(3 * time.Second)
+		s.network.dropOutgoing(daemons[0].Self.ID)
 		for n := range 3 {
-			daemons[0].RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
+			daemons[0].RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{crashingRequest})
 		}
-		pass(2 * time.Second)
-		if got := confined(daemons...); got != len(daemons) {
-			t.Errorf("%d of %d daemons know", got, len(daemons))
+		advance(2 * time.Second)
+		if got := quarantineCount(daemons...); got != len(daemons) {
+			t.Errorf("%d of %d daemons quarantine the request", got, len(daemons))
 		}
 	})
 }
 
-// The daemon that reads for a hall is gone when a crash is told to it. Each of the others
-// saw one server end: their news goes to who reads then.
-func TestCrashesAreToldAgainWhenTheReaderWasGone(t *testing.T) {
+// The reader of a hall is gone when crashes are announced to it. Each of the other daemons saw one
+// server crash: they must announce it again to the next reader.
+func TestCrashesAreAnnouncedAgainAfterLossOfTheReader(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
+		s := newCluster(t)
+		s.writeConfig(1, "k")
 		var daemons []*storesync.Syncer
 		for n := range 5 {
-			daemons = append(daemons, s.daemonIn(fmt.Sprintf("d%d", n), "h1"))
+			daemons = append(daemons, s.startDaemonIn(fmt.Sprintf("d%d", n), "h1"))
 		}
-		pass(3 * time.Second)
-		var rest []*storesync.Syncer
+		advance(3 * time.Second)
+		var remaining []*storesync.Syncer
 		for _, k := range daemons {
 			if k.ReadsStore() {
-				s.mesh.lose(k.Self.ID)
-				s.mesh.deafen(k.Self.ID)
+				s.network.dropOutgoing(k.Self.ID)
+				s.network.dropIncoming(k.Self.ID)
 			} else {
-				rest = append(rest, k)
+				remaining = append(remaining, k)
 			}
 		}
-		for n, k := range rest[:3] {
-			k.RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{deadly})
+		for n, k := range remaining[:3] {
+			k.RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{crashingRequest})
 		}
-		pass(3 * time.Second)
-		if got := confined(rest...); got != len(rest) {
-			t.Errorf("%d of %d daemons know", got, len(rest))
+		advance(3 * time.Second)
+		if got := quarantineCount(remaining...); got != len(remaining) {
+			t.Errorf("%d of %d daemons quarantine the request", got, len(remaining))
 		}
 	})
 }
--- a/daemon/storesync/rollout_test.go
+++ b/daemon/storesync/rollout_test.go
@@ -13,244 +13,244 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-// rollout is a system of daemons with both versions of a service and an order
-// for the new one.
-func rollout(t *testing.T, daemons, seconds int) (*system, []*storesync.Syncer) {
+// startRollout starts daemons, servers of both versions of a service, and an order for the new one.
+func startRollout(t *testing.T, daemons, seconds int) (*cluster, []*storesync.Syncer) {
 	t.Helper()
-	s := newSystem(t)
-	s.config(1, "k")
-	s.rows.set(gossip.Servers, "old", "v1")
-	var keepers []*storesync.Syncer
+	s := newCluster(t)
+	s.writeConfig(1, "k")
+	s.store.set(gossip.Servers, "old", "v1")
+	var syncers []*storesync.Syncer
 	for i := range daemons {
-		keepers = append(keepers, s.daemon(fmt.Sprintf("d%d", i)))
+		syncers = append(syncers, s.startDaemon(fmt.Sprintf("d%d", i)))
 	}
-	// All daemons know each other after the second read of their list.
-	pass(12 * time.Second)
-	s.rows.set(gossip.Servers, "new", "v2")
-	s.rows.set(gossip.Operator, "order/s", fmt.Sprintf(`{"Version":"v2","Seconds":%d}`, seconds))
-	pass(time.Second)
-	return s, keepers
+	// All daemons know each other after the second read of the list of daemons.
+	advance(12 * time.Second)
+	s.store.set(gossip.Servers, "new", "v2")
+	s.store.set(gossip.Operator, "order/s", fmt.Sprintf(`{"Version":"v2","Seconds":%d}`, seconds))
+	advance(time.Second)
+	return s, syncers
 }
 
-func (s *system) progress() canary.Progress {
+func (s *cluster) storedProgress() canary.Progress {
 	var p canary.Progress
-	_ = json.Unmarshal([]byte(s.rows.get(gossip.Progress, "s")), &p)
+	_ = json.Unmarshal([]byte(s.store.get(gossip.Progress, "s")), &p)
 	return p
 }
 
-// uses reports whether a session's first choice is a version.
-func uses(k *storesync.Syncer, hash uint64, version string) bool {
+// prefersVersion reports whether a session's first choice is a version.
+func prefersVersion(k *storesync.Syncer, hash uint64, version string) bool {
 	first, _ := k.View().Versions("s", hash, time.Now())
 	return first.Allows(version)
 }
 
-// fail lets a daemon see that a number of answers of the new version fail.
-func fail(k *storesync.Syncer, answers int) {
+// observeFailures lets a daemon observe failed answers of the new version.
+func observeFailures(k *storesync.Syncer, answers int) {
 	for range answers {
 		k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", Failed: true})
 	}
 }
 
-// usualTime is the relative time of one of many answers, of which a tenth take twice the
-// usual and more.
-func usualTime(i int) float64 { return 0.4 * math.Pow(1.12, float64(i%20)) }
+// typicalRatio returns the relative latency of the i-th answer; a tenth of them take at least twice
+// the typical time.
+func typicalRatio(i int) float64 { return 0.4 * math.Pow(1.12, float64(i%20)) }
 
 const (
-	// lowest falls to the new version first, highest last.
-	lowest  = uint64(0)
-	highest = ^uint64(0)
+	// lowestHash is the first session that moves to the new version, highestHash the last one.
+	lowestHash  = uint64(0)
+	highestHash = ^uint64(0)
 )
 
 func TestGoodVersionTakesOverInTime(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := rollout(t, 3, 20)
-		for _, k := range keepers {
-			if !uses(k, lowest, "v2") || !uses(k, highest, "v1") {
-				t.Fatal("the first share is wrong")
+		s, syncers := startRollout(t, 3, 20)
+		for _, k := range syncers {
+			if !prefersVersion(k, lowestHash, "v2") || !prefersVersion(k, highestHash, "v1") {
+				t.Fatal("the initial share of the new version is wrong")
 			}
 		}
-		pass(20 * time.Second)
-		if p := s.progress(); p.State != canary.Completed || p.Version != "v2" {
+		advance(20 * time.Second)
+		if p := s.storedProgress(); p.State != canary.Completed || p.Version != "v2" {
 			t.Fatalf("the state is %v", p)
 		}
-		for _, k := range keepers {
-			if !uses(k, highest, "v2") {
+		for _, k := range syncers {
+			if !prefersVersion(k, highestHash, "v2") {
 				t.Error("a daemon does not use the new version alone")
 			}
 		}
 	})
 }
 
-func TestBadVersionIsTakenBackByAllFromWhatAllSee(t *testing.T) {
+func TestFaultyVersionIsRolledBackOnEvidenceOfAllDaemons(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := rollout(t, 3, 20)
-		// No daemon alone sees enough.
-		for _, k := range keepers {
+		s, syncers := startRollout(t, 3, 20)
+		// No daemon has enough evidence by itself.
+		for _, k := range syncers {
 			for i := range 8 {
 				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", Failed: i%2 == 0})
 			}
 		}
-		pass(time.Second)
-		for i, k := range keepers {
-			if uses(k, lowest, "v2") {
-				t.Errorf("daemon %d still uses the bad version", i)
+		advance(time.Second)
+		for i, k := range syncers {
+			if prefersVersion(k, lowestHash, "v2") {
+				t.Errorf("daemon %d still uses the faulty version", i)
 			}
 		}
-		pass(2 * time.Second)
-		if p := s.progress(); p.State != canary.RolledBack {
+		advance(2 * time.Second)
+		if p := s.storedProgress(); p.State != canary.RolledBack {
 			t.Errorf("the state is %v", p)
 		}
 	})
 }
 
-func TestLostAnswersAndADriverThatIsCutOffDoNotStopARollout(t *testing.T) {
+func TestLostWriteAnswersAndACutOffWriterDoNotStopARollout(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, _ := rollout(t, 3, 20)
+		s, _ := startRollout(t, 3, 20)
 		s.links["d0"].fail(errDown)
 		for _, id := range []string{"d1", "d2"} {
 			s.links[id].mu.Lock()
 			s.links[id].loseWrites = true
 			s.links[id].mu.Unlock()
 		}
-		pass(20 * time.Second)
-		if p := s.progress(); p.State != canary.Completed {
+		advance(20 * time.Second)
+		if p := s.storedProgress(); p.State != canary.Completed {
 			t.Errorf("the state is %v", p)
 		}
 	})
 }
 
-func TestDaemonThatStartsTakesUpTheRolloutAtItsAge(t *testing.T) {
+func TestNewDaemonKnowsTheAgeOfTheRollout(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, _ := rollout(t, 2, 40)
-		pass(10 * time.Second)
-		late := s.daemon("late")
-		pass(2 * time.Second)
+		s, _ := startRollout(t, 2, 40)
+		advance(10 * time.Second)
+		late := s.startDaemon("late")
+		advance(2 * time.Second)
 		r, ok := late.View().Rollout("s")
 		if age := time.Since(r.Since); !ok || !r.Started || age < 12*time.Second || age > 14*time.Second {
-			t.Errorf("the order is taken for %v old (started %v)", age, r.Started)
+			t.Errorf("the age of the order is %v (started %v)", age, r.Started)
 		}
 	})
 }
 
 func TestVersionWithoutAnOrderWaitsForOne(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
-		s.rows.set(gossip.Servers, "old", "v1")
-		k := s.daemon("a")
-		pass(3 * time.Second)
-		if !uses(k, lowest, "v1") {
+		s := newCluster(t)
+		s.writeConfig(1, "k")
+		s.store.set(gossip.Servers, "old", "v1")
+		k := s.startDaemon("a")
+		advance(3 * time.Second)
+		if !prefersVersion(k, lowestHash, "v1") {
 			t.Error("the version of the first list is not used")
 		}
-		s.rows.set(gossip.Servers, "new", "v2")
-		pass(time.Second)
-		if uses(k, lowest, "v2") {
+		s.store.set(gossip.Servers, "new", "v2")
+		advance(time.Second)
+		if prefersVersion(k, lowestHash, "v2") {
 			t.Error("a version is used before an order could have come")
 		}
-		pass(time.Second)
-		if !uses(k, lowest, "v2") {
+		advance(time.Second)
+		if !prefersVersion(k, lowestHash, "v2") {
 			t.Error("a version without an order is never used")
 		}
 	})
 }
 
-// A session that an old version has just served, at any daemon, stays there when
-// a roll-out begins, until it has paused; sessions once moved under way.
-func TestSessionMovesOnlyWhenItHasPaused(t *testing.T) {
+// When a roll-out begins, an active session that an old version served at any daemon stays with
+// that version until it pauses. Daemons once moved active sessions.
+func TestSessionMovesOnlyAfterAPause(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
-		s.rows.set(gossip.Servers, "old", "v1")
-		var keepers []*storesync.Syncer
+		s := newCluster(t)
+		s.writeConfig(1, "k")
+		s.store.set(gossip.Servers, "old", "v1")
+		var syncers []*storesync.Syncer
 		for i := range 3 {
-			keepers = append(keepers, s.daemon(fmt.Sprintf("d%d", i)))
-		}
-		pass(12 * time.Second)
-		keepers[2].RecordSession("s", lowest, "v1")
-		pass(1200 * time.Millisecond)
-		s.rows.set(gossip.Servers, "new", "v2")
-		s.rows.set(gossip.Operator, "order/s", `{"Version":"v2","Seconds":40}`)
-		pass(time.Second)
-		for i, k := range keepers {
-			if uses(k, lowest, "v2") {
-				t.Errorf("daemon %d moves a session under way", i)
+			syncers = append(syncers, s.startDaemon(fmt.Sprintf("d%d", i)))
+		}
+		advance(12 * time.Second)
+		syncers[2].RecordSession("s", lowestHash, "v1")
+		advance(1200 * time.Millisecond)
+		s.store.set(gossip.Servers, "new", "v2")
+		s.store.set(gossip.Operator, "order/s", `{"Version":"v2","Seconds":40}`)
+		advance(time.Second)
+		for i, k := range syncers {
+			if prefersVersion(k, lowestHash, "v2") {
+				t.Errorf("daemon %d moves an active session", i)
 			}
-			if !uses(k, lowest+1, "v2") {
-				t.Errorf("daemon %d does not move one that is new", i)
+			if !prefersVersion(k, lowestHash+1, "v2") {
+				t.Errorf("daemon %d does not move a new session", i)
 			}
 		}
-		// It goes on, and stays; then it pauses.
-		keepers[1].RecordSession("s", lowest, "v1")
-		pass(4500 * time.Millisecond)
-		if uses(keepers[0], lowest, "v2") {
+		// The session continues, and stays; then it pauses.
+		syncers[1].RecordSession("s", lowestHash, "v1")
+		advance(4500 * time.Millisecond)
+		if prefersVersion(syncers[0], lowestHash, "v2") {
 			t.Error("the session moved without a pause")
 		}
-		pass(3 * time.Second)
-		if !uses(keepers[0], lowest, "v2") {
+		advance(3 * time.Second)
+		if !prefersVersion(syncers[0], lowestHash, "v2") {
 			t.Error("the session did not move after its pause")
 		}
 	})
 }
 
-// What is told of sessions dies out, also while all daemons read for themselves
-// and ask each other: it once went round in circles and grew.
-func TestNewsOfSessionsDiesOut(t *testing.T) {
+// A session must be announced a bounded number of times, also while all daemons read the store
+// themselves and query each other: announcements once circulated and grew in number.
+func TestSessionAnnouncementsAreBounded(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
+		s := newCluster(t)
+		s.writeConfig(1, "k")
 		ids := []string{"a", "b", "c", "d"}
-		keepers := map[string]*storesync.Syncer{}
+		syncers := map[string]*storesync.Syncer{}
 		for i, id := range ids {
-			keepers[id] = s.daemonIn(id, []string{"h", "far"}[i%2])
+			syncers[id] = s.startDaemonIn(id, []string{"h", "far"}[i%2])
 		}
-		pass(12 * time.Second)
+		advance(12 * time.Second)
 		for _, id := range ids {
 			s.links[id].fail(errDown)
 		}
-		pass(8 * time.Second)
+		advance(8 * time.Second)
 		for _, id := range ids {
-			keepers[id].RecordSession("s", lowest, "v1")
+			syncers[id].RecordSession("s", lowestHash, "v1")
 		}
-		pass(10 * time.Second)
-		s.mesh.mu.Lock()
-		defer s.mesh.mu.Unlock()
-		if s.mesh.sessions > 4*len(ids)*len(ids) {
-			t.Errorf("four sessions were told %d times", s.mesh.sessions)
+		advance(10 * time.Second)
+		s.network.mu.Lock()
+		defer s.network.mu.Unlock()
+		if s.network.sessions > 4*len(ids)*len(ids) {
+			t.Errorf("four sessions were announced %d times", s.network.sessions)
 		}
 	})
 }
 
-// When all daemons start anew near the end of an order, nobody remembers what was
-// seen of the version: it is not completed before something has been. A version
-// that failed was once completed a tenth of a second after such a start.
-func TestVersionIsNotCompletedUnseen(t *testing.T) {
+// If all daemons restart near the end of an order, the evidence about the version is lost: the
+// roll-out must not complete before there is some. A version that failed was once completed
+// 0.1 s after such a restart.
+func TestVersionIsNotCompletedWithoutEvidence(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, before := rollout(t, 3, 10)
-		pass(5500 * time.Millisecond)
+		s, before := startRollout(t, 3, 10)
+		advance(5500 * time.Millisecond)
 		for i := range before {
 			id := fmt.Sprintf("d%d", i)
-			s.mesh.mu.Lock()
-			delete(s.mesh.keepers, id)
-			s.mesh.mu.Unlock()
+			s.network.mu.Lock()
+			delete(s.network.syncers, id)
+			s.network.mu.Unlock()
 			s.links[id].fail(errDown)
 		}
 		var after []*storesync.Syncer
 		for i := range 3 {
-			after = append(after, s.daemon(fmt.Sprintf("e%d", i)))
+			after = append(after, s.startDaemon(fmt.Sprintf("e%d", i)))
 		}
-		pass(2500 * time.Millisecond)
+		advance(2500 * time.Millisecond)
 		for _, k := range after {
-			fail(k, 10)
+			observeFailures(k, 10)
 		}
-		pass(5 * time.Second)
-		if p := s.progress(); p.State != canary.RolledBack {
+		advance(5 * time.Second)
+		if p := s.storedProgress(); p.State != canary.RolledBack {
 			t.Errorf("the state is %v", p)
 		}
 	})
 }
 
-// A version that is a little slower than what is tolerated, too little to be condemned,
-// is not completed: nothing would be left to go back to. One that is not slower is.
+// A version that is slower than tolerated, but by too little to be rejected at once, is not
+// completed, because there would be no version left to roll back to. One that is not slower is
+// completed.
 func TestVersionIsCompletedOnlyOnEvidenceForIt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -262,24 +262,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
-				s, keepers := rollout(t, 3, 20)
+				s, syncers := startRollout(t, 3, 20)
 				for i := range 180 {
-					k, usual := keepers[i%len(keepers)], usualTime(i)
+					k, usual := syncers[i%len(syncers)], typicalRatio(i)
 					k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
 					if i < 60 {
 						k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: c.factor * usual})
 					}
 				}
-				pass(10 * time.Second)
-				if p := s.progress(); p.State != canary.Running {
-					t.Fatalf("the state is %v after half of the time", p.State)
+				advance(10 * time.Second)
+				if p := s.storedProgress(); p.State != canary.Running {
+					t.Fatalf("the state is %v halfway through the roll-out", p.State)
 				}
-				pass(7 * time.Second)
-				if p := s.progress(); c.state == canary.RolledBack && p.State != c.state {
-					t.Errorf("the state is %v before the version would be opened to all", p.State)
+				advance(7 * time.Second)
+				if p := s.storedProgress(); c.state == canary.RolledBack && p.State != c.state {
+					t.Errorf("the state is %v shortly before all sessions would move", p.State)
 				}
-				pass(3 * time.Second)
-				if p := s.progress(); p.State != c.state {
+				advance(3 * time.Second)
+				if p := s.storedProgress(); p.State != c.state {
 					t.Errorf("the state is %v", p.State)
 				}
 			})
@@ -287,179 +287,179 @@
 	}
 }
 
-// A daemon that does not write states knows of a version only what it has seen itself:
-// a handful of unlucky answers there says nothing against one that all daemons together
-// know to be good. Good versions of a service with 65 daemons were taken back on four
-// answers of one of them, though 704 spoke for it.
-func TestGoodVersionIsNotTakenBackOnTheAnswersOfOneDaemon(t *testing.T) {
+// A daemon that does not write roll-out states has only its own evidence: a few unlucky answers there
+// must not reject a version that the evidence of all daemons supports. Good versions of a
+// service with 65 daemons were rolled back on four answers of one daemon, though 704 answers
+// supported them.
+func TestGoodVersionIsNotRolledBackOnEvidenceOfOneDaemon(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := rollout(t, 8, 20)
-		unlucky := slices.IndexFunc(keepers, func(k *storesync.Syncer) bool { return k.Calls.Load() <= 20 })
+		s, syncers := startRollout(t, 8, 20)
+		unlucky := slices.IndexFunc(syncers, func(k *storesync.Syncer) bool { return k.Calls.Load() <= 20 })
 		for i := range 400 {
-			k, usual := keepers[i%len(keepers)], usualTime(i)
+			k, usual := syncers[i%len(syncers)], typicalRatio(i)
 			k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
 			switch {
-			case i%len(keepers) != unlucky:
+			case i%len(syncers) != unlucky:
 				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: usual})
-			case i < 5*len(keepers):
+			case i < 5*len(syncers):
 				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: 3})
 			}
 		}
-		pass(20 * time.Second)
-		if p := s.progress(); p.State != canary.Completed {
+		advance(20 * time.Second)
+		if p := s.storedProgress(); p.State != canary.Completed {
 			t.Errorf("the state is %v", p.State)
 		}
 	})
 }
 
-// A large service need not wait for two thirds of the time: with 300 answers of three
-// servers a version that is only doubted is taken back at once.
-func TestDoubtIsEnoughOnceManyServersHaveAnswered(t *testing.T) {
+// With many answers, a roll-out need not run for two thirds of its time before a suspicion counts:
+// after 300 answers of three servers a suspected version is rolled back at once.
+func TestSuspicionRollsBackAfterManyAnswers(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := rollout(t, 3, 20)
+		s, syncers := startRollout(t, 3, 20)
 		for i := range 480 {
-			k, usual := keepers[i%len(keepers)], usualTime(i)
+			k, usual := syncers[i%len(syncers)], typicalRatio(i)
 			k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
 			k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: 1.45 * usual, Server: fmt.Sprint(i / 160)})
 		}
-		pass(4 * time.Second)
-		if p := s.progress(); p.State != canary.RolledBack {
+		advance(4 * time.Second)
+		if p := s.storedProgress(); p.State != canary.RolledBack {
 			t.Errorf("the state is %v", p.State)
 		}
 	})
 }
 
-// A version that is found bad is taken back soon, also while the daemons that
-// write states are paused.
-func TestBadVersionIsTakenBackWithoutReaders(t *testing.T) {
+// A faulty version is rolled back within a second, also while the daemons that normally write
+// roll-out states are suspended.
+func TestFaultyVersionIsRolledBackWithoutReaders(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := rollout(t, 3, 20)
-		for i, k := range keepers {
+		s, syncers := startRollout(t, 3, 20)
+		for i, k := range syncers {
 			if k.Calls.Load() > 20 {
-				// It reads for the others, and is paused.
+				// The reader of the hall is suspended.
 				id := fmt.Sprintf("d%d", i)
-				s.links[id].silence(true)
-				s.mesh.mu.Lock()
-				s.mesh.holding[id] = true
-				s.mesh.mu.Unlock()
+				s.links[id].setUnresponsive(true)
+				s.network.mu.Lock()
+				s.network.delaying[id] = true
+				s.network.mu.Unlock()
 				continue
 			}
-			fail(k, 10)
+			observeFailures(k, 10)
 		}
-		pass(time.Second)
-		if p := s.progress(); p.State != canary.RolledBack {
+		advance(time.Second)
+		if p := s.storedProgress(); p.State != canary.RolledBack {
 			t.Errorf("the state is %v", p)
 		}
 	})
 }
 
-// A daemon that asks around for one that is gone does not lose the news of its
-// sessions with the questions: sessions of a hall once moved under way while its
-// first daemon was gone.
-func TestNewsOfSessionsGoesToTheReaderAlone(t *testing.T) {
+// A daemon that queries other daemons because its reader is gone must not consume the pending
+// session announcements with these queries: active sessions of a hall once moved while its
+// first reader was gone.
+func TestSessionAnnouncementsGoToTheReaderOnly(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := rollout(t, 4, 60)
+		s, syncers := startRollout(t, 4, 60)
 		gone := ""
-		for i, k := range keepers {
+		for i, k := range syncers {
 			if k.Calls.Load() > 15 {
 				gone = fmt.Sprintf("d%d", i)
 			}
 		}
-		s.mesh.mu.Lock()
-		delete(s.mesh.keepers, gone)
-		s.mesh.mu.Unlock()
+		s.network.mu.Lock()
+		delete(s.network.syncers, gone)
+		s.network.mu.Unlock()
 		s.links[gone].fail(errDown)
-		pass(5 * time.Second)
+		advance(5 * time.Second)
 		var left []*storesync.Syncer
-		for i, k := range keepers {
+		for i, k := range syncers {
 			if fmt.Sprintf("d%d", i) != gone {
 				left = append(left, k)
 			}
 		}
 		const served = 40
 		for i := range uint64(served) {
-			left[i%3].RecordSession("s", lowest+i, "v1")
-			pass(100 * time.Millisecond)
+			left[i%3].RecordSession("s", lowestHash+i, "v1")
+			advance(100 * time.Millisecond)
 		}
-		pass(900 * time.Millisecond)
+		advance(900 * time.Millisecond)
 		for i := range uint64(served) {
 			for n, k := range left {
-				if uses(k, lowest+i, "v2") {
-					t.Errorf("daemon %d moves session %d, which daemon %d has just served", n, i, i%3)
+				if prefersVersion(k, lowestHash+i, "v2") {
+					t.Errorf("daemon %d moves session %d, which is active at daemon %d", n, i, i%3)
 				}
 			}
 		}
 	})
 }
 
-// The second order follows the first one at once: sessions that the first one's
-// version served before it was completed stay there until they pause. They once
-// moved, since only what old versions served was remembered.
-func TestSessionsStayWhenOneOrderFollowsAnother(t *testing.T) {
+// A second order follows the first one at once. Sessions that the first order's version served
+// before its completion stay with it until they pause. They once moved, because daemons
+// remembered only sessions that old versions had served.
+func TestActiveSessionsStayWhenOneOrderFollowsAnother(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := rollout(t, 3, 20)
-		pass(16500 * time.Millisecond)
-		keepers[1].RecordSession("s", lowest, "v2")
-		pass(2000 * time.Millisecond)
-		if p := s.progress(); p.State != canary.Completed {
+		s, syncers := startRollout(t, 3, 20)
+		advance(16500 * time.Millisecond)
+		syncers[1].RecordSession("s", lowestHash, "v2")
+		advance(2000 * time.Millisecond)
+		if p := s.storedProgress(); p.State != canary.Completed {
 			t.Fatalf("the first order is %v", p)
 		}
-		s.rows.set(gossip.Servers, "newer", "v3")
-		s.rows.set(gossip.Operator, "order/s", `{"Version":"v3","Seconds":20}`)
-		pass(1500 * time.Millisecond)
-		for i, k := range keepers {
-			if uses(k, lowest, "v3") {
-				t.Errorf("daemon %d moves a session under way", i)
+		s.store.set(gossip.Servers, "newer", "v3")
+		s.store.set(gossip.Operator, "order/s", `{"Version":"v3","Seconds":20}`)
+		advance(1500 * time.Millisecond)
+		for i, k := range syncers {
+			if prefersVersion(k, lowestHash, "v3") {
+				t.Errorf("daemon %d moves an active session", i)
 			}
-			if !uses(k, lowest+1, "v3") {
-				t.Errorf("daemon %d does not move one that is new", i)
+			if !prefersVersion(k, lowestHash+1, "v3") {
+				t.Errorf("daemon %d does not move a new session", i)
 			}
 		}
 	})
 }
 
-// The states of a second order are written in turn as those of the first are: 62
-// daemons once wrote "completed" at the same moment.
+// Daemons write the states of a second order in turn, as those of the first: 62 daemons once
+// wrote "completed" at the same moment.
 func TestStatesOfASecondOrderAreWrittenInTurn(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := rollout(t, 30, 10)
-		pass(12 * time.Second)
-		s.rows.set(gossip.Servers, "newer", "v3")
-		s.rows.set(gossip.Operator, "order/s", `{"Version":"v3","Seconds":10}`)
-		pass(6 * time.Second)
+		s, syncers := startRollout(t, 30, 10)
+		advance(12 * time.Second)
+		s.store.set(gossip.Servers, "newer", "v3")
+		s.store.set(gossip.Operator, "order/s", `{"Version":"v3","Seconds":10}`)
+		advance(6 * time.Second)
 		all := map[string]*storesync.Syncer{}
-		for i, k := range keepers {
+		for i, k := range syncers {
 			all[fmt.Sprint(i)] = k
 		}
-		before := calls(all)
-		pass(6 * time.Second)
-		if p := s.progress(); p.State != canary.Completed || p.Version != "v3" {
+		before := totalCalls(all)
+		advance(6 * time.Second)
+		if p := s.storedProgress(); p.State != canary.Completed || p.Version != "v3" {
 			t.Fatalf("the second order is %v", p)
 		}
-		// A reader's calls, and a write or two.
-		if n := calls(all) - before; n > 18 {
-			t.Errorf("%d calls", n)
+		// The calls of the reader, and one or two writes.
+		if n := totalCalls(all) - before; n > 18 {
+			t.Errorf("%d store calls", n)
 		}
 	})
 }
 
-// A version that one daemon finds bad while another one has completed it is used: the
-// old version's servers are gone. Such a daemon once refused all requests.
-func TestCompletedVersionIsUsedThoughADaemonFoundItBad(t *testing.T) {
+// A version that one daemon rejects while another one has completed its roll-out is used, because
+// there are no servers of the old version any more. Such a daemon once refused all requests.
+func TestCompletedVersionIsUsedByADaemonThatRejectedIt(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s, keepers := rollout(t, 1, 20)
-		k, order := keepers[0], s.progress().Order
+		s, syncers := startRollout(t, 1, 20)
+		k, order := syncers[0], s.storedProgress().Order
 		s.links["d0"].fail(errDown)
-		fail(k, 20)
-		pass(time.Second)
-		if uses(k, lowest, "v2") {
-			t.Fatal("the version is not found bad")
+		observeFailures(k, 20)
+		advance(time.Second)
+		if prefersVersion(k, lowestHash, "v2") {
+			t.Fatal("the version is not rejected")
 		}
-		s.rows.set(gossip.Progress, "s", fmt.Sprintf(`{"State":%d,"Version":"v2","SinceMS":1000,"Order":{"Era":%d,"Number":%d}}`, canary.Completed, order.Era, order.Number))
+		s.store.set(gossip.Progress, "s", fmt.Sprintf(`{"State":%d,"Version":"v2","SinceMS":1000,"Order":{"Era":%d,"Number":%d}}`, canary.Completed, order.Era, order.Number))
 		s.links["d0"].fail(nil)
-		pass(3 * time.Second)
-		if !uses(k, lowest, "v2") || !uses(k, highest, "v2") {
-			t.Error("the version is not used though it is completed")
+		advance(3 * time.Second)
+		if !prefersVersion(k, lowestHash, "v2") || !prefersVersion(k, highestHash, "v2") {
+			t.Error("the version is not used although its roll-out is completed")
 		}
 	})
 }
--- a/daemon/storesync/work_test.go
+++ b/daemon/storesync/work_test.go
@@ -10,7 +10,7 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-// server is one of a daemon's servers.
+// server returns one of the servers of a daemon, or nil.
 func server(k *storesync.Syncer, id string) *fleet.Server {
 	for _, s := range k.View().Servers.Service("s") {
 		if s.ID == id {
@@ -20,57 +20,57 @@
 	return nil
 }
 
-// crowded is what a daemon has been told of others' work at a server.
-func crowded(k *storesync.Syncer, id string) float64 {
+// excessLoad returns the excess load of other daemons at a server, as received by a daemon.
+func excessLoad(k *storesync.Syncer, id string) float64 {
 	return server(k, id).State.ExcessLoad(time.Now())
 }
 
-// Work that some daemons have at a server is known to all within four seconds, in their
-// hall and in others, and to those that read the store too; when it is over, or whoever
-// has it is gone, it is forgotten.
-func TestCrowdedServerIsKnownInAllHalls(t *testing.T) {
+// Load that some daemons put on a server is known to all within four seconds, in their hall and in
+// others, and also to daemons that read the store. When it ends, or when the daemon that
+// put it there is gone, it is dropped.
+func TestOverloadedServerIsKnownInAllHalls(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		s := newSystem(t)
-		s.config(1, "k")
+		s := newCluster(t)
+		s.writeConfig(1, "k")
 		for i := range 5 {
-			s.rows.set(gossip.Servers, fmt.Sprint("s", i), "v1@h")
+			s.store.set(gossip.Servers, fmt.Sprint("s", i), "v1@h")
 		}
-		keepers := map[string]*storesync.Syncer{}
+		syncers := map[string]*storesync.Syncer{}
 		for _, id := range []string{"a", "b", "c", "d"} {
-			keepers[id] = s.daemonIn(id, "h")
+			syncers[id] = s.startDaemonIn(id, "h")
 		}
 		for _, id := range []string{"x", "y", "z"} {
-			keepers[id] = s.daemonIn(id, "i")
+			syncers[id] = s.startDaemonIn(id, "i")
 		}
-		pass(10 * time.Second)
+		advance(10 * time.Second)
 		busy := []string{"a", "c"}
 		for _, id := range busy {
-			server(keepers[id], "s1").State.Begin(20)
+			server(syncers[id], "s1").State.Begin(20)
 		}
-		pass(4 * time.Second)
-		for id, k := range keepers {
+		advance(4 * time.Second)
+		for id, k := range syncers {
 			others := 40.0
 			if id == busy[0] || id == busy[1] {
 				others = 20
 			}
-			// A fifth of it is the server's part and half of the rest counts. Of that at most
-			// a fifth is missing from the mean over time after six messages, and at most half
-			// has lost its weight a second after the last one.
-			if got := crowded(k, "s1"); got < 0.16*others || got > 0.4*others {
-				t.Errorf("%s takes %.1f at s1 for crowding, others have %.0f there", id, got, others)
+			// A fifth of the load is the average share of each of the five servers, and half of
+			// the rest counts as excess. Of that, at most a fifth is missing from the moving
+			// average after six messages, and at most half has decayed a second after the last one.
+			if got := excessLoad(k, "s1"); got < 0.16*others || got > 0.4*others {
+				t.Errorf("%s: excess load at s1 is %.1f, others have %.0f in flight there", id, got, others)
 			}
-			if got := crowded(k, "s2"); got != 0 {
-				t.Errorf("%s takes %.1f at s2 for crowding", id, got)
+			if got := excessLoad(k, "s2"); got != 0 {
+				t.Errorf("%s: excess load at s2 is %.1f", id, got)
 			}
 		}
-		server(keepers["a"], "s1").State.End(20)
-		s.mesh.mu.Lock()
-		s.mesh.gone["c"] = true
-		s.mesh.mu.Unlock()
-		pass(12 * time.Second)
-		for id, k := range keepers {
-			if got := crowded(k, "s1"); id != "c" && got > 0.2 {
-				t.Errorf("%s still takes %.2f at s1 for crowding", id, got)
+		server(syncers["a"], "s1").State.End(20)
+		s.network.mu.Lock()
+		s.network.muted["c"] = true
+		s.network.mu.Unlock()
+		advance(12 * time.Second)
+		for id, k := range syncers {
+			if got := excessLoad(k, "s1"); id != "c" && got > 0.2 {
+				t.Errorf("%s: excess load at s1 is still %.2f", id, got)
 			}
 		}
 	})
