--- a/daemon/logwriter/logwriter.go
+++ b/daemon/logwriter/logwriter.go
@@ -1,4 +1,4 @@
-// Package logwriter writes log lines without holding up whoever logs.
+// Package logwriter writes log lines asynchronously, so that logging never blocks the caller.
 package logwriter
 
 import (
@@ -8,26 +8,26 @@
 	"sync/atomic"
 )
 
-// Writer writes lines from a goroutine of its own. Logging never waits for it: a line
-// that finds the backlog full is dropped and counted. It is safe for concurrent use,
-// also while and after it is closed, when lines are dropped: a connection's goroutine
-// may outlive the daemon's stop by a moment.
+// Writer writes lines from its own goroutine. Write never blocks: a line is dropped and
+// counted if the backlog is full. Writer is safe for concurrent use, also during and after
+// Close, when lines are dropped: a connection's goroutine may briefly outlive the daemon's
+// shutdown.
 //
-// The log library's own asynchronous writer reads a line's buffer after it has given it
-// away, which the race detector finds as soon as two goroutines log at once, and a
-// line after its end is a panic.
+// The log library's own asynchronous writer isn't used: it reads a line's buffer after
+// returning it to its pool, which the race detector reports as soon as two goroutines log at
+// once, and it panics on a line that is written after Close.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Uint64
-	// closing is closed by Close, ended once the backlog is written.
+	// closing is closed by Close, ended when the backlog has been written.
 	closing   chan struct{}
 	ended     chan struct{}
 	closeOnce sync.Once
 }
 
-// New returns a writer to out, one call a line, that keeps at most backlog lines that
-// are not written yet.
+// New returns a Writer that writes each line to out with one call and buffers at most backlog
+// lines.
 func New(out io.Writer, backlog int) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, backlog), closing: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
@@ -37,7 +37,7 @@
 	return w
 }
 
-// Write implements io.Writer for one line. It reports no error: a dropped line is
+// Write implements io.Writer for one line. It never returns an error: dropped lines are
 // counted instead.
 func (w *Writer) Write(line []byte) (int, error) {
 	if w.closed() {
@@ -61,16 +61,16 @@
 	}
 }
 
-// Dropped is how many lines were not written.
+// Dropped returns the number of lines that were not written.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes the backlog and ends the writer.
+// Close writes the backlog and stops the writer.
 func (w *Writer) Close() {
 	w.closeOnce.Do(func() { close(w.closing) })
 	<-w.ended
 }
 
-// run writes lines until the writer is closed, and then those that wait.
+// run writes lines until the writer is closed, and then the backlog.
 func (w *Writer) run() {
 	for {
 		select {
@@ -94,8 +94,8 @@
 	}
 }
 
-// write writes a line; one that cannot be written counts as dropped, since there is
-// nowhere to say so.
+// write writes a line. A line that cannot be written counts as dropped, since the error
+// cannot be logged anywhere else.
 func (w *Writer) write(line []byte) {
 	if _, err := w.out.Write(line); err != nil {
 		w.dropped.Add(1)
--- a/daemon/logwriter/logwriter_test.go
+++ b/daemon/logwriter/logwriter_test.go
@@ -18,7 +18,7 @@
 	each    = 2000
 )
 
-// logAll has many goroutines log at once and waits for them.
+// logAll logs from several goroutines at once and waits for them.
 func logAll(l *log.Logger) {
 	var wg sync.WaitGroup
 	for g := range loggers {
@@ -31,24 +31,24 @@
 	wg.Wait()
 }
 
-// Run with the race detector: the log library's own asynchronous writer fails here.
-func TestManyGoroutinesLogWholeLines(t *testing.T) {
+// The log library's own asynchronous writer fails this test under the race detector.
+func TestConcurrentLinesAreNotInterleaved(t *testing.T) {
 	var out bytes.Buffer
 	w := logwriter.New(&out, loggers*each)
 	logAll(&log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: w}})
 	w.Close()
 	lines := strings.Split(strings.TrimSuffix(out.String(), "\n"), "\n")
 	if len(lines) != loggers*each || w.Dropped() != 0 {
-		t.Fatalf("%d lines of %d, %d dropped", len(lines), loggers*each, w.Dropped())
+		t.Fatalf("got %d lines of %d, %d dropped", len(lines), loggers*each, w.Dropped())
 	}
 	for _, line := range lines {
 		if !strings.HasPrefix(line, "{") || !strings.HasSuffix(line, "}") {
-			t.Fatalf("not a whole line: %q", line)
+			t.Fatalf("incomplete line: %q", line)
 		}
 	}
 }
 
-// stuck is an output that nobody reads until it is released.
+// stuck is an output whose writes block until it is released.
 type stuck struct{ released chan struct{} }
 
 func (s stuck) Write(p []byte) (int, error) {
@@ -56,12 +56,12 @@
 	return len(p), nil
 }
 
-func TestOutputThatIsNotReadHoldsNobodyUp(t *testing.T) {
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	const backlog = 10
 	s := stuck{released: make(chan struct{})}
 	w := logwriter.New(s, backlog)
 	logAll(&log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: w}})
-	// One line may be with the output already.
+	// The writer's goroutine may already have taken one line from the backlog.
 	if d := w.Dropped(); d < loggers*each-backlog-1 || d > loggers*each-backlog {
 		t.Errorf("%d lines dropped of %d", d, loggers*each)
 	}
@@ -69,31 +69,31 @@
 	w.Close()
 }
 
-func TestLineAfterTheEndIsDropped(t *testing.T) {
+func TestLineAfterCloseIsDropped(t *testing.T) {
 	var out bytes.Buffer
 	w := logwriter.New(&out, 1)
 	w.Close()
 	w.Close()
 	if n, err := fmt.Fprintln(w, "late"); n != 5 || err != nil {
-		t.Errorf("%d, %v", n, err)
+		t.Errorf("wrote %d bytes, error %v", n, err)
 	}
 	if out.Len() > 0 || w.Dropped() != 1 {
 		t.Errorf("%q written, %d dropped", out.String(), w.Dropped())
 	}
 }
 
-// failing is an output that is closed.
+// failing is an output whose writes fail.
 type failing struct{}
 
 func (failing) Write([]byte) (int, error) { return 0, errors.New("closed") }
 
-func TestLinesThatCannotBeWrittenAreCounted(t *testing.T) {
+func TestFailedWritesCountAsDropped(t *testing.T) {
 	w := logwriter.New(failing{}, 3)
 	for range 3 {
 		_, _ = fmt.Fprintln(w, "x")
 	}
 	w.Close()
 	if w.Dropped() != 3 {
-		t.Errorf("%d dropped", w.Dropped())
+		t.Errorf("%d lines dropped, want 3", w.Dropped())
 	}
 }
--- a/daemon/slowreader/slowreader.go
+++ b/daemon/slowreader/slowreader.go
@@ -1,8 +1,8 @@
-// Package slowreader bounds how long callers may leave their answers unread.
+// Package slowreader disconnects callers that have stopped reading their responses.
 //
-// A caller that reads slowly is waited for: nothing more is read from its server than it takes.
-// One that has stopped to read would keep its request, its connection and a place at a server
-// for as long as its machine answers to the network.
+// A caller that reads slowly is served at its own speed: no more is read from its backend server
+// than the caller accepts. Without a write deadline, a caller that has stopped reading would hold
+// its request, its connection and a slot at a server until the network connection fails.
 package slowreader
 
 import (
@@ -16,78 +16,78 @@
 )
 
 const (
-	// Longest is how long a caller may take nothing of an answer: servers themselves break off
-	// answers that are not read for some seconds.
-	Longest = 10 * time.Second
-	// renewAfter is the least time between two settings of a deadline, so that a stream of
-	// small events does not set one for each.
-	renewAfter = time.Second
+	// WriteTimeout is how long a write to a caller may block. Backend servers themselves abort
+	// responses that are not read for some seconds.
+	WriteTimeout = 10 * time.Second
+	// minRenewInterval is the minimum time between two extensions of a write deadline, so that a
+	// stream of small events does not extend it for each event.
+	minRenewInterval = time.Second
 )
 
-// Guard lets callers go that do not read. Set the exported fields, then Wrap.
+// Guard disconnects callers that do not read their responses. Set the exported fields, then Wrap.
 type Guard struct {
 	Log log.Logger
 
-	// Gone counts callers that were let go.
+	// Gone counts the callers that were disconnected.
 	Gone atomic.Int64
 }
 
-// Wrap returns a handler whose answers are guarded.
+// Wrap returns a handler that calls h with a write deadline on its response.
 func (g *Guard) Wrap(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		guarded := &writer{ResponseWriter: w, control: http.NewResponseController(w), guard: g, path: r.URL.Path}
-		// What is left in buffers leaves after the handler's end.
-		defer guarded.renew()
+		// The HTTP server flushes its buffers after the handler has returned.
+		defer guarded.extendDeadline()
 		h.ServeHTTP(guarded, r)
 	})
 }
 
-// writer is an answer whose writes have a deadline.
+// writer is a response writer that extends the write deadline before each write.
 type writer struct {
 	http.ResponseWriter
-	control *http.ResponseController
-	guard   *Guard
-	path    string
-	renewed time.Time
-	gone    bool
+	control  *http.ResponseController
+	guard    *Guard
+	path     string
+	renewed  time.Time
+	timedOut bool
 }
 
-// Unwrap lets a response controller find what it needs.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (w *writer) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// renew sets the time until which something must have been taken. A connection without
-// deadlines, as in tests of handlers, is not guarded.
-func (w *writer) renew() {
+// extendDeadline sets the write deadline to WriteTimeout from now. A connection without support
+// for deadlines, such as in tests of handlers, has none.
+func (w *writer) extendDeadline() {
 	now := time.Now()
-	if now.Sub(w.renewed) < renewAfter {
+	if now.Sub(w.renewed) < minRenewInterval {
 		return
 	}
 	w.renewed = now
-	_ = w.control.SetWriteDeadline(now.Add(Longest))
+	_ = w.control.SetWriteDeadline(now.Add(WriteTimeout))
 }
 
 // Write implements http.ResponseWriter.
 func (w *writer) Write(p []byte) (int, error) {
-	w.renew()
+	w.extendDeadline()
 	n, err := w.ResponseWriter.Write(p)
-	w.note(err)
+	w.recordTimeout(err)
 	return n, err
 }
 
-// FlushError flushes what is buffered; response controllers find it.
+// FlushError flushes buffered data. http.ResponseController calls it.
 func (w *writer) FlushError() error {
-	w.renew()
+	w.extendDeadline()
 	err := w.control.Flush()
-	w.note(err)
+	w.recordTimeout(err)
 	return err
 }
 
-// note logs that the caller was let go, once.
-func (w *writer) note(err error) {
-	if w.gone || !errors.Is(err, os.ErrDeadlineExceeded) {
+// recordTimeout logs and counts, once per response, that the caller was disconnected.
+func (w *writer) recordTimeout(err error) {
+	if w.timedOut || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return
 	}
-	w.gone = true
+	w.timedOut = true
 	w.guard.Gone.Add(1)
-	w.guard.Log.Warn().Str("path", w.path).Dur("unread_for", Longest).Msg("caller: does not read its answer: it is let go")
+	w.guard.Log.Warn().Str("path", w.path).Dur("unread_for", WriteTimeout).Msg("caller: stopped reading its response: disconnected")
 }
--- a/daemon/slowreader/slowreader_test.go
+++ b/daemon/slowreader/slowreader_test.go
@@ -16,36 +16,38 @@
 	"ladderridge.example/daemon/slowreader"
 )
 
-// pipes is a listener of connections in memory.
-type pipes struct {
-	conns chan net.Conn
-	once  sync.Once
-	over  chan struct{}
+// pipeListener is a listener of connections in memory.
+type pipeListener struct {
+	conns  chan net.Conn
+	once   sync.Once
+	closed chan struct{}
 }
 
-func newPipes() *pipes { return &pipes{conns: make(chan net.Conn), over: make(chan struct{})} }
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+}
 
 // Accept implements net.Listener.
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
-	case <-p.over:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (p *pipes) Close() error {
-	p.once.Do(func() { close(p.over) })
+func (p *pipeListener) Close() error {
+	p.once.Do(func() { close(p.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// call sends a request and returns the connection.
-func (p *pipes) call(t *testing.T) net.Conn {
+// call sends a request and returns the client end of the connection.
+func (p *pipeListener) call(t *testing.T) net.Conn {
 	t.Helper()
 	near, far := net.Pipe()
 	p.conns <- far
@@ -57,10 +59,10 @@
 
 const answerBytes = 1 << 20
 
-// serve runs a server whose handler writes an answer in parts, and notes when it ended.
-func serve(t *testing.T, guard *slowreader.Guard, ended chan<- error) *pipes {
+// serve runs a server whose handler writes a response in 64 parts and sends its result to ended.
+func serve(t *testing.T, guard *slowreader.Guard, ended chan<- error) *pipeListener {
 	t.Helper()
-	p := newPipes()
+	p := newPipeListener()
 	s := &http.Server{Handler: guard.Wrap(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		part := bytes.Repeat([]byte("x"), answerBytes/64)
 		for range 64 {
@@ -80,9 +82,9 @@
 	return p
 }
 
-// Nothing bounded how long a caller could leave its answer unread: its request, the connection
-// to its server and that server's place stayed until the network gave up.
-func TestCallerThatStopsReadingIsLetGo(t *testing.T) {
+// Guards against a caller that stops reading holding its request, the connection to its backend
+// server and a slot there until the network connection fails.
+func TestCallerThatStopsReadingIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
 		guard := &slowreader.Guard{Log: log.Logger{Level: log.PanicLevel}}
@@ -91,18 +93,18 @@
 		c := p.call(t)
 		defer func() { _ = c.Close() }()
 		if err := <-ended; err == nil {
-			t.Error("the answer was taken by nobody")
+			t.Error("the handler wrote the whole response, though nobody read it")
 		}
-		if took := time.Since(began); took < slowreader.Longest || took > 2*slowreader.Longest {
-			t.Errorf("it was let go after %v", took)
+		if took := time.Since(began); took < slowreader.WriteTimeout || took > 2*slowreader.WriteTimeout {
+			t.Errorf("caller disconnected after %v", took)
 		}
 		if guard.Gone.Load() != 1 {
-			t.Errorf("%d were let go", guard.Gone.Load())
+			t.Errorf("%d callers disconnected, want 1", guard.Gone.Load())
 		}
 	})
 }
 
-func TestCallerThatReadsSlowlyGetsAllOfItsAnswer(t *testing.T) {
+func TestSlowReaderGetsCompleteResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
 		guard := &slowreader.Guard{Log: log.Logger{Level: log.PanicLevel}}
@@ -122,12 +124,12 @@
 			time.Sleep(2 * time.Second)
 		}
 		if got != answerBytes || <-ended != nil {
-			t.Errorf("%d bytes of %d: %v", got, answerBytes, err)
+			t.Errorf("got %d bytes of %d: %v", got, answerBytes, err)
 		}
 	})
 }
 
-func TestNextRequestOfAConnectionHasItsOwnTime(t *testing.T) {
+func TestNextRequestOnAConnectionHasItsOwnDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan error, 3)
 		p := serve(t, &slowreader.Guard{Log: log.Logger{Level: log.PanicLevel}}, ended)
@@ -140,11 +142,11 @@
 				t.Fatal(err)
 			}
 			if n, err := io.Copy(io.Discard, resp.Body); n != answerBytes || err != nil {
-				t.Fatalf("%d bytes: %v", n, err)
+				t.Fatalf("got %d bytes: %v", n, err)
 			}
 			_ = resp.Body.Close()
-			// Longer than the last answer's time to be read.
-			time.Sleep(2 * slowreader.Longest)
+			// Longer than the write deadline of the previous response.
+			time.Sleep(2 * slowreader.WriteTimeout)
 			if _, err := io.WriteString(c, "GET /answer HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 				t.Fatal(err)
 			}
--- a/daemon/suspend/suspend.go
+++ b/daemon/suspend/suspend.go
@@ -1,6 +1,5 @@
-// Package suspend tells how long the VM has stood still. While a VM is suspended its
-// steady clock does not move, nor does anything that is measured by it: what was known a
-// moment ago then looks a moment old, however much has changed.
+// Package suspend measures how long the VM has been suspended. The monotonic clock stops while a
+// VM is suspended, so ages measured by it are too small afterwards: outdated state looks recent.
 package suspend
 
 import (
@@ -9,15 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns how long the VM has stood still in all. The difference of two readings is
-// how long it did between them.
+// Clock returns the total time for which the VM has been suspended. The difference of two
+// readings is the time for which it was suspended between them.
 type Clock func() time.Duration
 
-// Least is what counts as having stood still: readings of two clocks differ by less.
+// Least is the shortest time that counts as a suspension. Without a suspension the two clocks
+// of Total are read a shorter time apart.
 const Least = 50 * time.Millisecond
 
-// Total is the Clock of the system: the clock that counts suspension, less the steady one.
-// It is 0 on a system that lacks them.
+// Total is the system's Clock: CLOCK_BOOTTIME, which counts suspensions, minus
+// CLOCK_MONOTONIC, which does not. It is 0 on a system without these clocks.
 func Total() time.Duration {
 	var steady, all unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &all) != nil {
@@ -26,7 +26,7 @@
 	return time.Duration(all.Nano() - steady.Nano())
 }
 
-// Now reads a clock; without one the VM never stands still.
+// Now reads the clock. A nil Clock always returns 0.
 func (c Clock) Now() time.Duration {
 	if c == nil {
 		return 0
--- a/daemon/suspend/suspend_test.go
+++ b/daemon/suspend/suspend_test.go
@@ -7,12 +7,12 @@
 	"ladderridge.example/daemon/suspend"
 )
 
-func TestClockNeverGoesBackOnAVMThatRuns(t *testing.T) {
+func TestClockIsSteadyWithoutSuspension(t *testing.T) {
 	before := suspend.Total()
 	if after := suspend.Total(); after-before > time.Second || before-after > time.Second {
-		t.Errorf("%v, then %v", before, after)
+		t.Errorf("total suspension %v, then %v", before, after)
 	}
 	if suspend.Clock(nil).Now() != 0 {
-		t.Error("without a clock it stands still")
+		t.Error("nil clock reports a suspension")
 	}
 }
