--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -109,7 +109,7 @@
 // clock says that it is new.
 func (c *Control) Snapshot() *Snapshot {
 	s := c.snapshot.Load()
-	if c.StoodStill.Now()-s.stood < suspend.Least {
+	if c.StoodStill.Now()-s.stood < suspend.MinSuspension {
 		return s
 	}
 	out, view := *s, *s.View
@@ -271,7 +271,7 @@
 // confirmed anew, as after a pause of the process.
 func (l *loop) noteStandstill(now time.Time) {
 	d := l.StoodStill.Now() - l.stood
-	if d < suspend.Least {
+	if d < suspend.MinSuspension {
 		return
 	}
 	l.stood += d
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -136,7 +136,7 @@
 	g.reporter = newReporter(g.log)
 	g.engine = proxy.New()
 	g.engine.Knowledge, g.engine.Channels, g.engine.Dialect = g.keeper, g.channels, g.Platform.Dialect
-	g.keeper.SuspendClock, g.engine.StoodStill = suspend.Total, suspend.Total
+	g.keeper.SuspendClock, g.engine.StoodStill = suspend.TotalSuspended, suspend.TotalSuspended
 	g.engine.Hall, g.engine.Observer, g.engine.Noticed = s.Hall, g.reporter.report, g.reporter.noticed
 	g.engine.Limited, g.keeper.OnLimitChange = g.limited, g.reporter.limited
 	g.engine.Budget = &retry.Budget{Seed: g.Start}
@@ -161,7 +161,7 @@
 		return
 	}
 	g.leaseholder = duties.New()
-	g.leaseholder.Self, g.leaseholder.Start, g.leaseholder.Log, g.leaseholder.StoodStill = s.ID, g.Start, g.log, suspend.Total
+	g.leaseholder.Self, g.leaseholder.Start, g.leaseholder.Log, g.leaseholder.StoodStill = s.ID, g.Start, g.log, suspend.TotalSuspended
 	g.leaseholder.Settings = duties.Settings{Names: g.Platform.DutyNames, Lease: s.DutyLease, Window: s.UsageWindow, Late: s.UsageLate, Rate: s.DutyRate}
 	g.leaseholder.Rows, g.leaseholder.Platform, g.leaseholder.Knowledge = g.Platform.DutyRows, g.Platform.Duties, g.keeper
 	g.leaseholder.Prepare()
--- a/daemon/storesync/suspend.go
+++ b/daemon/storesync/suspend.go
@@ -16,7 +16,7 @@
 func (sy *Syncer) detectSuspension(now time.Time) {
 	total := sy.SuspendClock.Now()
 	d := total - sy.suspendedTotal
-	if d < suspend.Least {
+	if d < suspend.MinSuspension {
 		return
 	}
 	sy.suspendedTotal, sy.resumedAt = total, now
@@ -45,7 +45,7 @@
 
 // suspendedSinceView returns how long the VM has been suspended since the view was created.
 func (v *View) suspendedSinceView() time.Duration {
-	if d := v.SuspendClock.Now() - v.SuspendedTotal; d >= suspend.Least {
+	if d := v.SuspendClock.Now() - v.SuspendedTotal; d >= suspend.MinSuspension {
 		return d
 	}
 	return 0
--- a/daemon/suspend/suspend.go
+++ b/daemon/suspend/suspend.go
@@ -12,13 +12,13 @@
 // readings is the time for which it was suspended between them.
 type Clock func() time.Duration
 
-// Least is the shortest time that counts as a suspension. Without a suspension the two clocks
+// MinSuspension is the shortest time that counts as a suspension. Without a suspension the two clocks
 // of Total are read a shorter time apart.
-const Least = 50 * time.Millisecond
+const MinSuspension = 50 * time.Millisecond
 
-// Total is the system's Clock: CLOCK_BOOTTIME, which counts suspensions, minus
+// TotalSuspended is the system's Clock: CLOCK_BOOTTIME, which counts suspensions, minus
 // CLOCK_MONOTONIC, which does not. It is 0 on a system without these clocks.
-func Total() time.Duration {
+func TotalSuspended() time.Duration {
 	var steady, all unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &all) != nil {
 		return 0
--- a/daemon/suspend/suspend_test.go
+++ b/daemon/suspend/suspend_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestClockIsSteadyWithoutSuspension(t *testing.T) {
-	before := suspend.Total()
-	if after := suspend.Total(); after-before > time.Second || before-after > time.Second {
+	before := suspend.TotalSuspended()
+	if after := suspend.TotalSuspended(); after-before > time.Second || before-after > time.Second {
 		t.Errorf("total suspension %v, then %v", before, after)
 	}
 	if suspend.Clock(nil).Now() != 0 {
