--- a/daemon/slowreader/slowreader.go
+++ b/daemon/slowreader/slowreader.go
@@ -28,8 +28,8 @@
 type Guard struct {
 	Log log.Logger
 
-	// Gone counts the callers that were disconnected.
-	Gone atomic.Int64
+	// Disconnected counts the callers that were disconnected.
+	Disconnected atomic.Int64
 }
 
 // Wrap returns a handler that calls h with a write deadline on its response.
@@ -88,6 +88,6 @@
 		return
 	}
 	w.timedOut = true
-	w.guard.Gone.Add(1)
+	w.guard.Disconnected.Add(1)
 	w.guard.Log.Warn().Str("path", w.path).Dur("unread_for", WriteTimeout).Msg("caller: stopped reading its response: disconnected")
 }
--- a/daemon/slowreader/slowreader_test.go
+++ b/daemon/slowreader/slowreader_test.go
@@ -98,8 +98,8 @@
 		if took := time.Since(began); took < slowreader.WriteTimeout || took > 2*slowreader.WriteTimeout {
 			t.Errorf("caller disconnected after %v", took)
 		}
-		if guard.Gone.Load() != 1 {
-			t.Errorf("%d callers disconnected, want 1", guard.Gone.Load())
+		if guard.Disconnected.Load() != 1 {
+			t.Errorf("%d callers disconnected, want 1", guard.Disconnected.Load())
 		}
 	})
 }
