--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -309,7 +309,7 @@
 // remaining is how much time a request with an end has. Its caller has waited while the VM
 // stood still.
 func (j *job) remaining() time.Duration {
-	return time.Until(j.end) - (j.engine.StoodStill.Now() - j.stood)
+	return time.Until(j.end) - (j.engine.SuspendClock.Now() - j.stood)
 }
 
 // live reports whether the request's time is not over and its caller there: else
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -41,8 +41,8 @@
 	Budget    *retry.Budget
 	// Hall is this daemon's data hall.
 	Hall string
-	// StoodStill tells how long the VM has stood still; nil is never.
-	StoodStill suspend.Clock
+	// SuspendClock tells how long the VM has stood still; nil is never.
+	SuspendClock suspend.Clock
 	// Observer is told of each request that has ended; nil is nobody.
 	Observer func(Report)
 	// Began is told of each request of an organisation that a server has begun to run; nil is
@@ -145,7 +145,7 @@
 func (e *Engine) Serve(ctx context.Context, r *Request, sink Sink) Outcome {
 	e.Open.Add(1)
 	defer e.Open.Add(-1)
-	j := &job{engine: e, request: r, sink: sink, after: r.After, stood: e.StoodStill.Now(), report: Report{Request: r}, left: func() bool { return ctx.Err() != nil }}
+	j := &job{engine: e, request: r, sink: sink, after: r.After, stood: e.SuspendClock.Now(), report: Report{Request: r}, left: func() bool { return ctx.Err() != nil }}
 	out := j.serve(ctx)
 	if _, whole := out.(Answered); j.left() && !whole {
 		out = Gone{}
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -894,7 +894,7 @@
 		inBubble(t, func(t *testing.T) {
 			var stood atomic.Int64
 			b := newBench(t)
-			b.engine.StoodStill = func() time.Duration { return time.Duration(stood.Load()) }
+			b.engine.SuspendClock = func() time.Duration { return time.Duration(stood.Load()) }
 			suspended := func(net.Conn, arrival) bool {
 				stood.Store(int64(still))
 				return false
--- a/daemon/proxy/repeats.go
+++ b/daemon/proxy/repeats.go
@@ -22,7 +22,7 @@
 }
 
 // budgetTime is the time by which the budget counts. It goes on while the VM stands still.
-func (e *Engine) budgetTime() time.Time { return time.Now().Add(e.StoodStill.Now()) }
+func (e *Engine) budgetTime() time.Time { return time.Now().Add(e.SuspendClock.Now()) }
 
 // Repeats returns what the budget has counted for each service.
 func (e *Engine) Repeats() []retry.Usage {
