--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -135,7 +135,7 @@
 	g.channels.Listed = g.listed
 	g.reporter = newReporter(g.log)
 	g.engine = proxy.New()
-	g.engine.Knowledge, g.engine.Channels, g.engine.Dialect = g.keeper, g.channels, g.Platform.Dialect
+	g.engine.StoreSync, g.engine.Channels, g.engine.Dialect = g.keeper, g.channels, g.Platform.Dialect
 	g.keeper.SuspendClock, g.engine.SuspendClock = suspend.TotalSuspended, suspend.TotalSuspended
 	g.engine.Hall, g.engine.Observer, g.engine.Noticed = s.Hall, g.reporter.report, g.reporter.noticed
 	g.engine.Limited, g.keeper.OnLimitChange = g.limited, g.reporter.limited
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -140,7 +140,7 @@
 	ctx, a.cancel = context.WithCancel(ctx)
 	timer := j.startTimer(a, patience)
 	if j.route.Sticky {
-		j.engine.Knowledge.RecordSession(j.service, j.request.session(), s.Version)
+		j.engine.StoreSync.RecordSession(j.service, j.request.session(), s.Version)
 	}
 	a.prompt = j.prompt
 	a.shared = pieces(s.State.PrefixCache.MissingTokens(a.prompt, a.sent) - a.prompt.UniqueTokens())
@@ -242,7 +242,7 @@
 	if !is.Differs(was) {
 		return
 	}
-	a.server.ApplyLimit(j.engine.Knowledge.View().Sharers, now)
+	a.server.ApplyLimit(j.engine.StoreSync.View().Sharers, now)
 	if j.engine.Limited != nil {
 		j.engine.Limited(a.server, was, is)
 	}
--- a/daemon/proxy/ended.go
+++ b/daemon/proxy/ended.go
@@ -45,7 +45,7 @@
 func (j *job) answeredWhole(a *attempt) {
 	a.done = true
 	if a.reply.Framed {
-		j.engine.Knowledge.Answered(j.content)
+		j.engine.StoreSync.Answered(j.content)
 	}
 }
 
@@ -67,7 +67,7 @@
 	e.Channels.Drop(p.Addr)
 	e.runs.CancelAll(p)
 	if contents := e.runs.TakeSuspects(p, time.Now()); len(contents) > 0 && was.Usable() {
-		e.Knowledge.RecordServerExit(p.Server, contents)
+		e.StoreSync.RecordServerExit(p.Server, contents)
 	}
 }
 
@@ -76,10 +76,10 @@
 func (e *Engine) serverEnded(p quarantine.Instance) {
 	now := time.Now()
 	contents := e.runs.TakeSuspects(p, now)
-	if len(contents) == 0 || !e.Knowledge.View().Serves(p.Server) {
+	if len(contents) == 0 || !e.StoreSync.View().Serves(p.Server) {
 		return
 	}
-	e.Knowledge.RecordServerExit(p.Server, contents)
+	e.StoreSync.RecordServerExit(p.Server, contents)
 	for _, f := range contents {
 		for _, other := range e.runs.AbortedAt(f, now) {
 			e.lookLater(other)
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -21,8 +21,8 @@
 	"ladderridge.example/daemon/suspend"
 )
 
-// Knowledge is what the engine needs to know.
-type Knowledge interface {
+// StoreSync is what the engine needs to know.
+type StoreSync interface {
 	View() *storesync.View
 	Observe(f storesync.Observation)
 	// RecordSession notes which version serves a session.
@@ -35,7 +35,7 @@
 
 // Engine serves requests. Set the exported fields, then Serve.
 type Engine struct {
-	Knowledge Knowledge
+	StoreSync StoreSync
 	Channels  *channel.Pool
 	Dialect   Dialect
 	Budget    *retry.Budget
@@ -288,7 +288,7 @@
 }
 
 // look takes the newest knowledge.
-func (j *job) look() { j.view = j.engine.Knowledge.View() }
+func (j *job) look() { j.view = j.engine.StoreSync.View() }
 
 // authenticate finds the holder of the key. A key passes only if the
 // configuration that allows it was in force a moment ago, or if no newer one is to be
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -149,7 +149,7 @@
 		pool.Sweep(func(string) bool { return false })
 	})
 	b.engine = proxy.New()
-	b.engine.Knowledge, b.engine.Channels, b.engine.Dialect = b.known, pool, dialect{}
+	b.engine.StoreSync, b.engine.Channels, b.engine.Dialect = b.known, pool, dialect{}
 	b.engine.Budget = &retry.Budget{Ratio: 2, Window: 10 * time.Second, Slack: 800}
 	b.engine.SetKeyAge(4*time.Second, 0)
 	b.engine.Observer = func(r proxy.Report) { b.reports = append(b.reports, r) }
--- a/daemon/proxy/observe.go
+++ b/daemon/proxy/observe.go
@@ -14,7 +14,7 @@
 func (j *job) observe(a *attempt, failed bool) {
 	f := j.fact(a)
 	f.Failed, f.FirstRatio = failed, a.first
-	j.engine.Knowledge.Observe(f)
+	j.engine.StoreSync.Observe(f)
 }
 
 // observeBegun tells of the first part of a stream when it comes: its end may be many seconds
@@ -22,14 +22,14 @@
 func (j *job) observeBegun(a *attempt) {
 	f := j.fact(a)
 	f.FirstRatio, f.Stage = a.first, storesync.Started
-	j.engine.Knowledge.Observe(f)
+	j.engine.StoreSync.Observe(f)
 }
 
 // observeOver tells of the rest of a stream.
 func (j *job) observeOver(a *attempt, between float64) {
 	f := j.fact(a)
 	f.BetweenRatio, f.Stage = between, storesync.Remainder
-	j.engine.Knowledge.Observe(f)
+	j.engine.StoreSync.Observe(f)
 }
 
 // observeEnded tells of an answer that was not awaited longer: the slowest ones
@@ -38,7 +38,7 @@
 	least := j.engine.settled.of(j.like(a)).Relative(a.features(), time.Since(a.sent))
 	f := j.fact(a)
 	f.FirstRatio, f.Stage = least, storesync.Abandoned
-	j.engine.Knowledge.Observe(f)
+	j.engine.StoreSync.Observe(f)
 }
 
 // fact says whose answer an attempt's is.
--- a/daemon/proxy/repeats.go
+++ b/daemon/proxy/repeats.go
@@ -26,7 +26,7 @@
 
 // Repeats returns what the budget has counted for each service.
 func (e *Engine) Repeats() []retry.Usage {
-	return e.Budget.Usage(e.sharers(e.Knowledge.View()), e.budgetTime())
+	return e.Budget.Usage(e.sharers(e.StoreSync.View()), e.budgetTime())
 }
 
 // RequestRate is how many requests for a service came a second lately; 0 is unknown.
