--- a/daemon/gateway/metrics.go
+++ b/daemon/gateway/metrics.go
@@ -47,7 +47,7 @@
 	counter("rows_spoiled_total", "Rows of the store that came and do not decode.", func() float64 { return float64(g.keeper.CorruptedRows.Load()) })
 	counter("servers_ended_total", "Servers that ended without notice while requests of this daemon were under way there.", func() float64 { return float64(g.keeper.ServerExits.Load()) })
 	counter("callers_unread_total", "Callers that were let go since they did not read their answer.", func() float64 { return float64(g.unread.Disconnected.Load()) })
-	gauge("held_answer_bytes", "Bytes of whole answers that are held for callers.", func() float64 { return float64(g.engine.Held()) })
+	gauge("held_answer_bytes", "Bytes of whole answers that are held for callers.", func() float64 { return float64(g.engine.BufferedBytes()) })
 	gauge("requests_quarantined", "Requests that get no server, since servers ended under them.", func() float64 { return float64(len(g.keeper.View().Quarantine.Entries(time.Now()))) })
 	gauge("halls_emptied", "Data halls whose servers get nothing.", func() float64 { return float64(len(g.keeper.View().Drained)) })
 	gauge("requests_open", "Requests under way.", func() float64 { return float64(g.engine.Open.Load()) })
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -53,9 +53,9 @@
 	// Limited is told of a server whose limit begins, changes or ends; nil is nobody.
 	Limited func(s *fleet.Server, was, is notice.LimitState)
 
-	// HoldAtMost bounds the bytes of whole answers that are held for callers, of all requests
+	// MaxBuffered bounds the bytes of whole answers that are held for callers, of all requests
 	// together; 0 is standardHold. Beyond it answers are passed on as they come.
-	HoldAtMost int64
+	MaxBuffered int64
 
 	// Open counts requests under way.
 	Open atomic.Int64
--- a/daemon/proxy/held_test.go
+++ b/daemon/proxy/held_test.go
@@ -29,7 +29,7 @@
 	inBubble(t, func(t *testing.T) {
 		const callers, size, most = 50, 100_000, 1_000_000
 		b := newBench(t)
-		b.engine.HoldAtMost, b.engine.Observer = most, nil
+		b.engine.MaxBuffered, b.engine.Observer = most, nil
 		body := strings.Repeat("x", size)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(http.StatusOK, body)))
 		let := make(chan struct{})
@@ -43,7 +43,7 @@
 			}()
 		}
 		time.Sleep(100 * time.Millisecond)
-		if held := b.engine.Held(); held > most || held < most/2 {
+		if held := b.engine.BufferedBytes(); held > most || held < most/2 {
 			t.Errorf("%d bytes are held, %d may be", held, most)
 		}
 		close(let)
@@ -57,7 +57,7 @@
 				t.Errorf("caller %d has %d bytes of %d", i, r.body.Len(), size)
 			}
 		}
-		if held := b.engine.Held(); held != 0 {
+		if held := b.engine.BufferedBytes(); held != 0 {
 			t.Errorf("%d bytes are still held", held)
 		}
 	})
--- a/daemon/proxy/whole.go
+++ b/daemon/proxy/whole.go
@@ -21,13 +21,13 @@
 	unknownLength = 64 << 10
 )
 
-// Held is how many bytes of whole answers are held for callers.
-func (e *Engine) Held() int64 { return e.held.Load() }
+// BufferedBytes is how many bytes of whole answers are held for callers.
+func (e *Engine) BufferedBytes() int64 { return e.held.Load() }
 
 // hold takes room for an answer of a length, -1 if that is not known; ok is false if there is
 // none. Callers that read slowly would otherwise have their answers fill the daemon's memory.
 func (e *Engine) hold(length int64) (bytes int64, ok bool) {
-	most := e.HoldAtMost
+	most := e.MaxBuffered
 	if most == 0 {
 		most = standardHold
 	}
