--- a/daemon/gateway/dump.go
+++ b/daemon/gateway/dump.go
@@ -111,7 +111,7 @@
 	now := time.Now()
 	d := Dump{
 		ConfigAgeMS: v.ConfigAge(now).Milliseconds(), Daemons: v.Daemons, Stopping: g.phase.stopping.Load(),
-		Open: g.engine.Open.Load(), Connections: g.channels.Idle(), HeldBytes: g.engine.BufferedBytes(), Peers: g.peers.Usage(),
+		Open: g.engine.InFlight.Load(), Connections: g.channels.Idle(), HeldBytes: g.engine.BufferedBytes(), Peers: g.peers.Usage(),
 	}
 	if v.Map != nil {
 		d.Config = v.Map.Number
--- a/daemon/gateway/metrics.go
+++ b/daemon/gateway/metrics.go
@@ -50,7 +50,7 @@
 	gauge("held_answer_bytes", "Bytes of whole answers that are held for callers.", func() float64 { return float64(g.engine.BufferedBytes()) })
 	gauge("requests_quarantined", "Requests that get no server, since servers ended under them.", func() float64 { return float64(len(g.keeper.View().Quarantine.Entries(time.Now()))) })
 	gauge("halls_emptied", "Data halls whose servers get nothing.", func() float64 { return float64(len(g.keeper.View().Drained)) })
-	gauge("requests_open", "Requests under way.", func() float64 { return float64(g.engine.Open.Load()) })
+	gauge("requests_open", "Requests under way.", func() float64 { return float64(g.engine.InFlight.Load()) })
 	gauge("config_age_seconds", "How long ago the configuration was confirmed.", func() float64 { return g.keeper.View().ConfigAge(time.Now()).Seconds() })
 	gauge("config_number", "The configuration in force.", func() float64 {
 		if v := g.keeper.View(); v.Map != nil {
--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -31,18 +31,18 @@
 // come back: when all daemons are stopped in turn there may be no other.
 func (g *Gateway) stop() {
 	begun, grace := time.Now(), g.settings.Load().Grace
-	g.log.Info().Int64("open", g.engine.Open.Load()).Msg("gateway: stopping: not ready")
+	g.log.Info().Int64("open", g.engine.InFlight.Load()).Msg("gateway: stopping: not ready")
 	g.phase.stopping.Store(true)
 	time.Sleep(min(stopNotice, grace/2))
 	end := begun.Add(grace - lastMoment)
 	g.engine.EndAt(end)
-	for g.engine.Open.Load() > 0 && time.Until(end) > lookEvery {
+	for g.engine.InFlight.Load() > 0 && time.Until(end) > lookEvery {
 		time.Sleep(lookEvery)
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	if err := g.callers.http.Shutdown(ctx); err != nil {
-		g.log.Warn().Err(err).Int64("open", g.engine.Open.Load()).Msg("gateway: stopping: requests outlasted the grace")
+		g.log.Warn().Err(err).Int64("open", g.engine.InFlight.Load()).Msg("gateway: stopping: requests outlasted the grace")
 	}
 	g.log.Info().Dur("took", time.Since(begun)).Msg("gateway: stopped")
 }
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -57,8 +57,8 @@
 	// together; 0 is standardHold. Beyond it answers are passed on as they come.
 	MaxBuffered int64
 
-	// Open counts requests under way.
-	Open atomic.Int64
+	// InFlight counts requests under way.
+	InFlight atomic.Int64
 
 	// held are the bytes of whole answers that are held now.
 	held atomic.Int64
@@ -143,8 +143,8 @@
 // Serve serves one request and returns how it ended. The sink gets an answer
 // only as a part of Answered or Broken.
 func (e *Engine) Serve(ctx context.Context, r *Request, sink Sink) Outcome {
-	e.Open.Add(1)
-	defer e.Open.Add(-1)
+	e.InFlight.Add(1)
+	defer e.InFlight.Add(-1)
 	j := &job{engine: e, request: r, sink: sink, after: r.After, stood: e.SuspendClock.Now(), report: Report{Request: r}, left: func() bool { return ctx.Err() != nil }}
 	out := j.serve(ctx)
 	if _, whole := out.(Answered); j.left() && !whole {
