--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -137,8 +137,8 @@
 	g.engine = proxy.New()
 	g.engine.StoreSync, g.engine.Channels, g.engine.Dialect = g.keeper, g.channels, g.Platform.Dialect
 	g.keeper.SuspendClock, g.engine.SuspendClock = suspend.TotalSuspended, suspend.TotalSuspended
-	g.engine.Hall, g.engine.Observer, g.engine.Noticed = s.Hall, g.reporter.report, g.reporter.noticed
-	g.engine.Limited, g.keeper.OnLimitChange = g.limited, g.reporter.limited
+	g.engine.Hall, g.engine.OnComplete, g.engine.OnNotice = s.Hall, g.reporter.report, g.reporter.noticed
+	g.engine.OnLimitChange, g.keeper.OnLimitChange = g.limited, g.reporter.limited
 	g.engine.Budget = &retry.Budget{Seed: g.Start}
 	g.keeper.OnServerRestart = g.engine.BeganAgain
 	g.keeper.Exposure = canary.Exposure{Share: s.ExposureShare, Slack: s.ExposureSlack}
@@ -165,7 +165,7 @@
 	g.leaseholder.Settings = duties.Settings{Names: g.Platform.DutyNames, Lease: s.DutyLease, Window: s.UsageWindow, Late: s.UsageLate, Rate: s.DutyRate}
 	g.leaseholder.Rows, g.leaseholder.Platform, g.leaseholder.Knowledge = g.Platform.DutyRows, g.Platform.Duties, g.keeper
 	g.leaseholder.Prepare()
-	g.keeper.Usage, g.engine.Began = g.leaseholder, g.leaseholder.Began
+	g.keeper.Usage, g.engine.OnStart = g.leaseholder, g.leaseholder.Began
 }
 
 // sender carries the keeper's messages to other daemons.
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -221,17 +221,17 @@
 // count counts the request for its organisation when a server first takes it on: what is told
 // of usage counts requests, not the runs that one takes.
 func (j *job) count() {
-	if j.engine.Began != nil && !j.counted {
+	if j.engine.OnStart != nil && !j.counted {
 		j.counted = true
-		j.engine.Began(j.report.Organisation)
+		j.engine.OnStart(j.report.Organisation)
 	}
 }
 
 // hear keeps what a server says of itself with an answer, whatever becomes of that.
 func (j *job) hear(a *attempt, now time.Time) {
 	n := a.head.Notice
-	if (n.Leaving || n.Backoff > 0) && a.server.State.Notices.Observe(n, now) && j.engine.Noticed != nil {
-		j.engine.Noticed(a.server, n)
+	if (n.Leaving || n.Backoff > 0) && a.server.State.Notices.Observe(n, now) && j.engine.OnNotice != nil {
+		j.engine.OnNotice(a.server, n)
 	}
 	j.hearLimit(a, now)
 }
@@ -243,8 +243,8 @@
 		return
 	}
 	a.server.ApplyLimit(j.engine.StoreSync.View().Sharers, now)
-	if j.engine.Limited != nil {
-		j.engine.Limited(a.server, was, is)
+	if j.engine.OnLimitChange != nil {
+		j.engine.OnLimitChange(a.server, was, is)
 	}
 }
 
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -43,15 +43,15 @@
 	Hall string
 	// SuspendClock tells how long the VM has stood still; nil is never.
 	SuspendClock suspend.Clock
-	// Observer is told of each request that has ended; nil is nobody.
-	Observer func(Report)
-	// Began is told of each request of an organisation that a server has begun to run; nil is
+	// OnComplete is told of each request that has ended; nil is nobody.
+	OnComplete func(Report)
+	// OnStart is told of each request of an organisation that a server has begun to run; nil is
 	// nobody.
-	Began func(organisation string)
-	// Noticed is told of a server that says of itself what was not known; nil is nobody.
-	Noticed func(s *fleet.Server, n notice.Notice)
-	// Limited is told of a server whose limit begins, changes or ends; nil is nobody.
-	Limited func(s *fleet.Server, was, is notice.LimitState)
+	OnStart func(organisation string)
+	// OnNotice is told of a server that says of itself what was not known; nil is nobody.
+	OnNotice func(s *fleet.Server, n notice.Notice)
+	// OnLimitChange is told of a server whose limit begins, changes or ends; nil is nobody.
+	OnLimitChange func(s *fleet.Server, was, is notice.LimitState)
 
 	// MaxBuffered bounds the bytes of whole answers that are held for callers, of all requests
 	// together; 0 is standardHold. Beyond it answers are passed on as they come.
@@ -150,9 +150,9 @@
 	if _, whole := out.(Answered); j.left() && !whole {
 		out = Gone{}
 	}
-	if e.Observer != nil {
+	if e.OnComplete != nil {
 		j.report.Outcome, j.report.Took = out, time.Since(r.Arrived)
-		e.Observer(j.report)
+		e.OnComplete(j.report)
 	}
 	return out
 }
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -152,7 +152,7 @@
 	b.engine.StoreSync, b.engine.Channels, b.engine.Dialect = b.known, pool, dialect{}
 	b.engine.Budget = &retry.Budget{Ratio: 2, Window: 10 * time.Second, Slack: 800}
 	b.engine.SetKeyAge(4*time.Second, 0)
-	b.engine.Observer = func(r proxy.Report) { b.reports = append(b.reports, r) }
+	b.engine.OnComplete = func(r proxy.Report) { b.reports = append(b.reports, r) }
 	return b
 }
 
--- a/daemon/proxy/held_test.go
+++ b/daemon/proxy/held_test.go
@@ -29,7 +29,7 @@
 	inBubble(t, func(t *testing.T) {
 		const callers, size, most = 50, 100_000, 1_000_000
 		b := newBench(t)
-		b.engine.MaxBuffered, b.engine.Observer = most, nil
+		b.engine.MaxBuffered, b.engine.OnComplete = most, nil
 		body := strings.Repeat("x", size)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(http.StatusOK, body)))
 		let := make(chan struct{})
--- a/daemon/proxy/limit_test.go
+++ b/daemon/proxy/limit_test.go
@@ -80,7 +80,7 @@
 	var out []*bench
 	for i := range 7 {
 		b := newBench(t)
-		b.engine.Hall, b.engine.Observer = hallOf(i), nil
+		b.engine.Hall, b.engine.OnComplete = hallOf(i), nil
 		b.engine.SetKeyAge(time.Hour, 0)
 		var all []*fleet.Server
 		for id, s := range servers {
--- a/daemon/proxy/notice_test.go
+++ b/daemon/proxy/notice_test.go
@@ -79,7 +79,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		var noticed []string
-		b.engine.Noticed = func(s *fleet.Server, n notice.Notice) { noticed = append(noticed, s.ID+" "+n.String()) }
+		b.engine.OnNotice = func(s *fleet.Server, n notice.Notice) { noticed = append(noticed, s.ID+" "+n.String()) }
 		tired := b.server("a", whole(503, "", "Declined: 1", rests))
 		other := b.server("b", whole(200, "ok"))
 		other.State.Begin(50)
