--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -140,7 +140,7 @@
 	g.engine.Hall, g.engine.OnComplete, g.engine.OnNotice = s.Hall, g.reporter.report, g.reporter.noticed
 	g.engine.OnLimitChange, g.keeper.OnLimitChange = g.limited, g.reporter.limited
 	g.engine.Budget = &retry.Budget{Seed: g.Start}
-	g.keeper.OnServerRestart = g.engine.BeganAgain
+	g.keeper.OnServerRestart = g.engine.ServerRestarted
 	g.keeper.Exposure = canary.Exposure{Share: s.ExposureShare, Slack: s.ExposureSlack}
 	g.keeper.Regions, g.keeper.ColdOverage, g.keeper.ColdSlack = s.Regions.ByHall(), s.ColdOverage, s.ColdSlack
 	g.keeper.Rate = g.engine.RequestRate
--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -35,7 +35,7 @@
 	g.phase.stopping.Store(true)
 	time.Sleep(min(stopNotice, grace/2))
 	end := begun.Add(grace - lastMoment)
-	g.engine.EndAt(end)
+	g.engine.ShutdownBy(end)
 	for g.engine.InFlight.Load() > 0 && time.Until(end) > lookEvery {
 		time.Sleep(lookEvery)
 	}
--- a/daemon/proxy/ended.go
+++ b/daemon/proxy/ended.go
@@ -60,9 +60,9 @@
 
 func (e *Engine) lookLater(p quarantine.Instance) { time.AfterFunc(lookAfter, func() { e.look(p) }) }
 
-// BeganAgain ends what is under way at a server that has begun again under its id: it knows
+// ServerRestarted ends what is under way at a server that has begun again under its id: it knows
 // nothing of that. Of one that was not to leave it counts as what was there when it ended.
-func (e *Engine) BeganAgain(was *fleet.Server) {
+func (e *Engine) ServerRestarted(was *fleet.Server) {
 	p := placeOf(was)
 	e.Channels.Drop(p.Addr)
 	e.runs.CancelAll(p)
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -89,9 +89,9 @@
 	e.keyAgeCut.Store(int64(max(confirmed, cut)))
 }
 
-// EndAt tells the engine that the daemon ends at a time: from now on it takes only
+// ShutdownBy tells the engine that the daemon ends at a time: from now on it takes only
 // what is over by then.
-func (e *Engine) EndAt(at time.Time) { e.ends.Store(&at) }
+func (e *Engine) ShutdownBy(at time.Time) { e.ends.Store(&at) }
 
 // New returns an engine that has served nothing yet.
 func New() *Engine {
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -382,7 +382,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		before := b.engine.Repeats()[0].Left
-		b.engine.EndAt(time.Now().Add(time.Second))
+		b.engine.ShutdownBy(time.Now().Add(time.Second))
 		if after := b.engine.Repeats()[0].Left; before < 10 || after > 2 {
 			t.Errorf("%.1f repeats are left, and %.1f while it ends", before, after)
 		}
@@ -433,7 +433,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(200, "ok")))
-		b.engine.EndAt(time.Now().Add(1500 * time.Millisecond))
+		b.engine.ShutdownBy(time.Now().Add(1500 * time.Millisecond))
 		ask := func(wait time.Duration) proxy.Outcome {
 			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: wait}).outcome
 		}
@@ -879,7 +879,7 @@
 		again := b.server("a", whole(200, "x"))
 		again.Born = 200
 		b.known.set(routemap.New(parts(1, "k")), again)
-		b.engine.BeganAgain(first)
+		b.engine.ServerRestarted(first)
 		got := <-done
 		if got.status != 200 || got.took > 110*time.Millisecond {
 			t.Errorf("%d after %v: %#v", got.status, got.took, got.outcome)
