--- a/daemon/gateway/report.go
+++ b/daemon/gateway/report.go
@@ -98,13 +98,13 @@
 	name, reason := outcomeNames(rep.Outcome)
 	r.requests.WithLabelValues(rep.Route, name, reason).Inc()
 	r.duration.WithLabelValues(name).Observe(rep.Took.Seconds())
-	if rep.First > 0 {
-		r.first.WithLabelValues(rep.Route).Observe(rep.First.Seconds())
+	if rep.FirstByte > 0 {
+		r.first.WithLabelValues(rep.Route).Observe(rep.FirstByte.Seconds())
 	}
-	r.tries.WithLabelValues(rep.Service, rep.Version).Add(float64(len(rep.Tries)))
+	r.tries.WithLabelValues(rep.Service, rep.Version).Add(float64(len(rep.Attempts)))
 	r.countNotices(rep)
 	second := int64(time.Since(started) / time.Second)
-	plain := name == "answered" && len(rep.Tries) <= 1
+	plain := name == "answered" && len(rep.Attempts) <= 1
 	if (plain && !r.fine.take(second)) || (!plain && !r.wrong.take(second)) {
 		r.leftOut.Add(1)
 		return
@@ -137,7 +137,7 @@
 
 // countNotices counts what servers said of themselves in answers.
 func (r *reporter) countNotices(rep proxy.Report) {
-	for _, t := range rep.Tries {
+	for _, t := range rep.Attempts {
 		if t.Notice.Leaving {
 			r.notices.WithLabelValues(rep.Service, "leaving").Inc()
 		}
@@ -163,9 +163,9 @@
 		Str("route", rep.Route).Str("organisation", rep.Organisation).Stringer("content", rep.Content).Str("service", rep.Service).
 		Str("version", rep.Version).Str("model", rep.Model).Str("server", rep.Server).
 		Uint64("config", rep.Config).Int64("config_age_ms", rep.ConfigAge.Milliseconds()).
-		Str("session", strconv.FormatUint(rep.Session, 16)).Str("rollout", rep.Rollout).Bool("escalated", rep.Escalated).Int64("took_ms", rep.Took.Milliseconds()).Int64("first_ms", rep.First.Milliseconds())
-	if len(rep.Tries) > 0 {
-		e = e.Str("tries", triesText(rep.Tries))
+		Str("session", strconv.FormatUint(rep.Session, 16)).Str("rollout", rep.Rollout).Bool("escalated", rep.Escalated).Int64("took_ms", rep.Took.Milliseconds()).Int64("first_ms", rep.FirstByte.Milliseconds())
+	if len(rep.Attempts) > 0 {
+		e = e.Str("tries", triesText(rep.Attempts))
 	}
 	if refused, ok := rep.Outcome.(proxy.Refused); ok {
 		e = e.Int64("retry_after_ms", refused.RetryAfter.Milliseconds())
@@ -174,7 +174,7 @@
 }
 
 // triesText writes the attempts in one line.
-func triesText(tries []proxy.Try) string {
+func triesText(tries []proxy.AttemptReport) string {
 	var b strings.Builder
 	for i, t := range tries {
 		if i > 0 {
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -332,7 +332,7 @@
 
 // note puts an attempt into the report.
 func (j *job) note(a *attempt, result string) {
-	j.report.Tries = append(j.report.Tries, Try{Server: a.server.ID, Model: a.model, Result: result, Notice: a.head.Notice, Took: time.Since(a.sent)})
+	j.report.Attempts = append(j.report.Attempts, AttemptReport{Server: a.server.ID, Model: a.model, Result: result, Notice: a.head.Notice, Took: time.Since(a.sent)})
 }
 
 // mostDeclined bounds the servers that may decline a request before it is
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -119,18 +119,18 @@
 	// Config is the number of the configuration, ConfigAge how old it was.
 	Config    uint64
 	ConfigAge time.Duration
-	// Tries are the attempts with their outcomes, in order.
-	Tries []Try
+	// Attempts are the attempts with their outcomes, in order.
+	Attempts []AttemptReport
 	// Escalated tells that a smaller model's answer was dropped.
 	Escalated bool
 	Outcome   Outcome
 	Took      time.Duration
-	// First is the time to the first part of the answer.
-	First time.Duration
+	// FirstByte is the time to the first part of the answer.
+	FirstByte time.Duration
 }
 
-// Try is one attempt at a server.
-type Try struct {
+// AttemptReport is one attempt at a server.
+type AttemptReport struct {
 	Server string
 	Model  string
 	// Result says what came of it, in a word or an error's text.
--- a/daemon/proxy/whole.go
+++ b/daemon/proxy/whole.go
@@ -100,7 +100,7 @@
 // one.
 func (j *job) wentWell(a *attempt, took time.Duration) {
 	j.learn(a, took)
-	j.report.First = time.Since(j.request.Arrived)
+	j.report.FirstByte = time.Since(j.request.Arrived)
 }
 
 // learn notes how long a server took for the first part of an answer.
