--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -282,7 +282,7 @@
 	j.report.Service, j.report.Session = j.service, j.request.session()
 	j.end = j.deadline()
 	if at := j.engine.ends.Load(); at != nil && (j.end.IsZero() || j.end.After(*at)) {
-		return Refused{Reason: Leaving, RetryAfter: leavingRetry}
+		return Refused{Reason: ShuttingDown, RetryAfter: leavingRetry}
 	}
 	return nil
 }
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -114,7 +114,7 @@
 		b.scripts["c"] = full
 		b.known.set(routemap.New(parts(2, "k")), servers[:2]...)
 		got := b.ask(t.Context(), proxy.Request{ID: "r2", Path: "/once/x", Key: "k", Wait: time.Second})
-		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.Full || out.RetryAfter <= 0 || got.took > 0 {
+		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.Overloaded || out.RetryAfter <= 0 || got.took > 0 {
 			t.Errorf("with all servers full: %v after %v", got.outcome, got.took)
 		}
 	})
@@ -162,7 +162,7 @@
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", silent))
 		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: 300 * time.Millisecond})
-		if got.outcome != (proxy.Failure{Reason: proxy.Late}) || got.took != 300*time.Millisecond {
+		if got.outcome != (proxy.Failure{Reason: proxy.DeadlineExceeded}) || got.took != 300*time.Millisecond {
 			t.Errorf("%v after %v", got.outcome, got.took)
 		}
 	})
@@ -440,7 +440,7 @@
 		if out := ask(time.Second); out != (proxy.Answered{Status: 200}) {
 			t.Errorf("a short one: %v", out)
 		}
-		if out, ok := ask(9 * time.Second).(proxy.Refused); !ok || out.Reason != proxy.Leaving || out.RetryAfter <= 0 {
+		if out, ok := ask(9 * time.Second).(proxy.Refused); !ok || out.Reason != proxy.ShuttingDown || out.RetryAfter <= 0 {
 			t.Errorf("one that may outlast the daemon: %v", out)
 		}
 		if len(b.seen()) != 1 {
--- a/daemon/proxy/limit_test.go
+++ b/daemon/proxy/limit_test.go
@@ -229,7 +229,7 @@
 		}
 		got := ask()
 		refused, ok := got.outcome.(proxy.Refused)
-		if !ok || got.took > 0 || refused.Reason != proxy.Limited || refused.RetryAfter <= 0 || refused.RetryAfter > 5*time.Second {
+		if !ok || got.took > 0 || refused.Reason != proxy.RateLimited || refused.RetryAfter <= 0 || refused.RetryAfter > 5*time.Second {
 			t.Fatalf("%+v after %v", got.outcome, got.took)
 		}
 		time.Sleep(refused.RetryAfter + time.Millisecond)
--- a/daemon/proxy/notice_test.go
+++ b/daemon/proxy/notice_test.go
@@ -115,11 +115,11 @@
 			}
 			return refused
 		}
-		if got := ask(); got.Reason != proxy.Resting || got.RetryAfter != 3*time.Second {
+		if got := ask(); got.Reason != proxy.Backoff || got.RetryAfter != 3*time.Second {
 			t.Errorf("%+v", got)
 		}
 		time.Sleep(time.Second)
-		if got := ask(); got.Reason != proxy.Resting || got.RetryAfter != 2*time.Second || len(b.seen()) != 2 {
+		if got := ask(); got.Reason != proxy.Backoff || got.RetryAfter != 2*time.Second || len(b.seen()) != 2 {
 			t.Errorf("%+v with %d requests sent", got, len(b.seen()))
 		}
 	})
--- a/daemon/proxy/outcome.go
+++ b/daemon/proxy/outcome.go
@@ -21,20 +21,20 @@
 	NotReady Reason = "no configuration yet"
 	// Stale is a daemon whose configuration is too old to let keys pass.
 	Stale Reason = "configuration too old"
-	// Leaving is a daemon that ends before the request could be over.
-	Leaving Reason = "daemon leaving"
+	// ShuttingDown is a daemon that ends before the request could be over.
+	ShuttingDown Reason = "daemon leaving"
 	// NoServer is a service without a server that may be used.
 	NoServer Reason = "no server"
-	// Full is a service whose servers declined.
-	Full Reason = "servers full"
-	// Resting is a service whose servers all want rest.
-	Resting Reason = "servers want rest"
-	// Limited is a service whose servers all have as many requests as they take.
-	Limited Reason = "servers at their limit"
+	// Overloaded is a service whose servers declined.
+	Overloaded Reason = "servers full"
+	// Backoff is a service whose servers all want rest.
+	Backoff Reason = "servers want rest"
+	// RateLimited is a service whose servers all have as many requests as they take.
+	RateLimited Reason = "servers at their limit"
 	// Quarantined is a request under which servers have ended.
 	Quarantined Reason = "quarantined"
-	// Late is a request whose time is over.
-	Late Reason = "deadline passed"
+	// DeadlineExceeded is a request whose time is over.
+	DeadlineExceeded Reason = "deadline passed"
 	// Failed is a server that did not answer, or broke off.
 	Failed Reason = "server failed"
 )
--- a/daemon/proxy/run.go
+++ b/daemon/proxy/run.go
@@ -22,7 +22,7 @@
 			return j.truthful(out)
 		}
 		if !j.end.IsZero() && j.remaining() <= 0 {
-			return j.giveUp(ctx, Late)
+			return j.giveUp(ctx, DeadlineExceeded)
 		}
 		if _, ok := j.quarantined(time.Now()); ok {
 			return j.giveUp(ctx, Quarantined)
@@ -57,7 +57,7 @@
 			return nil, NoServer
 		}
 		j.note(a, "declined")
-		return nil, Full
+		return nil, Overloaded
 	case a.verdict == lost:
 		j.note(a, a.err.Error())
 		return nil, Failed
@@ -75,12 +75,12 @@
 		return Broken{Reason: reason}
 	}
 	if ctx.Err() != nil && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-		reason = Late
+		reason = DeadlineExceeded
 	}
 	if j.kept != nil {
 		return j.sendWhole(j.kept)
 	}
-	if out, ok := j.atRest(time.Now()); ok && (reason == NoServer || reason == Full) {
+	if out, ok := j.atRest(time.Now()); ok && (reason == NoServer || reason == Overloaded) {
 		return j.truthful(out)
 	}
 	return j.truthful(Refused{Reason: reason, RetryAfter: j.comeBack(reason)})
@@ -90,9 +90,9 @@
 // takes requests again: sooner it would find none.
 func (j *job) atRest(now time.Time) (Refused, bool) {
 	at, limited, ok := j.view.Servers.AvailableAt(j.service, now)
-	out := Refused{Reason: Resting, RetryAfter: at.Sub(now)}
+	out := Refused{Reason: Backoff, RetryAfter: at.Sub(now)}
 	if limited {
-		out.Reason = Limited
+		out.Reason = RateLimited
 	}
 	return out, ok
 }
@@ -109,9 +109,9 @@
 // comeBack is when a request that has not run may succeed.
 func (j *job) comeBack(reason Reason) time.Duration {
 	switch reason {
-	case Full:
+	case Overloaded:
 		return retry.SuggestedDelay(j.usual(time.Now()))
-	case Late:
+	case DeadlineExceeded:
 		return 0
 	case Quarantined:
 		left, _ := j.quarantined(time.Now())
--- a/daemon/proxy/stream.go
+++ b/daemon/proxy/stream.go
@@ -21,7 +21,7 @@
 		j.observe(a, false)
 		j.step = next
 		j.report.Escalated = true
-		return nil, Full
+		return nil, Overloaded
 	}
 	j.version = a.server.Version
 	if !j.begun {
