--- a/daemon/gateway/report.go
+++ b/daemon/gateway/report.go
@@ -86,7 +86,7 @@
 		return "refused", string(out.Reason)
 	case proxy.Failure:
 		return "failed", string(out.Reason)
-	case proxy.Broken:
+	case proxy.Interrupted:
 		return "broken", string(out.Reason)
 	default:
 		return "caller_gone", ""
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -148,7 +148,7 @@
 	j := &job{engine: e, request: r, sink: sink, after: r.After, stood: e.SuspendClock.Now(), report: Report{Request: r}, left: func() bool { return ctx.Err() != nil }}
 	out := j.serve(ctx)
 	if _, whole := out.(Answered); j.left() && !whole {
-		out = Gone{}
+		out = ClientGone{}
 	}
 	if e.OnComplete != nil {
 		j.report.Outcome, j.report.Took = out, time.Since(r.Arrived)
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -230,7 +230,7 @@
 		s := events(1, 2, false)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s), b.server("c", s))
 		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
-		if _, ok := got.outcome.(proxy.Broken); !ok {
+		if _, ok := got.outcome.(proxy.Interrupted); !ok {
 			t.Errorf("the outcome is %v", got.outcome)
 		}
 		if diff := cmp.Diff([]string{"1", "2"}, ids(got.body.String())); diff != "" {
@@ -402,7 +402,7 @@
 		defer cancel()
 		got := b.ask(ctx, proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
 		<-left
-		if got.outcome != (proxy.Gone{}) || got.took != 100*time.Millisecond {
+		if got.outcome != (proxy.ClientGone{}) || got.took != 100*time.Millisecond {
 			t.Errorf("%v after %v", got.outcome, got.took)
 		}
 	})
@@ -687,7 +687,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 				got := b.ask(ctx, proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
 				cancel()
-				if got.outcome != (proxy.Gone{}) {
+				if got.outcome != (proxy.ClientGone{}) {
 					t.Errorf("%s: %v", name, got.outcome)
 				}
 			}
--- a/daemon/proxy/outcome.go
+++ b/daemon/proxy/outcome.go
@@ -55,14 +55,14 @@
 // Failure is a request that may have run and has no answer.
 type Failure struct{ Reason Reason }
 
-// Broken is an answer of which the caller has a part and will not get the rest.
-type Broken struct{ Reason Reason }
+// Interrupted is an answer of which the caller has a part and will not get the rest.
+type Interrupted struct{ Reason Reason }
 
-// Gone is a caller that left.
-type Gone struct{}
+// ClientGone is a caller that left.
+type ClientGone struct{}
 
 func (Answered) outcome() {}
 func (Refused) outcome()  {}
 func (Failure) outcome()  {}
-func (Broken) outcome()   {}
-func (Gone) outcome()     {}
+func (Interrupted) outcome()   {}
+func (ClientGone) outcome()     {}
--- a/daemon/proxy/run.go
+++ b/daemon/proxy/run.go
@@ -72,7 +72,7 @@
 // server if there is one, and otherwise with what is true of it.
 func (j *job) giveUp(ctx context.Context, reason Reason) Outcome {
 	if j.begun {
-		return Broken{Reason: reason}
+		return Interrupted{Reason: reason}
 	}
 	if ctx.Err() != nil && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		reason = DeadlineExceeded
--- a/daemon/proxy/stream.go
+++ b/daemon/proxy/stream.go
@@ -28,7 +28,7 @@
 		j.begun = true
 		j.sink.Begin(a.reply.Status, j.engine.Dialect.Passed(a.reply.Header), -1)
 		if err := j.sink.Flush(); err != nil {
-			return Gone{}, ""
+			return ClientGone{}, ""
 		}
 	}
 	var t tempo
@@ -41,7 +41,7 @@
 		return Answered{Status: a.reply.Status}, ""
 	case errors.Is(err, errCallerGone):
 		j.note(a, "caller gone")
-		return Gone{}, ""
+		return ClientGone{}, ""
 	}
 	if t.events == 0 && (errors.Is(err, errSilent) || ctx.Err() != nil) {
 		j.observeEnded(a)
--- a/daemon/proxy/whole.go
+++ b/daemon/proxy/whole.go
@@ -116,7 +116,7 @@
 	j.begun = true
 	j.sink.Begin(w.status, j.engine.Dialect.Passed(w.header), int64(len(w.body)))
 	if _, err := j.sink.Write(w.body); err != nil {
-		return Gone{}
+		return ClientGone{}
 	}
 	return Answered{Status: w.status}
 }
@@ -126,11 +126,11 @@
 	j.begun = true
 	j.sink.Begin(a.reply.Status, j.engine.Dialect.Passed(a.reply.Header), a.reply.Length)
 	if _, err := j.sink.Write(begun); err != nil {
-		return Gone{}, ""
+		return ClientGone{}, ""
 	}
 	if _, err := io.Copy(j.sink, a.reply); err != nil {
 		j.note(a, err.Error())
-		return Broken{Reason: Failed}, ""
+		return Interrupted{Reason: Failed}, ""
 	}
 	j.answeredWhole(a)
 	j.wentWell(a, time.Since(a.sent))
