--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -168,16 +168,16 @@
 // compose makes the request for a server.
 func (j *job) compose(a *attempt) channel.Request {
 	r := j.request
-	attempt := Attempt{Request: r, Server: a.server, Model: a.model, Urgency: j.urgency(), After: j.after}
+	attempt := Attempt{Request: r, Server: a.server, Model: a.model, Urgency: j.urgency(), LastEvent: j.after}
 	if j.holder != nil {
 		attempt.Organisation = j.holder.Name
 	}
 	if !j.end.IsZero() {
-		attempt.Left = max(time.Millisecond, j.remaining())
+		attempt.TimeLeft = max(time.Millisecond, j.remaining())
 	}
 	x := channel.Request{
 		Addr: a.server.Addr, Method: r.Method, Target: r.Target, Host: r.Host, Header: j.engine.Dialect.Compose(attempt),
-		Body: r.Body, Sized: r.Sized, Belongs: func(h http.Header) bool { return j.engine.Dialect.Belongs(r.ID, h) },
+		Body: r.Body, Sized: r.HasBody, Belongs: func(h http.Header) bool { return j.engine.Dialect.Belongs(r.ID, h) },
 		Gate: func() error { return j.mayArrive(a) },
 	}
 	if !j.route.MayRepeat() {
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -145,7 +145,7 @@
 func (e *Engine) Serve(ctx context.Context, r *Request, sink Sink) Outcome {
 	e.InFlight.Add(1)
 	defer e.InFlight.Add(-1)
-	j := &job{engine: e, request: r, sink: sink, after: r.After, stood: e.SuspendClock.Now(), report: Report{Request: r}, left: func() bool { return ctx.Err() != nil }}
+	j := &job{engine: e, request: r, sink: sink, after: r.LastEvent, stood: e.SuspendClock.Now(), report: Report{Request: r}, left: func() bool { return ctx.Err() != nil }}
 	out := j.serve(ctx)
 	if _, whole := out.(Answered); j.left() && !whole {
 		out = ClientGone{}
@@ -315,7 +315,7 @@
 // deadline is when the request is given up: when its caller does or its route
 // says.
 func (j *job) deadline() time.Time {
-	wait := j.request.Wait
+	wait := j.request.Timeout
 	if limit := j.route.Timeout; limit > 0 && (wait == 0 || limit < wait) {
 		wait = limit
 	}
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -45,7 +45,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(200, "the answer", "Proof: p")))
-		got := b.ask(t.Context(), proxy.Request{ID: "r1", Path: "/once/x", Target: "/once/x?q=%20", Key: "k", Body: []byte("in"), Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r1", Path: "/once/x", Target: "/once/x?q=%20", Key: "k", Body: []byte("in"), Timeout: time.Second})
 		if got.status != 200 || got.body.String() != "the answer" || got.header.Get("Proof") != "p" || got.outcome != (proxy.Answered{Status: 200}) {
 			t.Errorf("%d %q %v", got.status, got.body.String(), got.outcome)
 		}
@@ -92,7 +92,7 @@
 		b := newBench(t)
 		lose := func(net.Conn, arrival) bool { return false }
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", lose), b.server("b", lose))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
 		if got.outcome != (proxy.Failure{Reason: proxy.Failed}) {
 			t.Errorf("the outcome is %v", got.outcome)
 		}
@@ -108,12 +108,12 @@
 		full := whole(503, "", "Declined: 1")
 		servers := []*fleet.Server{b.server("a", full), b.server("b", full), b.server("c", whole(200, "ok"))}
 		b.known.set(routemap.New(parts(1, "k")), servers...)
-		if got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second}); got.body.String() != "ok" {
+		if got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second}); got.body.String() != "ok" {
 			t.Errorf("%v", got.outcome)
 		}
 		b.scripts["c"] = full
 		b.known.set(routemap.New(parts(2, "k")), servers[:2]...)
-		got := b.ask(t.Context(), proxy.Request{ID: "r2", Path: "/once/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r2", Path: "/once/x", Key: "k", Timeout: time.Second})
 		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.Overloaded || out.RetryAfter <= 0 || got.took > 0 {
 			t.Errorf("with all servers full: %v after %v", got.outcome, got.took)
 		}
@@ -137,7 +137,7 @@
 					return whole(200, "ok")(c, a)
 				}
 				b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s))
-				got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Method: http.MethodGet, Key: "k", Wait: time.Second})
+				got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Method: http.MethodGet, Key: "k", Timeout: time.Second})
 				if got.body.String() != "ok" || len(b.seen()) != 2 {
 					t.Errorf("%v, sent %d times", got.outcome, len(b.seen()))
 				}
@@ -150,7 +150,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(500, "failure", "Proof: p")))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 		if got.status != 500 || got.body.String() != "failure" || got.header.Get("Proof") != "p" {
 			t.Errorf("%d %q", got.status, got.body.String())
 		}
@@ -161,7 +161,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", silent))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: 300 * time.Millisecond})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: 300 * time.Millisecond})
 		if got.outcome != (proxy.Failure{Reason: proxy.DeadlineExceeded}) || got.took != 300*time.Millisecond {
 			t.Errorf("%v after %v", got.outcome, got.took)
 		}
@@ -178,7 +178,7 @@
 			return events(3, 4, true, "Proof: second")(c, a)
 		}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Timeout: time.Second})
 		if got.outcome != (proxy.Answered{Status: 200}) || got.header.Get("Proof") != "first" {
 			t.Errorf("%v with the head %v", got.outcome, got.header)
 		}
@@ -217,7 +217,7 @@
 		}
 		servers = []*fleet.Server{b.server("a", s), b.server("b", s)}
 		b.known.set(routemap.New(parts(1, "k")), servers...)
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Timeout: time.Second})
 		if got.outcome != (proxy.Answered{Status: 200}) || len(ids(got.body.String())) != 3 {
 			t.Errorf("%v with the events %v", got.outcome, ids(got.body.String()))
 		}
@@ -229,7 +229,7 @@
 		b := newBench(t)
 		s := events(1, 2, false)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s), b.server("c", s))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Timeout: time.Second})
 		if _, ok := got.outcome.(proxy.Interrupted); !ok {
 			t.Errorf("the outcome is %v", got.outcome)
 		}
@@ -250,7 +250,7 @@
 			return events(2, 2, true)(c, a)
 		}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Timeout: 9 * time.Second})
 		if got.outcome != (proxy.Answered{Status: 200}) || got.took >= 4*time.Second {
 			t.Errorf("%v after %v", got.outcome, got.took)
 		}
@@ -267,7 +267,7 @@
 			return events(1, 2, true, "Confidence: 20")(c, a)
 		}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 		if len(ids(got.body.String())) != 2 {
 			t.Errorf("%v: the caller has the events %v", got.outcome, ids(got.body.String()))
 		}
@@ -299,7 +299,7 @@
 		}
 		b.known.set(routemap.New(parts(1, "k")), first, second)
 		ask := func() {
-			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 		}
 		for range 20 {
 			ask()
@@ -330,7 +330,7 @@
 			b.known.set(routemap.New(parts(1, "k")), servers...)
 			before := len(b.seen())
 			for range requests {
-				b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+				b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 			}
 			return len(b.seen()) - before - requests
 		}
@@ -352,7 +352,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", events(1, 1, true, "Confidence: 90")))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 		if len(b.seen()) != 1 || got.outcome != (proxy.Answered{Status: 200}) {
 			t.Errorf("%v after %d attempts", got.outcome, len(b.seen()))
 		}
@@ -365,7 +365,7 @@
 		b := newBench(t)
 		b.engine.Budget = &retry.Budget{Window: 10 * time.Second}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", events(1, 1, true, "Confidence: 10")))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 		if got.outcome != (proxy.Answered{Status: 200}) || len(b.seen()) != 1 {
 			t.Errorf("%v after %d attempts", got.outcome, len(b.seen()))
 		}
@@ -378,7 +378,7 @@
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", events(1, 1, true, "Confidence: 90")))
 		for range 20 {
-			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 		}
 		time.Sleep(2 * time.Second)
 		before := b.engine.Repeats()[0].Left
@@ -400,7 +400,7 @@
 		}))
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		got := b.ask(ctx, proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
+		got := b.ask(ctx, proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
 		<-left
 		if got.outcome != (proxy.ClientGone{}) || got.took != 100*time.Millisecond {
 			t.Errorf("%v after %v", got.outcome, got.took)
@@ -420,7 +420,7 @@
 			_, err := io.WriteString(c, "0\r\n\r\n")
 			return err == nil
 		}))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Timeout: 9 * time.Second})
 		if got.outcome != (proxy.Answered{Status: 200}) || len(b.seen()) != 1 {
 			t.Errorf("%v after %d attempts", got.outcome, len(b.seen()))
 		}
@@ -435,7 +435,7 @@
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(200, "ok")))
 		b.engine.ShutdownBy(time.Now().Add(1500 * time.Millisecond))
 		ask := func(wait time.Duration) proxy.Outcome {
-			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: wait}).outcome
+			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: wait}).outcome
 		}
 		if out := ask(time.Second); out != (proxy.Answered{Status: 200}) {
 			t.Errorf("a short one: %v", out)
@@ -456,7 +456,7 @@
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(200, "ok")))
 		ask := func(key string) proxy.Outcome {
-			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: key, Wait: time.Second}).outcome
+			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: key, Timeout: time.Second}).outcome
 		}
 		b.engine.SetKeyAge(4*time.Second, 20*time.Second)
 		if out := ask("other"); out != (proxy.Refused{Reason: proxy.WrongKey}) {
@@ -495,7 +495,7 @@
 			return whole(200, "ok")(c, a)
 		}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 		if got.body.String() != "ok" {
 			t.Errorf("%v", got.outcome)
 		}
@@ -513,7 +513,7 @@
 			return paced(6, between)(c, a)
 		}))
 		ask := func() storesync.Observation {
-			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
+			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Timeout: 9 * time.Second})
 			return b.known.last()
 		}
 		for range 20 {
@@ -542,7 +542,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", paced(4, time.Second)))
-		go b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
+		go b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Timeout: 9 * time.Second})
 		time.Sleep(500 * time.Millisecond)
 		if told := b.known.told(); len(told) != 1 || told[0].Stage != storesync.Started {
 			t.Errorf("told so far is %+v", told)
@@ -566,7 +566,7 @@
 		}))
 		ask := func(tokens int) storesync.Observation {
 			prompt := []prefixcache.Part{{ID: "shared", Tokens: 4000}, {ID: fmt.Sprint(tokens), Tokens: tokens}}
-			b.ask(t.Context(), proxy.Request{ID: fmt.Sprint(tokens), Path: "/slow/x", Key: "k", Wait: 9 * time.Second, Prompt: prompt})
+			b.ask(t.Context(), proxy.Request{ID: fmt.Sprint(tokens), Path: "/slow/x", Key: "k", Timeout: 9 * time.Second, Prompt: prompt})
 			return b.known.last()
 		}
 		for i := range 40 {
@@ -591,7 +591,7 @@
 			return paced(6, time.Millisecond)(c, a)
 		}))
 		ask := func() storesync.Observation {
-			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: time.Second})
+			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Timeout: time.Second})
 			return b.known.last()
 		}
 		for range 20 {
@@ -612,16 +612,16 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", func(net.Conn, arrival) bool { return false }))
-		b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 		b.known.set(routemap.New(parts(2, "k")), b.server("b", events(1, 2, false)))
-		b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
+		b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Timeout: time.Second})
 		// The first part of the stream came, at once: that is all that is told of it.
 		if told := b.known.facts; len(told) != 1 || told[0].Stage != storesync.Started || told[0].Failed || told[0].FirstRatio > 2 {
 			t.Errorf("they were told as %+v", told)
 		}
 		b.known.facts = nil
 		b.known.set(routemap.New(parts(3, "k")), b.server("c", whole(500, "")))
-		b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Wait: time.Second})
+		b.ask(t.Context(), proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Timeout: time.Second})
 		if len(b.known.facts) == 0 || !b.known.facts[0].Failed {
 			t.Errorf("a failure was told as %+v", b.known.facts)
 		}
@@ -639,7 +639,7 @@
 			sound.State.Begin(1)
 		}
 		b.known.set(routemap.New(parts(1, "k")), grey, sound)
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 		if got.body.String() != "ok" || b.seen()[0].server != "a" {
 			t.Errorf("%v at %+v", got.outcome, b.seen())
 		}
@@ -657,7 +657,7 @@
 		}
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", s), b.server("b", s))
 		ask := func(wait time.Duration) *told {
-			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: wait})
+			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: wait})
 		}
 		for range 20 {
 			ask(time.Second)
@@ -685,7 +685,7 @@
 			b.known.set(routemap.New(parts(1, "k")), server)
 			for range 5 {
 				ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-				got := b.ask(ctx, proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Wait: 9 * time.Second})
+				got := b.ask(ctx, proxy.Request{ID: "r", Path: "/slow/x", Key: "k", Timeout: 9 * time.Second})
 				cancel()
 				if got.outcome != (proxy.ClientGone{}) {
 					t.Errorf("%s: %v", name, got.outcome)
@@ -705,7 +705,7 @@
 		b := newBench(t)
 		s := b.server("a", whole(200, "ok"))
 		time.AfterFunc(100*time.Millisecond, func() { b.known.set(routemap.New(parts(1, "k")), s) })
-		if got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second}); got.body.String() != "ok" {
+		if got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second}); got.body.String() != "ok" {
 			t.Errorf("%v after %v", got.outcome, got.took)
 		}
 	})
@@ -714,7 +714,7 @@
 func TestRequestAtTheStartIsNotHeldLong(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
 		refused, ok := got.outcome.(proxy.Refused)
 		if !ok || refused.Reason != proxy.NotReady || refused.RetryAfter == 0 || got.took > 150*time.Millisecond {
 			t.Errorf("%v after %v", got.outcome, got.took)
@@ -742,7 +742,7 @@
 			home.State.Begin(1)
 		}
 		b.known.set(routemap.New(parts(1, "k")), append(all, home)...)
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 		if seen := b.seen(); got.body.String() != "ok" || len(seen) != 2 {
 			t.Errorf("%v after %d attempts", got.outcome, len(seen))
 		}
@@ -785,7 +785,7 @@
 		}
 		b.known.set(routemap.New(parts(1, "k")), servers...)
 		ask := func(id string) *told {
-			return b.ask(t.Context(), proxy.Request{ID: id, Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Body: []byte("deadly"), Wait: 2 * time.Second})
+			return b.ask(t.Context(), proxy.Request{ID: id, Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Body: []byte("deadly"), Timeout: 2 * time.Second})
 		}
 		for n := 0; b.ended.Load() < 3; n++ {
 			ask("r" + strconv.Itoa(n))
@@ -802,7 +802,7 @@
 		}
 		// Others of the organisation are served.
 		b.server("f", events(1, 3, true, "Confidence: 99"))
-		if got := b.ask(t.Context(), proxy.Request{ID: "r3", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Body: []byte("other"), Wait: 2 * time.Second}); got.status != 200 {
+		if got := b.ask(t.Context(), proxy.Request{ID: "r3", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Body: []byte("other"), Timeout: 2 * time.Second}); got.status != 200 {
 			t.Errorf("another request: %#v", got.outcome)
 		}
 	})
@@ -818,7 +818,7 @@
 		}
 		b.known.set(routemap.New(parts(1, "k")), servers...)
 		for n := range 5 {
-			got := b.ask(t.Context(), proxy.Request{ID: strconv.Itoa(n), Path: "/again/x", Key: "k", Body: []byte("in"), Wait: time.Second})
+			got := b.ask(t.Context(), proxy.Request{ID: strconv.Itoa(n), Path: "/again/x", Key: "k", Body: []byte("in"), Timeout: time.Second})
 			if _, refused := got.outcome.(proxy.Refused); refused {
 				t.Errorf("request %d: %#v", n, got.outcome)
 			}
@@ -832,7 +832,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", silent))
-		go b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Wait: time.Second})
+		go b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Timeout: time.Second})
 		synctest.Wait()
 		b.known.set(routemap.New(parts(1, "k")))
 		b.end("a")
@@ -849,7 +849,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", b.mortal("deadly", 20*time.Millisecond, events(1, 1, false))))
-		r := proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Body: []byte("deadly"), Wait: time.Second}
+		r := proxy.Request{ID: "r", Path: "/stream/x", Key: "k", Body: []byte("deadly"), Timeout: time.Second}
 		content := quarantine.Content{Method: http.MethodPost, Host: "h", Target: "/stream/x", Organisation: "org", Body: r.Body}.Fingerprint()
 		b.known.RecordServerExit("x", []quarantine.Fingerprint{content})
 		b.known.RecordServerExit("y", []quarantine.Fingerprint{content})
@@ -873,7 +873,7 @@
 		b.known.set(routemap.New(parts(1, "k")), first)
 		done := make(chan *told, 1)
 		go func() {
-			done <- b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Wait: 2 * time.Second})
+			done <- b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Timeout: 2 * time.Second})
 		}()
 		time.Sleep(100 * time.Millisecond)
 		again := b.server("a", whole(200, "x"))
@@ -900,7 +900,7 @@
 				return false
 			}
 			b.known.set(routemap.New(parts(1, "k")), b.server("a", suspended), b.server("b", suspended))
-			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Wait: time.Second})
+			b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Body: []byte("in"), Timeout: time.Second})
 			seen := b.seen()
 			if len(seen) != want {
 				t.Fatalf("stood still for %v: it reached %d servers", still, len(seen))
--- a/daemon/proxy/halls_test.go
+++ b/daemon/proxy/halls_test.go
@@ -35,7 +35,7 @@
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), inHalls("emptied", b.server("a", whole(200, "ok")), b.server("b", whole(200, "ok")))...)
 		b.look(func(v *storesync.View) { v.Servers = v.Servers.WithDrained(map[string]bool{"emptied": true}) })
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
 		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.NoServer || out.RetryAfter <= 0 {
 			t.Errorf("the outcome is %v", got.outcome)
 		}
@@ -57,7 +57,7 @@
 		far := inHalls("away", b.server("c", whole(200, "ok")))
 		b.engine.Hall = "emptied"
 		b.known.set(routemap.New(parts(1, "k")), append(near, far...)...)
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 		if seen := b.seen(); got.body.String() != "ok" || len(seen) != 2 || seen[1].server != "c" {
 			t.Errorf("%v after %v", got.outcome, seen)
 		}
@@ -82,14 +82,14 @@
 		b.known.set(routemap.New(p), append(south, north...)...)
 		b.look(regions)
 		for range 20 {
-			got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+			got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 			if got.body.String() != "ok" {
 				t.Fatalf("the outcome is %v", got.outcome)
 			}
 		}
 		b.known.set(routemap.New(p), south...)
 		b.look(regions)
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.NoServer {
 			t.Errorf("without a server at home the outcome is %v", got.outcome)
 		}
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -33,11 +33,11 @@
 
 func (dialect) Compose(a proxy.Attempt) http.Header {
 	h := http.Header{"Id": {a.Request.ID}, "Server": {a.Server.ID}, "Model": {a.Model}, "Organisation": {a.Organisation}}
-	if a.After >= 0 {
-		h.Set("After", strconv.FormatInt(a.After, 10))
+	if a.LastEvent >= 0 {
+		h.Set("After", strconv.FormatInt(a.LastEvent, 10))
 	}
-	if a.Left > 0 {
-		h.Set("Left", strconv.FormatInt(a.Left.Milliseconds(), 10))
+	if a.TimeLeft > 0 {
+		h.Set("Left", strconv.FormatInt(a.TimeLeft.Milliseconds(), 10))
 	}
 	return h
 }
@@ -263,9 +263,9 @@
 		r.Target = r.Path
 	}
 	r.Host = "h"
-	r.After = max(r.After, -1)
-	if r.After == 0 {
-		r.After = -1
+	r.LastEvent = max(r.LastEvent, -1)
+	if r.LastEvent == 0 {
+		r.LastEvent = -1
 	}
 	out := &told{}
 	out.outcome = b.engine.Serve(ctx, &r, out)
--- a/daemon/proxy/held_test.go
+++ b/daemon/proxy/held_test.go
@@ -38,7 +38,7 @@
 		for i := range readers {
 			readers[i] = &reader{let: let}
 			go func() {
-				r := proxy.Request{ID: "r" + strconv.Itoa(i), Method: http.MethodGet, Path: "/again/x", Target: "/again/x", Host: "h", Key: "k", Wait: time.Second, Arrived: time.Now(), After: -1}
+				r := proxy.Request{ID: "r" + strconv.Itoa(i), Method: http.MethodGet, Path: "/again/x", Target: "/again/x", Host: "h", Key: "k", Timeout: time.Second, Arrived: time.Now(), LastEvent: -1}
 				ended <- b.engine.Serve(t.Context(), &r, readers[i])
 			}()
 		}
--- a/daemon/proxy/limit_test.go
+++ b/daemon/proxy/limit_test.go
@@ -109,7 +109,7 @@
 			var mine sync.WaitGroup
 			for n, end := 0, time.Now().Add(lasts); time.Now().Before(end); n++ {
 				mine.Go(func() {
-					got := b.ask(t.Context(), proxy.Request{ID: fmt.Sprintf("%d-%d-%v", i, n, end), Path: "/once/x", Key: "k", Wait: time.Second})
+					got := b.ask(t.Context(), proxy.Request{ID: fmt.Sprintf("%d-%d-%v", i, n, end), Path: "/once/x", Key: "k", Timeout: time.Second})
 					if got.outcome != (proxy.Answered{Status: http.StatusOK}) {
 						mu.Lock()
 						defer mu.Unlock()
@@ -175,7 +175,7 @@
 				one, other := b.server("a", c.first), b.server("b", events(1, 3, true, "Confidence: 95"))
 				other.State.Begin(50)
 				b.known.set(routemap.New(parts(1, "k")), one, other)
-				b.ask(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+				b.ask(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 				if q, ok := one.State.Quota(); !ok || q.TotalRate != 0.45 {
 					t.Fatalf("its quota is %+v, %v", q, ok)
 				}
@@ -206,7 +206,7 @@
 			}
 			return dial(ctx, addr)
 		}
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
 		if got.outcome != (proxy.Answered{Status: http.StatusOK}) || b.at("a") != 0 || b.at("b") != 1 {
 			t.Errorf("%v, %d at the one with a limit, %d at the other", got.outcome, b.at("a"), b.at("b"))
 		}
@@ -220,7 +220,7 @@
 		b.engine.SetKeyAge(time.Hour, 0)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(200, "ok", "Limit: 0.5")), b.server("b", whole(200, "ok", "Limit: 0.2")))
 		ask := func() *told {
-			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
+			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
 		}
 		for range 2 {
 			if got := ask(); got.status != http.StatusOK {
@@ -247,7 +247,7 @@
 	inBubble(t, func(t *testing.T) {
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", events(1, 3, true, "Confidence: 5", "Limit: 1")))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 		if got.outcome != (proxy.Answered{Status: http.StatusOK}) || b.at("a") != 1 {
 			t.Errorf("%v with %d requests", got.outcome, b.at("a"))
 		}
@@ -283,7 +283,7 @@
 					}
 					return dial(ctx, addr)
 				}
-				b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: 1900 * time.Millisecond})
+				b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: 1900 * time.Millisecond})
 				if got := b.at("b"); got != c.want {
 					t.Errorf("%d repeats arrived, want %d", got, c.want)
 				}
--- a/daemon/proxy/notice_test.go
+++ b/daemon/proxy/notice_test.go
@@ -33,7 +33,7 @@
 // ask20 sends 20 repeatable requests and returns how many of them were not answered well.
 func (b *bench) ask20(name, path string) (bad int) {
 	for n := range 20 {
-		got := b.ask(b.t.Context(), proxy.Request{ID: fmt.Sprintf("%s-%d", name, n), Path: path, Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+		got := b.ask(b.t.Context(), proxy.Request{ID: fmt.Sprintf("%s-%d", name, n), Path: path, Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 		if got.outcome != (proxy.Answered{Status: http.StatusOK}) {
 			bad++
 		}
@@ -62,7 +62,7 @@
 				other := b.server("b", c.other)
 				other.State.Begin(50)
 				b.known.set(routemap.New(parts(1, "k")), leaver, other)
-				b.ask(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Wait: time.Second})
+				b.ask(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 				if b.at("a") != 1 || leaver.Usable() {
 					t.Fatalf("it got %d requests, usable is %v", b.at("a"), leaver.Usable())
 				}
@@ -108,7 +108,7 @@
 		b := newBench(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(503, "", "Declined: 1", rests)), b.server("b", whole(503, "", "Declined: 1", "Rest: 8")))
 		ask := func() proxy.Refused {
-			got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Wait: time.Second})
+			got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 			refused, ok := got.outcome.(proxy.Refused)
 			if !ok || got.took > time.Millisecond {
 				t.Fatalf("%v after %v", got.outcome, got.took)
@@ -141,7 +141,7 @@
 			}
 			return dial(ctx, addr)
 		}
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Wait: time.Second})
+		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
 		if got.outcome != (proxy.Answered{Status: http.StatusOK}) || b.at("a") != 0 || b.at("b") != 1 {
 			t.Errorf("%v, %d at the one that leaves, %d at the other", got.outcome, b.at("a"), b.at("b"))
 		}
--- a/daemon/proxy/request.go
+++ b/daemon/proxy/request.go
@@ -29,13 +29,13 @@
 	// Header has what is passed on.
 	Header http.Header
 	Body   []byte
-	// Sized tells that the request has a body, be it empty.
-	Sized bool
+	// HasBody tells that the request has a body, be it empty.
+	HasBody bool
 	// Key is the key that the caller shows, or "".
 	Key     string
 	Arrived time.Time
-	// Wait is how long the caller will wait; 0 if it does not say.
-	Wait time.Duration
+	// Timeout is how long the caller will wait; 0 if it does not say.
+	Timeout time.Duration
 	// Model is the model that the caller asks for: AnyModel leaves it to the
 	// route's ladder.
 	Model string
@@ -43,8 +43,8 @@
 	Session string
 	// Prompt has the parts in order; the last one is the request's own.
 	Prompt []prefixcache.Part
-	// After is the last event of a stream that the caller has, or -1.
-	After int64
+	// LastEvent is the last event of a stream that the caller has, or -1.
+	LastEvent int64
 }
 
 // AnyModel as a request's model leaves the choice to the route's ladder.
@@ -96,12 +96,12 @@
 	Organisation string
 	// Model is the model to run, if the router chooses it.
 	Model string
-	// Left is the time until the caller's deadline; 0 if there is none.
-	Left time.Duration
+	// TimeLeft is the time until the caller's deadline; 0 if there is none.
+	TimeLeft time.Duration
 	// Urgency is the request's rank, 0 first.
 	Urgency int
-	// After is the last event that need not be sent again, or -1.
-	After int64
+	// LastEvent is the last event that need not be sent again, or -1.
+	LastEvent int64
 }
 
 // Head is what the head of a server's answer says.
