--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -177,7 +177,7 @@
 	}
 	x := channel.Request{
 		Addr: a.server.Addr, Method: r.Method, Target: r.Target, Host: r.Host, Header: j.engine.Dialect.Compose(attempt),
-		Body: r.Body, Sized: r.HasBody, Belongs: func(h http.Header) bool { return j.engine.Dialect.Belongs(r.ID, h) },
+		Body: r.Body, Sized: r.HasBody, Belongs: func(h http.Header) bool { return j.engine.Dialect.Matches(r.ID, h) },
 		Gate: func() error { return j.mayArrive(a) },
 	}
 	if !j.route.MayRepeat() {
@@ -196,7 +196,7 @@
 		j.judgeError(a, now)
 		return
 	}
-	a.head = j.engine.Dialect.Read(a.reply.Status, a.reply.Header)
+	a.head = j.engine.Dialect.ParseHead(a.reply.Status, a.reply.Header)
 	j.hear(a, now)
 	if a.head.NotRun {
 		a.verdict, a.done = declined, true
@@ -213,7 +213,7 @@
 	a.verdict = answered
 	j.made = j.made.With(attempts.Unknown)
 	j.count()
-	if a.head.Loaded {
+	if a.head.HasLoad {
 		a.server.State.SetReportedRequests(a.head.Load)
 	}
 }
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -42,9 +42,9 @@
 	return h
 }
 
-func (dialect) Belongs(id string, h http.Header) bool { return h.Get("Id") == "" || h.Get("Id") == id }
+func (dialect) Matches(id string, h http.Header) bool { return h.Get("Id") == "" || h.Get("Id") == id }
 
-func (dialect) Read(_ int, h http.Header) proxy.Head {
+func (dialect) ParseHead(_ int, h http.Header) proxy.Head {
 	head := proxy.Head{NotRun: h.Get("Declined") != ""}
 	if n, err := strconv.Atoi(h.Get("Confidence")); err == nil {
 		head.Confidence, head.Confident = n, true
@@ -54,7 +54,7 @@
 	return head
 }
 
-func (dialect) Passed(h http.Header) http.Header { return h }
+func (dialect) ResponseHeaders(h http.Header) http.Header { return h }
 
 // known is a fixed knowledge that tests replace.
 type known struct {
--- a/daemon/proxy/outcome.go
+++ b/daemon/proxy/outcome.go
@@ -61,8 +61,8 @@
 // ClientGone is a caller that left.
 type ClientGone struct{}
 
-func (Answered) outcome() {}
-func (Refused) outcome()  {}
-func (Failure) outcome()  {}
-func (Interrupted) outcome()   {}
-func (ClientGone) outcome()     {}
+func (Answered) outcome()    {}
+func (Refused) outcome()     {}
+func (Failure) outcome()     {}
+func (Interrupted) outcome() {}
+func (ClientGone) outcome()  {}
--- a/daemon/proxy/request.go
+++ b/daemon/proxy/request.go
@@ -116,8 +116,8 @@
 	Confident  bool
 	// Load is how many requests the server has, running and waiting, if Loaded is
 	// set.
-	Load   int
-	Loaded bool
+	Load    int
+	HasLoad bool
 	// Notice is what the server says besides of what it will take.
 	Notice notice.Notice
 }
@@ -126,12 +126,12 @@
 type Dialect interface {
 	// Compose returns the headers for a server.
 	Compose(a Attempt) http.Header
-	// Belongs reports whether an answer is one to the request of that id.
-	Belongs(id string, h http.Header) bool
-	// Read reads the head of an answer.
-	Read(status int, h http.Header) Head
-	// Passed returns the headers of an answer that the caller gets.
-	Passed(h http.Header) http.Header
+	// Matches reports whether an answer is one to the request of that id.
+	Matches(id string, h http.Header) bool
+	// ParseHead reads the head of an answer.
+	ParseHead(status int, h http.Header) Head
+	// ResponseHeaders returns the headers of an answer that the caller gets.
+	ResponseHeaders(h http.Header) http.Header
 }
 
 // Sink takes an answer for the caller.
--- a/daemon/proxy/stream.go
+++ b/daemon/proxy/stream.go
@@ -26,7 +26,7 @@
 	j.version = a.server.Version
 	if !j.begun {
 		j.begun = true
-		j.sink.Begin(a.reply.Status, j.engine.Dialect.Passed(a.reply.Header), -1)
+		j.sink.Begin(a.reply.Status, j.engine.Dialect.ResponseHeaders(a.reply.Header), -1)
 		if err := j.sink.Flush(); err != nil {
 			return ClientGone{}, ""
 		}
--- a/daemon/proxy/whole.go
+++ b/daemon/proxy/whole.go
@@ -114,7 +114,7 @@
 // sendWhole sends a whole answer to the caller.
 func (j *job) sendWhole(w *whole) Outcome {
 	j.begun = true
-	j.sink.Begin(w.status, j.engine.Dialect.Passed(w.header), int64(len(w.body)))
+	j.sink.Begin(w.status, j.engine.Dialect.ResponseHeaders(w.header), int64(len(w.body)))
 	if _, err := j.sink.Write(w.body); err != nil {
 		return ClientGone{}
 	}
@@ -124,7 +124,7 @@
 // passLong passes on an answer that is too long to hold.
 func (j *job) passLong(a *attempt, begun []byte) (Outcome, Reason) {
 	j.begun = true
-	j.sink.Begin(a.reply.Status, j.engine.Dialect.Passed(a.reply.Header), a.reply.Length)
+	j.sink.Begin(a.reply.Status, j.engine.Dialect.ResponseHeaders(a.reply.Header), a.reply.Length)
 	if _, err := j.sink.Write(begun); err != nil {
 		return ClientGone{}, ""
 	}
