--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -1,6 +1,6 @@
-// Package control runs a daemon's control state: one goroutine owns the node,
-// the backend servers and the evidence, and publishes immutable snapshots that
-// traffic goroutines read.
+// Package control runs the control loop of a daemon: one goroutine owns the
+// node, the state of the backend servers and the evidence on versions, and
+// publishes immutable snapshots that the request goroutines read.
 package control
 
 import (
@@ -26,66 +26,71 @@
 	"ladderridge.example/daemon/tablestore"
 )
 
-// Sender carries messages to other daemons without waiting.
+// Sender sends messages to other daemons without blocking.
 type Sender interface {
 	Send(id, addr string, m node.Message)
 }
 
-// Share is what this daemon may use of an organisation's limits now. Zero is
-// no limit.
+// Share is the part of an organisation's limits that this daemon may use at
+// present. Zero means no limit.
 type Share struct {
 	Requests    float64
 	Tokens      float64
 	Concurrency int
 }
 
-// Snapshot is what traffic reads for each request. It is immutable.
+// Snapshot is the immutable state that is read for each request.
 type Snapshot struct {
 	View   *route.View
 	Shares map[string]Share
-	// Acquainted tells that each backend server of the own data hall has been
-	// asked once.
-	Acquainted bool
-	// Seen returns what all daemons together have counted under a key.
+	// ServersPolled is set once each backend server of the own data hall has
+	// been polled.
+	ServersPolled bool
+	// Seen returns the counts of all daemons under a key.
 	Seen func(aggregation.Key) aggregation.Evidence
-	// BillsFull stops new work: the platform has been away for too long.
+	// BillsFull is set while the queue of unwritten bills is full, because the
+	// platform has been unavailable for too long. No new requests are accepted
+	// meanwhile.
 	BillsFull bool
 
-	// stood is how long the VM had stood still when the snapshot was made.
-	stood time.Duration
+	// suspendedTotal is the total suspension of the VM when the snapshot was made.
+	suspendedTotal time.Duration
 }
 
-// The bounds of the control goroutine's inboxes.
+// Capacities of the channels to the control goroutine.
 const (
-	eventBacklog = 1024
-	factBacklog  = 8192
+	eventBacklog       = 1024
+	observationBacklog = 8192
 )
 
-// publishEvery bounds how often servers' reports alone make a new snapshot.
-const publishEvery = 50 * time.Millisecond
+// publishInterval is the minimum time between two snapshots that are made only
+// because of server reports.
+const publishInterval = 50 * time.Millisecond
 
-// Control is the control state. Get one from New, set the exported fields,
-// then Run it.
+// Control is the control loop. Get one from New, set the exported fields, then
+// Run it.
 type Control struct {
 	Settings *settings.Settings
 	Platform *platform.Client
 	Peers    Sender
 	Log      log.Logger
-	// Demands returns what organisations asked of this daemon since it was
-	// last called, per second, sorted by key.
+	// Demands returns the demand of each organisation on this daemon since the
+	// last call, per second, sorted by key.
 	Demands func() []aggregation.Demand
-	// Crashes returns how many servers have ended under requests, sorted by key.
+	// Crashes returns how many servers have crashed while they processed a
+	// request, by request content and sorted by key.
 	Crashes func() []aggregation.Evidence
-	// Published, if set, is told of every new snapshot.
+	// Published, if set, is called after each new snapshot.
 	Published func()
-	// StoodStill tells how long the VM has stood still; nil is never.
+	// StoodStill returns the total suspension of the VM; nil means that the VM is
+	// never suspended.
 	StoodStill suspend.Clock
 	// Incarnation is the daemon's start time in milliseconds.
 	Incarnation uint64
 
-	// DroppedFacts counts facts that found the inbox full.
+	// DroppedFacts counts the facts dropped because their channel was full.
 	DroppedFacts atomic.Int64
-	// Busy is the time that the control goroutine has worked, in nanoseconds.
+	// Busy is the working time of the control goroutine in nanoseconds.
 	Busy atomic.Int64
 
 	events   chan event
@@ -94,22 +99,22 @@
 	snapshot atomic.Pointer[Snapshot]
 }
 
-// New returns a control whose inboxes are open.
+// New returns a control that accepts events. They are handled once it runs.
 func New() *Control {
 	c := &Control{
 		events:  make(chan event, eventBacklog),
-		facts:   make(chan Fact, factBacklog),
+		facts:   make(chan Fact, observationBacklog),
 		stopped: make(chan struct{}),
 	}
 	c.snapshot.Store(&Snapshot{View: &route.View{Table: table.New(table.Table{})}, Seen: func(aggregation.Key) aggregation.Evidence { return aggregation.Evidence{} }})
 	return c
 }
 
-// Snapshot returns the newest snapshot. One from before the VM stood still is in doubt: its
-// clock says that it is new.
+// Snapshot returns the newest snapshot. A snapshot from before a suspension of the VM is
+// marked as unconfirmed: the clock does not advance during a suspension, so its age is wrong.
 func (c *Control) Snapshot() *Snapshot {
 	s := c.snapshot.Load()
-	if c.StoodStill.Now()-s.stood < suspend.MinSuspension {
+	if c.StoodStill.Now()-s.suspendedTotal < suspend.MinSuspension {
 		return s
 	}
 	out, view := *s, *s.View
@@ -118,14 +123,14 @@
 	return &out
 }
 
-// Ready reports whether the daemon has a table and has asked each backend
-// server of its data hall once.
+// Ready reports whether the daemon has a table and has polled each backend
+// server of its data hall.
 func (c *Control) Ready() bool {
 	s := c.Snapshot()
-	return s.View.Generation.Number > 0 && s.Acquainted
+	return s.View.Generation.Number > 0 && s.ServersPolled
 }
 
-// Tell hands over a fact without waiting.
+// Tell passes on a fact without blocking. It drops the fact if the channel is full.
 func (c *Control) Tell(f Fact) {
 	select {
 	case c.facts <- f:
@@ -134,21 +139,21 @@
 	}
 }
 
-// Received hands over a message from another daemon.
+// Received passes on a message from another daemon.
 func (c *Control) Received(from string, m node.Message) {
 	c.post(nodeEvent{node.Received{From: from, Message: m}})
 }
 
-// Bill hands over a bill. The channel tells true once the bill no longer
-// depends on this daemon alone, or false if there is no other daemon.
+// Bill queues a bill. The channel receives true once another daemon or the
+// platform has the bill, or false if there is no other daemon.
 func (c *Control) Bill(b bill.Bill) <-chan bool {
-	safe := make(chan bool, 1)
-	c.post(billEvent{bill: b, safe: safe})
-	return safe
+	durable := make(chan bool, 1)
+	c.post(billEvent{bill: b, durable: durable})
+	return durable
 }
 
-// BillAgain has a second daemon asked to hold a bill, since the first one has
-// not answered.
+// BillAgain requests a copy of a bill from a second daemon, after the first one
+// has not answered.
 func (c *Control) BillAgain(key string) { c.post(nodeEvent{node.BillCopyTimedOut{Key: key}}) }
 
 func (c *Control) post(e event) {
@@ -158,10 +163,10 @@
 	}
 }
 
-// askLoop runs a function on the control goroutine and waits for it.
-func (c *Control) askLoop(run func(*loop)) error {
+// runOnLoop runs a function on the control goroutine and waits until it returns.
+func (c *Control) runOnLoop(run func(*loop)) error {
 	done := make(chan struct{})
-	c.post(askEvent{run: run, done: done})
+	c.post(callEvent{run: run, done: done})
 	select {
 	case <-done:
 		return nil
@@ -178,21 +183,21 @@
 	store   *tablestore.Store
 	servers *servers
 	guard   *guard
-	// rollouts are driven by the root of the data hall's tree.
+	// rollouts are driven by the daemon at the root of the data hall's
+	// aggregation tree.
 	rollouts *rollouts
-	// placer gives engines orders, on that same daemon.
-	placer  *placer
-	table   *table.Table
-	gen     table.Generation
-	vms     platform.VMList
-	quality map[route.QualityKey]route.Estimate
-	safe    map[string]chan bool
-	dirty   bool
-	pollers *pollers
-	// ticked is when the last tick was.
-	ticked time.Time
-	// stood is how long the VM had stood still at the last look.
-	stood time.Duration
+	// placer sends orders to the engines, on the same daemon.
+	placer      *placer
+	table       *table.Table
+	gen         table.Generation
+	vms         platform.VMList
+	quality     map[route.QualityKey]route.Estimate
+	billWaiters map[string]chan bool
+	dirty       bool
+	pollers     *pollers
+	lastTick    time.Time
+	// suspendedTotal is the total suspension of the VM at the last check.
+	suspendedTotal time.Duration
 }
 
 // Run runs the control goroutine until ctx ends.
@@ -201,18 +206,18 @@
 	now := time.Now()
 	self := member.Listed{ID: c.Settings.ID, Hall: c.Settings.Hall, Addr: c.Settings.Peers}
 	l := &loop{
-		Control:  c,
-		ctx:      ctx,
-		node:     node.New(self, c.Incarnation, now),
-		store:    &tablestore.Store{Platform: c.Platform},
-		servers:  newServers(c.Settings.Hall),
-		guard:    newGuard(),
-		rollouts: newRollouts(),
-		placer:   newPlacer(c.Platform, c.Settings.ID),
-		table:    table.New(table.Table{}),
-		safe:     map[string]chan bool{},
-		pollers:  newPollers(c.post),
-		stood:    c.StoodStill.Now(),
+		Control:        c,
+		ctx:            ctx,
+		node:           node.New(self, c.Incarnation, now),
+		store:          &tablestore.Store{Platform: c.Platform},
+		servers:        newServers(c.Settings.Hall),
+		guard:          newGuard(),
+		rollouts:       newRollouts(),
+		placer:         newPlacer(c.Platform, c.Settings.ID),
+		table:          table.New(table.Table{}),
+		billWaiters:    map[string]chan bool{},
+		pollers:        newPollers(c.post),
+		suspendedTotal: c.StoodStill.Now(),
 	}
 	for _, seed := range c.Settings.Seeds {
 		l.node.Seeds = append(l.node.Seeds, member.Listed{ID: seed.ID, Addr: seed.Addr})
@@ -224,58 +229,58 @@
 func (l *loop) run() {
 	tick := clock.NewTicker(node.TickInterval)
 	flush := clock.NewTicker(node.FlushInterval)
-	poll := clock.NewTicker(pollEvery)
-	publish := clock.NewTicker(publishEvery)
+	poll := clock.NewTicker(pollInterval)
+	publish := clock.NewTicker(publishInterval)
 	defer tick.Stop()
 	defer flush.Stop()
 	defer poll.Stop()
 	defer publish.Stop()
 	l.tick(time.Now())
 	for {
-		var begun time.Time
+		var started time.Time
 		select {
 		case <-l.ctx.Done():
 			return
 		case e := <-l.events:
-			begun = time.Now()
-			l.noteStandstill(begun)
-			l.handle(e, begun)
+			started = time.Now()
+			l.handleSuspension(started)
+			l.handle(e, started)
 		case f := <-l.facts:
-			begun = time.Now()
-			l.fact(f, begun)
+			started = time.Now()
+			l.handleObservation(f, started)
 		case <-tick.C:
-			begun = time.Now()
-			l.noteStandstill(begun)
-			l.tick(begun)
+			started = time.Now()
+			l.handleSuspension(started)
+			l.tick(started)
 		case <-flush.C:
-			begun = time.Now()
+			started = time.Now()
 			if l.node.Pending.Len() > 0 {
-				l.feed(node.Flush{}, begun)
+				l.feed(node.Flush{}, started)
 			}
 		case <-poll.C:
-			begun = time.Now()
-			for _, b := range l.servers.duePolls(begun) {
+			started = time.Now()
+			for _, b := range l.servers.duePolls(started) {
 				l.pollers.poll(l.ctx, b)
 			}
 		case <-publish.C:
-			begun = time.Now()
+			started = time.Now()
 			if l.dirty {
-				l.publish(begun)
+				l.publish(started)
 			}
 		}
-		l.Busy.Add(int64(time.Since(begun)))
+		l.Busy.Add(int64(time.Since(started)))
 	}
 }
 
-// noteStandstill notices that the VM has stood still: the table is in doubt until it is
-// confirmed anew, as after a pause of the process.
-func (l *loop) noteStandstill(now time.Time) {
-	d := l.StoodStill.Now() - l.stood
+// handleSuspension checks whether the VM was suspended. After a suspension the table is
+// unconfirmed until it is read again, as after a pause of the process.
+func (l *loop) handleSuspension(now time.Time) {
+	d := l.StoodStill.Now() - l.suspendedTotal
 	if d < suspend.MinSuspension {
 		return
 	}
-	l.stood += d
-	l.Log.Warn().Dur("for", d).Msg("control: the VM stood still: nothing is served until the table is confirmed")
+	l.suspendedTotal += d
+	l.Log.Warn().Dur("for", d).Msg("control: VM was suspended, no requests are sent until the table is confirmed")
 	l.feed(node.Suspended{For: d}, now)
 	l.publish(now)
 }
@@ -283,33 +288,33 @@
 func (l *loop) handle(e event, now time.Time) {
 	switch e := e.(type) {
 	case nodeEvent:
-		leaving := len(l.node.LeavingServers())
+		leavingBefore := len(l.node.LeavingServers())
 		l.feed(e.inner, now)
-		if len(l.node.LeavingServers()) != leaving || l.Snapshot().View.Unconfirmed {
+		if len(l.node.LeavingServers()) != leavingBefore || l.Snapshot().View.Unconfirmed {
 			l.publish(now)
 		}
 	case billEvent:
-		l.safe[e.bill.Key] = e.safe
+		l.billWaiters[e.bill.Key] = e.durable
 		l.feed(node.BillAdded{Bill: e.bill}, now)
 	case reportEvent:
-		l.reported(e, now)
+		l.handleReport(e, now)
 	case orderEvent:
-		l.placer.ordered(e.engine, now)
+		l.placer.orderDone(e.engine, now)
 	case stepEvent:
 		l.rollouts.busy = false
-	case askEvent:
+	case callEvent:
 		e.run(l)
 		close(e.done)
 	}
 }
 
-func (l *loop) reported(e reportEvent, now time.Time) {
+func (l *loop) handleReport(e reportEvent, now time.Time) {
 	if e.err != nil {
-		l.servers.unanswered(e.server, now)
+		l.servers.recordPollFailure(e.server, now)
 		l.dirty = true
 		return
 	}
-	l.servers.report(e, now)
+	l.servers.applyReport(e, now)
 	l.dirty = true
 	if e.report.Leaving && !l.node.Leaving(e.server) {
 		l.feed(node.ServerLeaving{ID: e.server}, now)
@@ -317,40 +322,41 @@
 	}
 }
 
-func (l *loop) fact(f Fact, now time.Time) {
+func (l *loop) handleObservation(f Fact, now time.Time) {
 	switch f := f.(type) {
 	case Answered:
-		l.servers.answered(f.Server, f.InFlight, now)
+		l.servers.recordAnswer(f.Server, f.InFlight, now)
 		l.dirty = true
-		l.seen(f.Ref, f.Bad, now)
+		l.recordAnswer(f.Ref, f.Bad, now)
 	case Failed:
-		l.servers.failed(f.Server, now)
+		l.servers.recordFailure(f.Server, now)
 		l.dirty = true
-		l.seen(f.Ref, true, now)
+		l.recordAnswer(f.Ref, true, now)
 	case Declined:
-		l.servers.declined(f.Server, f.NotLoaded, now)
+		l.servers.recordDecline(f.Server, f.NotLoaded, now)
 		l.dirty = true
 		if f.NotLoaded != (table.Ref{}) {
 			l.publish(now)
 		}
 	case SaysLeaving:
-		l.Log.Info().Str("server", f.Server).Msg("control: a server says that it leaves")
+		l.Log.Info().Str("server", f.Server).Msg("control: server announced that it is leaving")
 		l.feed(node.ServerLeaving{ID: f.Server}, now)
 		l.publish(now)
 	}
 }
 
-// seen counts an answer of a version, and guards it if that is once too often.
-func (l *loop) seen(ref table.Ref, bad bool, now time.Time) {
-	if ref != (table.Ref{}) && l.guard.answered(ref, bad, now) {
-		l.Log.Warn().Str("version", ref.String()).Msg("control: a version is guarded")
+// recordAnswer counts an answer of a version and publishes a snapshot if the evidence now
+// rejects the version.
+func (l *loop) recordAnswer(ref table.Ref, bad bool, now time.Time) {
+	if ref != (table.Ref{}) && l.guard.recordAnswer(ref, bad, now) {
+		l.Log.Warn().Str("version", ref.String()).Msg("control: version rejected, it gets no new sessions")
 		l.publish(now)
 	}
 }
 
 func (l *loop) tick(now time.Time) {
-	l.ticked = now
-	own := aggregation.Sums{Evidence: l.guard.own()}
+	l.lastTick = now
+	own := aggregation.Sums{Evidence: l.guard.ownCounts()}
 	if l.Crashes != nil {
 		own.Evidence = aggregation.Sums{Daemons: 1, Evidence: own.Evidence}.Add(aggregation.Sums{Daemons: 1, Evidence: l.Crashes()}).Evidence
 	}
@@ -358,19 +364,20 @@
 		own.Demands = l.Demands()
 	}
 	l.feed(node.Tick{Own: own}, now)
-	l.guard.pool(l.pooled(now), now)
+	l.guard.addPooled(l.pooledEvidence(now), now)
 	l.driveRollouts(now)
 	l.drivePlacement(now)
 	l.publish(now)
 }
 
-// pooled returns a version's evidence of all daemons that are heard of.
-func (l *loop) pooled(now time.Time) func(aggregation.Key) aggregation.Evidence {
+// pooledEvidence returns a function that looks up the evidence on a version, summed over all
+// daemons whose counts have arrived.
+func (l *loop) pooledEvidence(now time.Time) func(aggregation.Key) aggregation.Evidence {
 	totals, _ := l.node.Tree.Totals(now)
 	return totals.Evidence
 }
 
-// feed gives the node an event and carries out its orders.
+// feed passes an event to the node and carries out the actions that it returns.
 func (l *loop) feed(e node.Event, now time.Time) {
 	for _, order := range l.node.Handle(e, now) {
 		switch o := order.(type) {
@@ -381,54 +388,54 @@
 		case node.WriteBills:
 			l.writeBills(o.Bills)
 		case node.BillDurable:
-			l.tellSafe(o.Key, true)
+			l.resolveBill(o.Key, true)
 		case node.BillNotReplicated:
-			l.tellSafe(o.Key, false)
+			l.resolveBill(o.Key, false)
 		case node.Changed:
-			l.changed(o.Document, now)
+			l.applyDocument(o.Document, now)
 		}
 	}
 }
 
-// tellSafe tells the request that a bill belongs to whether the bill is safe.
-func (l *loop) tellSafe(key string, safe bool) {
-	if told := l.safe[key]; told != nil {
-		told <- safe
-		delete(l.safe, key)
+// resolveBill reports to the request of a bill whether the bill is durable.
+func (l *loop) resolveBill(key string, durable bool) {
+	if waiter := l.billWaiters[key]; waiter != nil {
+		waiter <- durable
+		delete(l.billWaiters, key)
 	}
 }
 
-// changed puts a newer document in force.
-func (l *loop) changed(doc replication.Document, now time.Time) {
+// applyDocument applies a newer version of a replicated document.
+func (l *loop) applyDocument(doc replication.Document, now time.Time) {
 	var err error
 	switch doc.Topic {
 	case replication.Config:
-		err = l.changeTable(doc)
+		err = l.applyTable(doc)
 	case replication.VMs:
-		err = l.changeVMs(doc, now)
+		err = l.applyVMs(doc, now)
 	case replication.Quality:
-		err = l.changeQuality(doc)
+		err = l.applyQuality(doc)
 	}
 	if err != nil {
-		l.Log.Error().Err(err).Msg("control: a document was refused")
+		l.Log.Error().Err(err).Msg("control: cannot apply document")
 	}
 	l.publish(now)
 }
 
-func (l *loop) changeQuality(doc replication.Document) error {
-	var read quality.Document
-	if err := json.Unmarshal(doc.Data, &read); err != nil {
-		return &Error{Op: "take quality", Kind: BadDocument, Err: err}
+func (l *loop) applyQuality(doc replication.Document) error {
+	var ratings quality.Document
+	if err := json.Unmarshal(doc.Data, &ratings); err != nil {
+		return &Error{Op: "apply quality ratings", Kind: BadDocument, Err: err}
 	}
-	l.quality = read.Estimates()
-	l.guard.badFor = read.RejectedBy()
+	l.quality = ratings.Estimates()
+	l.guard.badFor = ratings.RejectedBy()
 	return nil
 }
 
-func (l *loop) changeTable(doc replication.Document) error {
+func (l *loop) applyTable(doc replication.Document) error {
 	t, err := table.Parse(doc.Data)
 	if err != nil {
-		return &Error{Op: "put table in force", Kind: BadDocument, Err: err}
+		return &Error{Op: "apply table", Kind: BadDocument, Err: err}
 	}
 	l.table = t
 	l.gen = table.Generation{Number: doc.Number, Digest: t.Digest()}
@@ -436,13 +443,13 @@
 	return nil
 }
 
-func (l *loop) changeVMs(doc replication.Document, now time.Time) error {
+func (l *loop) applyVMs(doc replication.Document, now time.Time) error {
 	var list platform.VMList
 	if err := json.Unmarshal(doc.Data, &list); err != nil {
-		return &Error{Op: "take VM list", Kind: BadDocument, Err: err}
+		return &Error{Op: "apply VM list", Kind: BadDocument, Err: err}
 	}
 	l.vms = list
-	l.servers.list(list.VMs)
+	l.servers.setVMs(list.VMs)
 	var entries []member.Listed
 	halls := map[string]bool{}
 	for _, vm := range list.VMs {
@@ -455,14 +462,14 @@
 	return nil
 }
 
-// publish makes a new snapshot.
+// publish stores a new snapshot.
 func (l *loop) publish(now time.Time) {
 	l.dirty = false
 	v := &route.View{
 		Generation:  l.gen,
 		Table:       l.table,
 		ConfirmedAt: l.node.Store.ConfirmedAt(replication.Config),
-		PublishedAt: l.ticked,
+		PublishedAt: l.lastTick,
 		Unconfirmed: l.node.Unconfirmed(now),
 		Hall:        l.Settings.Hall,
 		Ages:        route.Ages{Steady: l.Settings.SteadyAge, RollingOut: l.Settings.RollingOutAge},
@@ -470,16 +477,16 @@
 		Guarded:     l.guard.guarded(),
 		BadFor:      l.guard.badFor,
 	}
-	l.servers.view(v, l.node.Leaving)
-	l.snapshot.Store(&Snapshot{View: v, Shares: l.shares(now), Acquainted: l.servers.acquainted(), BillsFull: l.node.Pending.Full(), Seen: l.pooled(now), stood: l.stood})
+	l.servers.fillView(v, l.node.Leaving)
+	l.snapshot.Store(&Snapshot{View: v, Shares: l.shares(now), ServersPolled: l.servers.allPolled(), BillsFull: l.node.Pending.Full(), Seen: l.pooledEvidence(now), suspendedTotal: l.suspendedTotal})
 	if l.Published != nil {
 		l.Published()
 	}
 }
 
-// Leave says good-bye to the other daemons and hands over what the platform
-// has not acknowledged.
+// Leave announces to the other daemons that this one leaves, and hands over the
+// bills that the platform has not acknowledged.
 func (c *Control) Leave() error {
 	c.post(nodeEvent{node.Leave{}})
-	return c.askLoop(func(*loop) {})
+	return c.runOnLoop(func(*loop) {})
 }
--- a/daemon/control/control_io.go
+++ b/daemon/control/control_io.go
@@ -19,14 +19,15 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// BillPrefix is followed by a request's key in the table service.
+// BillPrefix is the prefix of the keys of bills in the table service. The key of
+// the request follows it.
 const BillPrefix = "bill/"
 
-// read asks the platform for a document, off the control goroutine.
+// read requests a document from the platform in a goroutine of its own.
 func (l *loop) read(o node.Read) {
-	held := l.node.Store.Get(o.Topic).Data
+	heldData := l.node.Store.Get(o.Topic).Data
 	go func() {
-		done, stood := node.ReadDone{Topic: o.Topic, SentAt: time.Now()}, l.StoodStill.Now()
+		done, suspendedBefore := node.ReadDone{Topic: o.Topic, SentAt: time.Now()}, l.StoodStill.Now()
 		var err error
 		switch o.Topic {
 		case replication.Config:
@@ -34,20 +35,21 @@
 		case replication.VMs:
 			done.Number, done.Data, err = l.readVMs(o.HeldNumber)
 		case replication.Quality:
-			done.Number, done.Data, err = l.readQuality(o.HeldNumber, held)
+			done.Number, done.Data, err = l.readQuality(o.HeldNumber, heldData)
 		}
 		if err != nil {
 			done.Failed = true
 			done.RetryAfter = retryAfter(err)
-			l.Log.Debug().Str("topic", o.Topic.String()).Err(err).Msg("control: a read failed")
+			l.Log.Debug().Str("topic", o.Topic.String()).Err(err).Msg("control: reading from the platform failed")
 		}
-		// An answer is as old as its question, also if the VM stood still meanwhile.
-		done.SentAt = done.SentAt.Add(stood - l.StoodStill.Now())
+		// The data may be as old as the request. A suspension of the VM in between
+		// adds to its age.
+		done.SentAt = done.SentAt.Add(suspendedBefore - l.StoodStill.Now())
 		l.post(nodeEvent{done})
 	}()
 }
 
-// retryAfter is when the platform asked to come back, or 0.
+// retryAfter returns the retry delay that the platform asked for, or 0.
 func retryAfter(err error) time.Duration {
 	var retry *platform.RetryError
 	if errors.As(err, &retry) {
@@ -56,36 +58,36 @@
 	return 0
 }
 
-func (l *loop) readConfig(have uint64) (uint64, []byte, error) {
+func (l *loop) readConfig(heldNumber uint64) (uint64, []byte, error) {
 	h, _, err := l.store.Newest(l.ctx)
-	if err != nil || h.Number <= have {
+	if err != nil || h.Number <= heldNumber {
 		return h.Number, nil, err
 	}
 	data, err := l.store.File(l.ctx, h)
 	return h.Number, data, err
 }
 
-func (l *loop) readVMs(have uint64) (uint64, []byte, error) {
-	list, err := l.Platform.VMs(l.ctx, have)
+func (l *loop) readVMs(heldNumber uint64) (uint64, []byte, error) {
+	list, err := l.Platform.VMs(l.ctx, heldNumber)
 	if err != nil || list == nil {
-		return have, nil, err
+		return heldNumber, nil, err
 	}
 	data, err := json.Marshal(list)
 	return list.Version, data, err
 }
 
-// ratingsPerRead bounds the ratings taken in at one read.
+// ratingsPerRead is the maximum number of ratings in one read.
 const ratingsPerRead = 1000
 
-func (l *loop) readQuality(have uint64, held []byte) (uint64, []byte, error) {
-	ratings, err := l.Platform.Ratings(l.ctx, have, ratingsPerRead)
+func (l *loop) readQuality(heldNumber uint64, heldData []byte) (uint64, []byte, error) {
+	ratings, err := l.Platform.Ratings(l.ctx, heldNumber, ratingsPerRead)
 	if err != nil || len(ratings) == 0 {
-		return have, nil, err
+		return heldNumber, nil, err
 	}
 	var doc quality.Document
-	if len(held) > 0 {
-		// A held document was read before it was accepted.
-		_ = json.Unmarshal(held, &doc)
+	if len(heldData) > 0 {
+		// The held document was decoded without error before it was accepted.
+		_ = json.Unmarshal(heldData, &doc)
 	}
 	for _, r := range ratings {
 		key := route.QualityKey{Organisation: r.Organisation, Kind: r.Kind, Ref: table.Ref{Model: r.Model, Version: r.Version}}
@@ -95,7 +97,7 @@
 	return ratings[len(ratings)-1].Seq, data, err
 }
 
-// writeBills writes a batch, off the control goroutine.
+// writeBills writes a batch of bills in a goroutine of its own.
 func (l *loop) writeBills(bills []bill.Bill) {
 	txn := platform.Txn{Ops: make([]platform.Op, 0, len(bills))}
 	for _, b := range bills {
@@ -114,7 +116,7 @@
 		case errors.As(err, &conflict) && len(conflict.Failed) > 0:
 			l.post(nodeEvent{node.BillsWritten{Found: billKeys(conflict.Failed)}})
 		default:
-			l.Log.Debug().Err(err).Msg("control: bills are not written yet")
+			l.Log.Debug().Err(err).Msg("control: writing bills failed")
 			l.post(nodeEvent{node.BillsFailed{RetryAfter: retryAfter(err)}})
 		}
 	}()
@@ -128,35 +130,34 @@
 	return keys
 }
 
-// pollers ask backend servers for their load.
+// pollers request load reports from the backend servers.
 type pollers struct {
 	post   func(event)
 	client *http.Client
 }
 
-// pollTimeout bounds one poll.
 const pollTimeout = time.Second
 
-// idlePolls is how many connections for polls are kept.
-const idlePolls = 256
+// maxIdlePollConns is the maximum number of idle connections kept for polls.
+const maxIdlePollConns = 256
 
 func newPollers(post func(event)) *pollers {
 	return &pollers{
 		post:   post,
-		client: &http.Client{Timeout: pollTimeout, Transport: &http.Transport{MaxIdleConns: idlePolls, MaxIdleConnsPerHost: 1}},
+		client: &http.Client{Timeout: pollTimeout, Transport: &http.Transport{MaxIdleConns: maxIdlePollConns, MaxIdleConnsPerHost: 1}},
 	}
 }
 
 func (p *pollers) poll(ctx context.Context, b *backend) {
-	e := reportEvent{server: b.vm.ID, sentAt: time.Now(), own: int(b.load.InFlight.Load())}
+	e := reportEvent{server: b.vm.ID, sentAt: time.Now(), ownInFlight: int(b.state.InFlight.Load())}
 	url := "http://" + b.vm.Addr + wire.PathLoad
 	go func() {
-		e.report, e.err = p.ask(ctx, url)
+		e.report, e.err = p.fetchLoad(ctx, url)
 		p.post(e)
 	}()
 }
 
-func (p *pollers) ask(ctx context.Context, url string) (wire.LoadReport, error) {
+func (p *pollers) fetchLoad(ctx context.Context, url string) (wire.LoadReport, error) {
 	var report wire.LoadReport
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -9,7 +9,7 @@
 	"ladderridge.example/core/table"
 )
 
-// MemberDump is one daemon as another one sees it.
+// MemberDump is the state of a member of the group as this daemon knows it.
 type MemberDump struct {
 	ID          string `json:"id"`
 	Hall        string `json:"hall"`
@@ -18,7 +18,7 @@
 	Leaving     bool   `json:"leaving,omitempty"`
 }
 
-// ServerDump is one backend server as a daemon sees it.
+// ServerDump is the state of a backend server as this daemon knows it.
 type ServerDump struct {
 	ID       string   `json:"id"`
 	Hall     string   `json:"hall"`
@@ -32,7 +32,7 @@
 	HeardMS  int64    `json:"heard_ms_ago"`
 }
 
-// DocumentDump is one document that a daemon holds.
+// DocumentDump describes a replicated document that the daemon holds.
 type DocumentDump struct {
 	Topic  string `json:"topic"`
 	Number uint64 `json:"number"`
@@ -40,36 +40,38 @@
 	AgeMS  int64  `json:"age_ms"`
 }
 
-// HallDump is a data hall's total.
+// HallDump is the aggregated state of a data hall.
 type HallDump struct {
 	Name    string `json:"name"`
 	Members uint32 `json:"members"`
-	// Down daemons are listed but not counted on.
+	// Down is the number of daemons that are listed but do not answer.
 	Down    uint32 `json:"down"`
 	Daemons uint32 `json:"daemons"`
-	// Complete tells that just the members have reported, each once.
+	// Complete is set if exactly the members have reported, each once.
 	Complete bool   `json:"complete"`
 	Oldest   uint64 `json:"oldest_generation"`
 	AgeMS    uint64 `json:"age_ms"`
 	Stale    bool   `json:"stale"`
-	// Servers is what a gateway knows of the hall's servers; a daemon with a table does
-	// not tell it.
+	// Servers is the state of the hall's servers. Only a gateway sets it, not a daemon
+	// that serves from a table.
 	Servers *HallServers `json:"servers,omitempty"`
 }
 
-// HallServers is what one gateway knows of a data hall's servers.
+// HallServers is the state of a data hall's servers as one gateway knows it.
 type HallServers struct {
 	Servers int `json:"servers"`
-	// Cold servers have just started or returned and get little.
+	// Cold is the number of servers that have just started or returned and get few
+	// requests at first.
 	Cold int `json:"cold"`
-	// InFlight are this daemon's requests under way there.
+	// InFlight is the number of requests of this daemon that the hall's servers process.
 	InFlight int `json:"in_flight"`
-	// Emptied tells that the servers get nothing, EmptiedMS since when the daemon knows.
+	// Emptied is set if the hall is drained, so that its servers get no requests.
+	// EmptiedMS is how long the daemon has known of it.
 	Emptied   bool  `json:"emptied"`
 	EmptiedMS int64 `json:"emptied_ms"`
 }
 
-// Dump is the whole control state of a daemon.
+// Dump is the complete control state of a daemon.
 type Dump struct {
 	ID         string            `json:"id"`
 	Hall       string            `json:"hall"`
@@ -80,8 +82,8 @@
 	Halls      []HallDump        `json:"halls"`
 	Servers    []ServerDump      `json:"servers"`
 	Guarded    map[string]string `json:"guarded,omitempty"`
-	// Seen is what all daemons together have counted, of versions and of requests under
-	// which servers have ended.
+	// Seen are the counts of all daemons, of answers by version and of server crashes by
+	// request content.
 	Seen         []aggregation.Evidence `json:"seen"`
 	Shares       map[string]Share       `json:"shares"`
 	PendingBills int                    `json:"pending_bills"`
@@ -94,11 +96,11 @@
 	PlatformByte int64                  `json:"platform_bytes"`
 }
 
-// Dump returns the whole control state. Changes that wait to be published are published
-// first, so that requests see what it tells.
+// Dump returns the complete control state. It publishes pending changes first, so that
+// requests use the state that it returns.
 func (c *Control) Dump() (Dump, error) {
 	var d Dump
-	err := c.askLoop(func(l *loop) {
+	err := c.runOnLoop(func(l *loop) {
 		now := time.Now()
 		if l.dirty {
 			l.publish(now)
@@ -111,14 +113,15 @@
 // Pending returns how many bills the platform has not acknowledged.
 func (c *Control) Pending() (int, error) {
 	n := 0
-	err := c.askLoop(func(l *loop) { n = l.node.Pending.Len() })
+	err := c.runOnLoop(func(l *loop) { n = l.node.Pending.Len() })
 	return n, err
 }
 
-// Halls returns how far each data hall is with the table.
+// Halls returns the aggregated state of each data hall, with the oldest table generation
+// in use there.
 func (c *Control) Halls() ([]HallDump, error) {
 	var halls []HallDump
-	err := c.askLoop(func(l *loop) { halls = l.dumpHalls(time.Now()) })
+	err := c.runOnLoop(func(l *loop) { halls = l.dumpHalls(time.Now()) })
 	return halls, err
 }
 
@@ -145,8 +148,8 @@
 	for _, b := range l.servers.sorted {
 		d.Servers = append(d.Servers, b.dump(now, l.node.Leaving))
 	}
-	for ref, why := range l.guard.guarded() {
-		d.Guarded[ref.String()] = why
+	for ref, reason := range l.guard.guarded() {
+		d.Guarded[ref.String()] = reason
 	}
 	return d
 }
@@ -155,11 +158,11 @@
 	return MemberDump{ID: m.ID, Hall: m.Hall, State: m.State.String(), Incarnation: m.Incarnation, Leaving: m.Leaving}
 }
 
-func (b *backend) dump(now time.Time, told func(id string) bool) ServerDump {
+func (b *backend) dump(now time.Time, announced func(id string) bool) ServerDump {
 	d := ServerDump{
-		ID: b.vm.ID, Hall: b.vm.Hall, Role: string(b.vm.Role), Leaving: b.goes(told),
-		InFlight: b.load.InFlight.Load(), Reported: b.reported, Failures: b.failures,
-		Ejected: now.Before(b.ejected), HeardMS: now.Sub(b.heard).Milliseconds(),
+		ID: b.vm.ID, Hall: b.vm.Hall, Role: string(b.vm.Role), Leaving: b.leaving(announced),
+		InFlight: b.state.InFlight.Load(), Reported: b.reportedLoad, Failures: b.failures,
+		Ejected: now.Before(b.ejectedUntil), HeardMS: now.Sub(b.lastResponse).Milliseconds(),
 	}
 	for _, ref := range b.loaded {
 		d.Loaded = append(d.Loaded, ref.String())
@@ -167,7 +170,8 @@
 	return d
 }
 
-// dumpHalls names every data hall of the VM list, heard of or not.
+// dumpHalls returns an entry for every data hall in the VM list, also for those that have
+// not reported.
 func (l *loop) dumpHalls(now time.Time) []HallDump {
 	var out []HallDump
 	seen := map[string]bool{}
--- a/daemon/control/event.go
+++ b/daemon/control/event.go
@@ -9,75 +9,78 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// Fact is something that traffic found out. Facts may be dropped.
-type Fact interface{ fact() }
+// Fact is an observation made while a request is processed. Facts may be dropped.
+type Fact interface{ observation() }
 
 // Answered is an answer of a backend server.
 type Answered struct {
 	Server string
-	// Ref is the version; it is zero for plain services.
+	// Ref is the version that answered. It is zero for plain services.
 	Ref table.Ref
 	// Bad marks an answer that counts against the version.
 	Bad bool
-	// InFlight is what the server reported with its answer; -1 is nothing.
+	// InFlight is the load that the server reported with its answer, or -1 if it
+	// reported none.
 	InFlight int
 }
 
-// Failed is a server that could not be reached or broke an answer off.
+// Failed is a server that could not be reached or whose answer broke off.
 type Failed struct {
 	Server string
-	// Ref is the version whose answer broke off; it is zero if none had begun.
+	// Ref is the version whose answer broke off. It is zero if no answer had started.
 	Ref table.Ref
 }
 
-// Declined is a server that took a request not on.
+// Declined is a server that declined a request.
 type Declined struct {
 	Server string
-	// NotLoaded is the version that the server says it has not loaded; it is zero if it
-	// gave another reason.
+	// NotLoaded is the version that the server reported as not loaded. It is zero if the
+	// server gave another reason.
 	NotLoaded table.Ref
 }
 
-// SaysLeaving is a server that says of itself that it takes no new work.
+// SaysLeaving is a server that announced that it accepts no new requests.
 type SaysLeaving struct{ Server string }
 
-func (Answered) fact()    {}
-func (Failed) fact()      {}
-func (Declined) fact()    {}
-func (SaysLeaving) fact() {}
+func (Answered) observation()    {}
+func (Failed) observation()      {}
+func (Declined) observation()    {}
+func (SaysLeaving) observation() {}
 
-// event is what the control goroutine handles besides facts.
+// event is an event other than a fact that the control goroutine handles.
 type event interface{ event() }
 
-// nodeEvent goes to the node as it is.
+// nodeEvent is passed to the node unchanged.
 type nodeEvent struct{ inner node.Event }
 
-// billEvent is a request to bill; safe tells whether another daemon, or the
-// platform, has the bill.
+// billEvent queues a bill. durable receives whether another daemon or the
+// platform has the bill.
 type billEvent struct {
-	bill bill.Bill
-	safe chan bool
+	bill    bill.Bill
+	durable chan bool
 }
 
 // reportEvent is the answer to a poll of a backend server.
 type reportEvent struct {
-	server string
-	report wire.LoadReport
-	err    error
-	sentAt time.Time
-	own    int
+	server      string
+	report      wire.LoadReport
+	err         error
+	sentAt      time.Time
+	ownInFlight int
 }
 
-// askEvent runs a function on the control goroutine, for dumps.
-type askEvent struct {
+// callEvent runs a function on the control goroutine and closes done after it.
+type callEvent struct {
 	run  func(*loop)
 	done chan struct{}
 }
 
-// stepEvent says that a roll-out's step is stored, or not.
+// stepEvent reports that storing a rollout step has finished, with or without
+// success.
 type stepEvent struct{}
 
-// orderEvent says that an engine was given an order, or not.
+// orderEvent reports that sending an order to an engine has finished, with or
+// without success.
 type orderEvent struct{ engine string }
 
 func (orderEvent) event()  {}
@@ -85,4 +88,4 @@
 func (nodeEvent) event()   {}
 func (billEvent) event()   {}
 func (reportEvent) event() {}
-func (askEvent) event()    {}
+func (callEvent) event()   {}
--- a/daemon/control/guard.go
+++ b/daemon/control/guard.go
@@ -12,35 +12,39 @@
 	"ladderridge.example/core/table"
 )
 
-// guardFor is how long a guarded version gets no new sessions before it is
-// tried again, with half of the evidence against it kept.
-const guardFor = time.Minute
+// guardPeriod is how long a rejected version gets no new sessions. After that it
+// is tried again, and at most half of the rejection threshold is kept as evidence
+// against it.
+const guardPeriod = time.Minute
 
-// watched is the evidence on one version.
-type watched struct {
+// versionState is the evidence on one version. A version with a reason is
+// rejected, at least up to the time until.
+type versionState struct {
 	answers uint64
 	bad     uint64
 	local   evidence.Test
 	pooled  evidence.Test
-	// seen are the pooled counts that the pooled test has taken in.
-	seen  aggregation.Evidence
-	until time.Time
-	why   string
+	// pooledCounts are the counts of all daemons that pooled already includes.
+	pooledCounts aggregation.Evidence
+	until        time.Time
+	reason       string
 }
 
-// guard watches how versions answer. It is owned by the control goroutine.
+// guard rejects versions with too many bad answers. It is owned by the control
+// goroutine.
 type guard struct {
-	versions map[table.Ref]*watched
-	// badFor are the versions that single organisations' ratings find bad.
+	versions map[table.Ref]*versionState
+	// badFor are the versions that the ratings of single organisations reject.
 	badFor map[route.QualityKey]bool
 }
 
 func newGuard() *guard {
-	return &guard{versions: map[table.Ref]*watched{}, badFor: map[route.QualityKey]bool{}}
+	return &guard{versions: map[table.Ref]*versionState{}, badFor: map[route.QualityKey]bool{}}
 }
 
-// alarm is why all daemons together find a version bad, or "".
-func (g *guard) alarm(ref table.Ref) string {
+// alarmReason returns why the counts of all daemons or the ratings reject a
+// version, or "".
+func (g *guard) alarmReason(ref table.Ref) string {
 	if w := g.versions[ref]; w != nil && w.pooled.Alarmed() {
 		return "all daemons together find it bad"
 	}
@@ -56,21 +60,22 @@
 	return ""
 }
 
-// of returns the evidence on a version; asked for one, the guard watches it by
-// the counts of all daemons, also if this one never sees an answer of it.
-func (g *guard) of(ref table.Ref) *watched {
+// stateOf returns the evidence on a version. It creates the entry if there is none,
+// so that the guard follows the counts of all daemons for the version even if this
+// daemon never gets an answer from it.
+func (g *guard) stateOf(ref table.Ref) *versionState {
 	w := g.versions[ref]
 	if w == nil {
-		w = &watched{local: evidence.Default, pooled: evidence.Pooled}
+		w = &versionState{local: evidence.Default, pooled: evidence.Pooled}
 		g.versions[ref] = w
 	}
 	return w
 }
 
-// answered counts an answer that this daemon saw, and reports whether the
-// version is guarded from now on.
-func (g *guard) answered(ref table.Ref, bad bool, now time.Time) bool {
-	w := g.of(ref)
+// recordAnswer counts an answer to this daemon, and reports whether the version is
+// rejected because of it.
+func (g *guard) recordAnswer(ref table.Ref, bad bool, now time.Time) bool {
+	w := g.stateOf(ref)
 	w.answers++
 	n := uint64(0)
 	if bad {
@@ -78,66 +83,69 @@
 		n = 1
 	}
 	w.local = w.local.WithCounts(1, n)
-	return w.judge(now)
+	return w.evaluate(now)
 }
 
-// pool takes in what all daemons saw, and reports whether anything changed.
-func (g *guard) pool(counts func(aggregation.Key) aggregation.Evidence, now time.Time) bool {
+// addPooled adds the new counts of all daemons to the pooled tests, and reports
+// whether a version was rejected or is no longer rejected.
+func (g *guard) addPooled(counts func(aggregation.Key) aggregation.Evidence, now time.Time) bool {
 	changed := false
 	for ref, w := range g.versions {
 		total := counts(aggregation.KeyOfRef(ref))
-		if total.Answers > w.seen.Answers && total.Bad >= w.seen.Bad {
-			w.pooled = w.pooled.WithCounts(total.Answers-w.seen.Answers, total.Bad-w.seen.Bad)
+		if total.Answers > w.pooledCounts.Answers && total.Bad >= w.pooledCounts.Bad {
+			w.pooled = w.pooled.WithCounts(total.Answers-w.pooledCounts.Answers, total.Bad-w.pooledCounts.Bad)
 		}
-		w.seen = total
-		if w.judge(now) || w.expire(now) {
+		w.pooledCounts = total
+		if w.evaluate(now) || w.expire(now) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// judge guards a version when a test alarms.
-func (w *watched) judge(now time.Time) bool {
-	if w.why != "" {
+// evaluate rejects the version when a test raises an alarm, and reports whether it
+// did.
+func (w *versionState) evaluate(now time.Time) bool {
+	if w.reason != "" {
 		return false
 	}
 	switch {
 	case w.pooled.Alarmed():
-		w.why = "all daemons together find it bad"
+		w.reason = "all daemons together find it bad"
 	case w.local.Alarmed():
-		w.why = "this daemon finds it bad"
+		w.reason = "this daemon finds it bad"
 	default:
 		return false
 	}
-	w.until = now.Add(guardFor)
+	w.until = now.Add(guardPeriod)
 	return true
 }
 
-// expire lets a guarded version be tried again.
-func (w *watched) expire(now time.Time) bool {
-	if w.why == "" || now.Before(w.until) {
+// expire ends the rejection of a version after guardPeriod, and reports whether it
+// did.
+func (w *versionState) expire(now time.Time) bool {
+	if w.reason == "" || now.Before(w.until) {
 		return false
 	}
-	w.why = ""
+	w.reason = ""
 	w.local.Sum = min(w.local.Sum, w.local.Threshold/2)
 	w.pooled.Sum = min(w.pooled.Sum, w.pooled.Threshold/2)
 	return true
 }
 
-// guarded returns the versions that get no new sessions, and why.
+// guarded returns the versions that get no new sessions, with the reason.
 func (g *guard) guarded() map[table.Ref]string {
 	out := map[table.Ref]string{}
 	for ref, w := range g.versions {
-		if w.why != "" {
-			out[ref] = w.why
+		if w.reason != "" {
+			out[ref] = w.reason
 		}
 	}
 	return out
 }
 
-// own are this daemon's counts, for the tally.
-func (g *guard) own() []aggregation.Evidence {
+// ownCounts returns the counts of this daemon, for the aggregation tree.
+func (g *guard) ownCounts() []aggregation.Evidence {
 	out := make([]aggregation.Evidence, 0, len(g.versions))
 	for ref, w := range g.versions {
 		out = append(out, aggregation.Evidence{Key: aggregation.KeyOfRef(ref), Answers: w.answers, Bad: w.bad})
--- a/daemon/control/servers.go
+++ b/daemon/control/servers.go
@@ -13,52 +13,53 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// The times by which backend servers are polled and ejected.
+// Intervals of polls, and limits of the ejection of failing servers.
 const (
-	// pollEvery is the time between two polls by one daemon; the servers share
-	// them, so that a daemon's work does not grow with their number.
-	pollEvery = 125 * time.Millisecond
-	// pollOwn and pollOther are the least times between two polls of a server
-	// of the own and of another data hall, if it has not been heard from.
-	pollOwn   = 2 * time.Second
-	pollOther = 10 * time.Second
-	// pollBusy is that of a server whose answers bring its load, but not what
-	// it has loaded.
-	pollBusy = 10 * time.Second
-	// ejectAfter is how many failures in a row eject a server.
-	ejectAfter = 3
-	ejectFloor = time.Second
-	// ejectCeiling bounds how long a failing server stays out.
-	ejectCeiling = 30 * time.Second
+	// pollInterval is the time between two polls by one daemon. All servers share
+	// these polls, so that the work of a daemon does not grow with their number.
+	pollInterval = 125 * time.Millisecond
+	// ownHallPollInterval and otherHallPollInterval are the minimum times from the
+	// last poll or response of a server of the own or another data hall to the next
+	// poll.
+	ownHallPollInterval   = 2 * time.Second
+	otherHallPollInterval = 10 * time.Second
+	// busyPollInterval is the minimum time between two polls of a server that answers
+	// requests. Its answers report its load, but not which versions it has loaded.
+	busyPollInterval = 10 * time.Second
+	// ejectThreshold is the number of consecutive failures that ejects a server.
+	ejectThreshold = 3
+	minEjection    = time.Second
+	// maxEjection is the maximum time that a failing server stays ejected.
+	maxEjection = 30 * time.Second
 )
 
-// backend is what is known of one backend server.
+// backend is the state of one backend server.
 type backend struct {
-	vm       platform.VM
-	load     *route.ServerState
-	loaded   []table.Ref
-	loading  []table.Ref
-	slots    int
-	reported int
-	capacity int
-	at       time.Time
-	own      int
-	heard    time.Time
-	// answered is when a poll of it last ended, well or not.
-	answered time.Time
-	// reportedAt is when its last whole report came.
-	reportedAt time.Time
-	polled     time.Time
-	failures   int
-	ejected    time.Time
-}
-
-// servers are the backend servers of all data halls. They are owned by the
-// control goroutine.
+	vm             platform.VM
+	state          *route.ServerState
+	loaded         []table.Ref
+	loading        []table.Ref
+	slots          int
+	reportedLoad   int
+	capacity       int
+	loadReportedAt time.Time
+	ownInFlight    int
+	lastResponse   time.Time
+	// lastPollEnd is when the last poll ended, with or without success.
+	lastPollEnd time.Time
+	// reportedAt is when its last complete report arrived.
+	reportedAt    time.Time
+	lastPollStart time.Time
+	failures      int
+	ejectedUntil  time.Time
+}
+
+// servers holds the backend servers of all data halls. It is owned by the control
+// goroutine.
 type servers struct {
 	hall string
 	byID map[string]*backend
-	// sorted are all of them in the order of their ids.
+	// sorted contains all servers in the order of their ids.
 	sorted []*backend
 }
 
@@ -66,8 +67,9 @@
 	return &servers{hall: hall, byID: map[string]*backend{}}
 }
 
-// list takes a new list of VMs.
-func (s *servers) list(vms []platform.VM) {
+// setVMs replaces the servers by those of a new VM list. It keeps the state of a
+// server whose address has not changed.
+func (s *servers) setVMs(vms []platform.VM) {
 	seen := map[string]bool{}
 	for _, vm := range vms {
 		if vm.Role == platform.RoleEntry {
@@ -78,7 +80,7 @@
 			b.vm = vm
 			continue
 		}
-		s.byID[vm.ID] = &backend{vm: vm, load: &route.ServerState{}}
+		s.byID[vm.ID] = &backend{vm: vm, state: &route.ServerState{}}
 	}
 	for id := range s.byID {
 		if !seen[id] {
@@ -88,23 +90,24 @@
 	s.sorted = slices.SortedFunc(maps.Values(s.byID), func(a, b *backend) int { return cmp.Compare(a.vm.ID, b.vm.ID) })
 }
 
-// goes reports whether a server is leaving by anybody's word: the list's, its
-// own, or other daemons'.
-func (b *backend) goes(told func(id string) bool) bool {
-	return b.vm.Leaving || b.load.Notices.State().Leaving() || told(b.vm.ID)
+// leaving reports whether a server is leaving according to the VM list, the server
+// itself or other daemons.
+func (b *backend) leaving(announced func(id string) bool) bool {
+	return b.vm.Leaving || b.state.Notices.State().Leaving() || announced(b.vm.ID)
 }
 
-// firstPolls is how many servers that were never asked are polled at once.
-const firstPolls = 16
+// firstPollBatch is the maximum number of servers that are polled at once for the
+// first time.
+const firstPollBatch = 16
 
-// duePolls returns the servers to poll now: those that were never asked, or
-// else the one whose poll is most overdue. Among equals the map's random order
-// decides, so that daemons that start together do not all ask the same ones.
+// duePolls returns the servers to poll now: those that were never polled, or else
+// the one whose poll is most overdue. Ties are resolved by the random order of the
+// map, so that daemons that start together do not all poll the same servers.
 func (s *servers) duePolls(now time.Time) []*backend {
 	var due []*backend
 	for _, b := range s.byID {
-		if b.polled.IsZero() && len(due) < firstPolls {
-			b.polled = now
+		if b.lastPollStart.IsZero() && len(due) < firstPollBatch {
+			b.lastPollStart = now
 			due = append(due, b)
 		}
 	}
@@ -112,16 +115,16 @@
 		return due
 	}
 	if b := s.mostOverdue(now); b != nil {
-		b.polled = now
+		b.lastPollStart = now
 		due = append(due, b)
 	}
 	return due
 }
 
-// acquainted reports whether each server of the own data hall has been asked.
-func (s *servers) acquainted() bool {
+// allPolled reports whether each server of the own data hall has been polled.
+func (s *servers) allPolled() bool {
 	for _, b := range s.sorted {
-		if b.vm.Hall == s.hall && b.answered.IsZero() {
+		if b.vm.Hall == s.hall && b.lastPollEnd.IsZero() {
 			return false
 		}
 	}
@@ -133,11 +136,11 @@
 	var due *backend
 	var most time.Duration
 	for _, b := range s.byID {
-		every := pollOther
+		interval := otherHallPollInterval
 		if b.vm.Hall == s.hall {
-			every = pollOwn
+			interval = ownHallPollInterval
 		}
-		overdue := max(now.Sub(latest(b.heard, b.polled))-every, now.Sub(b.polled)-pollBusy)
+		overdue := max(now.Sub(latest(b.lastResponse, b.lastPollStart))-interval, now.Sub(b.lastPollStart)-busyPollInterval)
 		if overdue >= 0 && (due == nil || overdue > most) {
 			due, most = b, overdue
 		}
@@ -152,25 +155,25 @@
 	return b
 }
 
-// report takes a server's own report, as the answer to a poll.
-func (s *servers) report(e reportEvent, now time.Time) {
+// applyReport stores the load report that a server sent as the answer to a poll.
+func (s *servers) applyReport(e reportEvent, now time.Time) {
 	b, r := s.byID[e.server], e.report
 	if b == nil {
 		return
 	}
-	b.reported, b.capacity, b.at, b.own = r.InFlight, r.Capacity, now, e.own
-	b.heard, b.failures, b.ejected = now, 0, time.Time{}
-	b.load.ClearFull()
+	b.reportedLoad, b.capacity, b.loadReportedAt, b.ownInFlight = r.InFlight, r.Capacity, now, e.ownInFlight
+	b.lastResponse, b.failures, b.ejectedUntil = now, 0, time.Time{}
+	b.state.ClearFull()
 	if r.Leaving {
-		b.load.Notices.Observe(notice.Notice{Leaving: true}, now)
+		b.state.Notices.Observe(notice.Notice{Leaving: true}, now)
 	} else {
-		b.load.Notices.ObserveStaying(e.sentAt)
+		b.state.Notices.ObserveStaying(e.sentAt)
 	}
-	b.reportedAt, b.answered = now, now
-	b.loaded, b.loading, b.slots = refs(r.Loaded), refs(r.Loading), r.Slots
+	b.reportedAt, b.lastPollEnd = now, now
+	b.loaded, b.loading, b.slots = toRefs(r.Loaded), toRefs(r.Loading), r.Slots
 }
 
-func refs(loaded []wire.Loaded) []table.Ref {
+func toRefs(loaded []wire.Loaded) []table.Ref {
 	out := make([]table.Ref, 0, len(loaded))
 	for _, l := range loaded {
 		out = append(out, table.Ref{Model: l.Model, Version: l.Version})
@@ -178,64 +181,65 @@
 	return out
 }
 
-// answered takes the load that came with an answer.
-func (s *servers) answered(id string, inFlight int, now time.Time) {
+// recordAnswer stores the load that a server reported with an answer.
+func (s *servers) recordAnswer(id string, inFlight int, now time.Time) {
 	b := s.byID[id]
 	if b == nil {
 		return
 	}
-	b.heard, b.failures, b.ejected = now, 0, time.Time{}
+	b.lastResponse, b.failures, b.ejectedUntil = now, 0, time.Time{}
 	if inFlight >= 0 {
-		b.reported, b.at, b.own = inFlight, now, int(b.load.InFlight.Load())
+		b.reportedLoad, b.loadReportedAt, b.ownInFlight = inFlight, now, int(b.state.InFlight.Load())
 	}
 }
 
-// unanswered notes a poll that failed.
-func (s *servers) unanswered(id string, now time.Time) {
+// recordPollFailure records a failed poll as a failure of the server.
+func (s *servers) recordPollFailure(id string, now time.Time) {
 	if b := s.byID[id]; b != nil {
-		b.answered = now
+		b.lastPollEnd = now
 	}
-	s.failed(id, now)
+	s.recordFailure(id, now)
 }
 
-// failed counts a failure and ejects a server that fails repeatedly.
-func (s *servers) failed(id string, now time.Time) {
+// recordFailure counts a failure, and ejects the server after ejectThreshold
+// consecutive failures. Each further failure doubles the ejection, up to maxEjection.
+func (s *servers) recordFailure(id string, now time.Time) {
 	b := s.byID[id]
 	if b == nil {
 		return
 	}
 	b.failures++
-	if b.failures >= ejectAfter {
-		out := ejectFloor << min(b.failures-ejectAfter, 8)
-		b.ejected = now.Add(min(out, ejectCeiling))
+	if b.failures >= ejectThreshold {
+		ejection := minEjection << min(b.failures-ejectThreshold, 8)
+		b.ejectedUntil = now.Add(min(ejection, maxEjection))
 	}
 }
 
-// declined notes a server's own word that it has not loaded a version, or is full. One that
-// has not loaded it is asked at once what it has.
-func (s *servers) declined(id string, notLoaded table.Ref, now time.Time) {
+// recordDecline records that a server has not loaded a version, or is full. A server that has
+// not loaded the version is polled at once, to find out what it has loaded.
+func (s *servers) recordDecline(id string, notLoaded table.Ref, now time.Time) {
 	b := s.byID[id]
 	switch {
 	case b == nil:
 	case notLoaded != table.Ref{}:
 		b.loaded = slices.DeleteFunc(slices.Clone(b.loaded), func(r table.Ref) bool { return r == notLoaded })
-		b.polled = time.Time{}
+		b.lastPollStart = time.Time{}
 	default:
-		b.reported, b.at, b.own = max(b.reported, b.capacity), now, int(b.load.InFlight.Load())
+		b.reportedLoad, b.loadReportedAt, b.ownInFlight = max(b.reportedLoad, b.capacity), now, int(b.state.InFlight.Load())
 	}
 }
 
-// view fills in a view's engines and services; told are the servers that other
-// daemons say are leaving.
-func (s *servers) view(v *route.View, told func(id string) bool) {
+// fillView sets the engines and services of a view. announced reports whether other
+// daemons have announced that a server is leaving.
+func (s *servers) fillView(v *route.View, announced func(id string) bool) {
 	v.Engines = map[table.Ref][]*route.Server{}
 	v.Services = map[string][]*route.Server{}
 	for _, b := range s.sorted {
 		server := &route.Server{
 			ID: b.vm.ID, Addr: b.vm.Addr, Hall: b.vm.Hall,
-			Leaving:  b.goes(told),
-			Reported: b.reported, Capacity: b.capacity, ReportedAt: b.at, OwnAtReport: b.own,
-			EjectedUntil: b.ejected, State: b.load,
+			Leaving:  b.leaving(announced),
+			Reported: b.reportedLoad, Capacity: b.capacity, ReportedAt: b.loadReportedAt, OwnAtReport: b.ownInFlight,
+			EjectedUntil: b.ejectedUntil, State: b.state,
 		}
 		for _, ref := range b.loaded {
 			v.Engines[ref] = append(v.Engines[ref], server)
--- a/daemon/control/shares.go
+++ b/daemon/control/shares.go
@@ -9,7 +9,7 @@
 	"ladderridge.example/daemon/platform"
 )
 
-// shares works out what this daemon may use of each organisation's limits.
+// shares computes the part of each organisation's limits that this daemon may use.
 func (l *loop) shares(now time.Time) map[string]Share {
 	totals, fresh := l.node.Tree.Totals(now)
 	out := make(map[string]Share, len(l.table.Organisations))
@@ -19,8 +19,8 @@
 	return out
 }
 
-// figure picks one figure of a demand.
-type figure func(aggregation.Demand) float64
+// demandField selects one value of a demand.
+type demandField func(aggregation.Demand) float64
 
 func requestsOf(d aggregation.Demand) float64 { return float64(d.Requests) / aggregation.RequestsUnit }
 func tokensOf(d aggregation.Demand) float64   { return float64(d.Tokens) }
@@ -30,12 +30,12 @@
 	key := aggregation.KeyOf(org.Name)
 	own := l.node.OwnSums().Demand(key)
 	hall, others := totals.Own.Demand(key), totals.Others.Demand(key)
-	of := func(whole float64, pick figure) float64 {
-		if whole <= 0 {
+	shareOf := func(total float64, pick demandField) float64 {
+		if total <= 0 {
 			return 0
 		}
 		in := limit.ShareInput{
-			Limit: whole, Halls: l.node.Halls(), Own: pick(own), Fresh: fresh,
+			Limit: total, Halls: l.node.Halls(), Own: pick(own), Fresh: fresh,
 			Hall:        limit.HallDemand{Demand: pick(hall), Daemons: int(totals.Own.Daemons)},
 			Others:      limit.HallDemand{Demand: pick(others), Daemons: int(totals.Others.Daemons)},
 			FreshOthers: int(totals.FreshOthers),
@@ -46,14 +46,15 @@
 		return limit.Share(in)
 	}
 	return Share{
-		Requests:    of(org.Limits.RequestsPerSecond, requestsOf),
-		Tokens:      of(org.Limits.TokensPerSecond, tokensOf),
-		Concurrency: atLeastOne(of(float64(org.Limits.Concurrency), inFlightOf)),
+		Requests:    shareOf(org.Limits.RequestsPerSecond, requestsOf),
+		Tokens:      shareOf(org.Limits.TokensPerSecond, tokensOf),
+		Concurrency: atLeastOne(shareOf(float64(org.Limits.Concurrency), inFlightOf)),
 	}
 }
 
-// atLeastOne rounds a share of a concurrency limit up, so that a daemon with a
-// small share can serve at all; 0 stays no limit.
+// atLeastOne rounds a share of a concurrency limit to the nearest integer, but not
+// below 1, so that a daemon with a small share can serve requests at all. 0 remains
+// 0, which means no limit.
 func atLeastOne(x float64) int {
 	if x <= 0 {
 		return 0
@@ -61,7 +62,7 @@
 	return max(1, int(x+0.5))
 }
 
-// otherHalls are the data halls that the VM list names besides the own one.
+// otherHalls returns the data halls in the VM list other than the own one.
 func (l *loop) otherHalls() []string {
 	var out []string
 	seen := map[string]bool{l.Settings.Hall: true}
