--- a/daemon/process/logger.go
+++ b/daemon/process/logger.go
@@ -8,8 +8,9 @@
 	"ladderridge.example/daemon/settings"
 )
 
-// newLogger writes to standard error, as the settings say. Each message starts
-// with the name of its part.
+// newLogger returns a logger that writes to standard error with the level and
+// format of the settings. By convention each message starts with the name of its
+// package.
 func newLogger(s *settings.Settings) log.Logger {
 	l := log.Logger{Level: log.ParseLevel(s.LogLevel)}
 	if s.LogJSON {
--- a/daemon/process/metrics.go
+++ b/daemon/process/metrics.go
@@ -12,8 +12,8 @@
 // namespace is the prefix of every metric.
 const namespace = "ladderridge"
 
-// metrics registers what the daemon counts, and returns what is to be told of
-// each request.
+// metrics registers the daemon's metrics, and returns the function to call with
+// the record of each request.
 func (p *Process) metrics() (*prometheus.Registry, func(record.Record)) {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -1,5 +1,5 @@
-// Package process is one daemon: its parts put together as a supervisor tree,
-// from start to a planned stop.
+// Package process assembles a daemon from its parts and runs it as a supervisor
+// tree, from the start to a planned stop.
 package process
 
 import (
@@ -27,13 +27,13 @@
 	"ladderridge.example/daemon/suspend"
 )
 
-// sender carries the control state's messages to other daemons.
+// sender sends the messages of the control loop to other daemons.
 type sender struct{ peers *peer.Transport }
 
 // Send implements control.Sender.
 func (s sender) Send(id, addr string, m node.Message) { s.peers.Send(id, addr, m) }
 
-// Process is one daemon. Set its field, then Run it.
+// Process is a daemon. Set Settings, then Run it.
 type Process struct {
 	Settings *settings.Settings
 
@@ -47,18 +47,18 @@
 	backend *backend.Client
 }
 
-// The times of a planned stop.
+// Time-outs and intervals of a planned stop.
 const (
-	// flushWait is how long a stopping daemon waits for the platform to
-	// acknowledge what it holds, before it hands that over.
-	flushWait = 3 * time.Second
-	// handOverWait is how long it then waits for another daemon to take it.
-	handOverWait = 5 * time.Second
-	checkEvery   = 50 * time.Millisecond
-	againEvery   = time.Second
+	// flushTimeout is how long a stopping daemon waits for the platform to
+	// acknowledge its claims and bills before it hands the bills over.
+	flushTimeout = 3 * time.Second
+	// handOverTimeout is how long it then waits for another daemon to accept them.
+	handOverTimeout       = 5 * time.Second
+	pendingCheckInterval  = 50 * time.Millisecond
+	handOverRetryInterval = time.Second
 )
 
-// Run runs the daemon until ctx ends, and then stops it as planned.
+// Run runs the daemon until ctx ends, and then performs a planned stop.
 func (p *Process) Run(ctx context.Context) error {
 	if err := p.build(); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	}, p.stop)
 }
 
-// build puts the parts together.
+// build creates the parts and connects them.
 func (p *Process) build() error {
 	s := p.Settings
 	p.log = newLogger(s)
@@ -83,7 +83,7 @@
 	p.records = record.NewLog()
 	tracer := record.NewTracer()
 	p.backend = backend.New()
-	p.backend.Channels.Listed = p.listed
+	p.backend.Channels.Listed = p.listedAddrs
 	p.claims = &claims.Store{Platform: client}
 	p.front = front.New()
 	p.control = control.New()
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// listen takes the addresses, so that a daemon whose address is in use ends at
-// once with an error.
+// listen opens the listeners before the parts start, so that a daemon whose
+// address is in use ends at once with an error.
 func (p *Process) listen(ctx context.Context) error {
 	var err error
 	if p.front.Listener, err = (&net.ListenConfig{}).Listen(ctx, "tcp", p.Settings.Callers); err != nil {
@@ -121,11 +121,12 @@
 	return nil
 }
 
-// tree is the supervisor tree: what serves callers apart from what the daemons
-// do among themselves, so that the one can be restarted without the other.
+// tree returns the supervisor tree. The parts that serve callers and those that
+// communicate with other daemons have separate supervisors, so that one group can
+// be restarted without the other.
 func (p *Process) tree() *suture.Supervisor {
 	spec := suture.Spec{EventHook: func(e suture.Event) {
-		p.log.Error().Str("event", e.String()).Msg("process: a part ended")
+		p.log.Error().Str("event", e.String()).Msg("process: supervisor event")
 	}}
 	root := suture.New("ladderridged", spec)
 	coordination := suture.New("coordination", spec)
@@ -140,8 +141,9 @@
 	return root
 }
 
-// listed reports of an address whether a server is listed there.
-func (p *Process) listed() func(addr string) bool {
+// listedAddrs returns a function that reports whether the current view has a server
+// at an address.
+func (p *Process) listedAddrs() func(addr string) bool {
 	addrs := map[string]bool{}
 	view := p.control.Snapshot().View
 	for _, servers := range view.Engines {
@@ -157,55 +159,58 @@
 	return func(addr string) bool { return addrs[addr] }
 }
 
-// stop ends the daemon without cutting a request: it says that it is not
-// ready, keeps accepting until the balancer has noticed, finishes what is
-// under way and hands over what the platform has not acknowledged.
+// stop performs a planned stop, which interrupts no request within StopGrace: the
+// daemon reports that it is not ready, accepts requests for StopNotice so that the
+// load balancer can notice, waits for the requests in flight and hands over the bills
+// that the platform has not acknowledged.
 func (p *Process) stop() {
-	p.log.Info().Msg("process: stopping: not ready")
+	p.log.Info().Msg("process: stopping, reporting not ready")
 	p.admin.Stopping()
 	p.front.Stopping()
 	time.Sleep(p.Settings.StopNotice)
 	ctx, cancel := context.WithTimeout(context.Background(), p.Settings.StopGrace)
 	defer cancel()
 	if err := p.front.Stop(ctx); err != nil {
-		p.log.Warn().Err(err).Int64("open", p.front.Open.Load()).Msg("process: stopping: requests outlasted the grace")
+		p.log.Warn().Err(err).Int64("open", p.front.Open.Load()).Msg("process: stopping with requests still in flight after the grace period")
 	}
-	p.settle()
+	p.flushOrHandOver()
 	p.log.Info().Msg("process: stopped")
 }
 
-// settle has the platform, or else another daemon, take what is held here.
-func (p *Process) settle() {
-	ctx, cancel := context.WithTimeout(context.Background(), flushWait)
+// flushOrHandOver waits until the platform has acknowledged the claims and bills of
+// this daemon, and otherwise hands the bills over to another daemon.
+func (p *Process) flushOrHandOver() {
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	p.claims.Wait(ctx)
-	if p.drained(flushWait) {
+	if p.waitForBills(flushTimeout) {
 		_ = p.control.Leave()
 		return
 	}
-	for end := time.Now().Add(handOverWait); time.Now().Before(end); {
-		if p.control.Leave() != nil || p.drained(againEvery) {
+	for deadline := time.Now().Add(handOverTimeout); time.Now().Before(deadline); {
+		if p.control.Leave() != nil || p.waitForBills(handOverRetryInterval) {
 			return
 		}
 	}
 	n, _ := p.control.Pending()
-	p.log.Error().Int("bills", n).Msg("process: stopping: nobody took the bills")
+	p.log.Error().Int("bills", n).Msg("process: stopping with bills neither written nor handed over")
 }
 
-// drained waits until no bill is held, at most for a time.
-func (p *Process) drained(wait time.Duration) bool {
-	for end := time.Now().Add(wait); ; time.Sleep(checkEvery) {
+// waitForBills waits until no bill is pending or the time-out has passed, and reports
+// whether none is pending. It also returns true if the control loop has stopped.
+func (p *Process) waitForBills(timeout time.Duration) bool {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(pendingCheckInterval) {
 		n, err := p.control.Pending()
 		if err != nil || n == 0 {
 			return true
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			return false
 		}
 	}
 }
 
-// Dump is the state of the whole process.
+// Dump is the state of the daemon.
 type Dump struct {
 	Control  control.Dump `json:"control"`
 	Peers    peer.Usage   `json:"peers"`
@@ -213,7 +218,7 @@
 	Settling int64        `json:"claims_settling"`
 }
 
-// FrontDump is what the front has counted.
+// FrontDump contains the counters of the front end.
 type FrontDump struct {
 	Requests int64 `json:"requests"`
 	Answered int64 `json:"answered"`
@@ -224,7 +229,7 @@
 	Crossed  int64 `json:"crossed_answers"`
 }
 
-// Dump returns the state of the whole process.
+// Dump returns the state of the daemon.
 func (p *Process) Dump() (any, error) {
 	c, err := p.control.Dump()
 	if err != nil {
@@ -239,7 +244,7 @@
 	}, nil
 }
 
-// LogDump writes the state of the whole process to the log.
+// LogDump writes the state of the daemon to the log.
 func (p *Process) LogDump() {
 	d, err := p.Dump()
 	if err != nil {
