--- a/daemon/supervise/supervise.go
+++ b/daemon/supervise/supervise.go
@@ -1,5 +1,5 @@
-// Package supervise runs the parts of a daemon as a supervisor tree that outlives
-// the wish to stop until a planned stop is through.
+// Package supervise runs the parts of a daemon as a supervisor tree. After a request
+// to stop, the parts keep running until a planned stop is complete.
 package supervise
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// Part is a part of a daemon, as the supervisor sees it.
+// Part is a part of a daemon that the supervisor runs and restarts.
 type Part struct {
 	Name string
 	Run  func(ctx context.Context) error
 }
 
-// Serve runs the part. One that ends without an error has done its work.
+// Serve implements suture.Service. A part that ends without an error is not restarted.
 func (p Part) Serve(ctx context.Context) error {
 	if err := p.Run(ctx); err != nil {
 		return err
@@ -23,15 +23,15 @@
 	return suture.ErrDoNotRestart
 }
 
-// String names the part in the supervisor's messages.
+// String returns the name of the part for the supervisor's messages.
 func (p Part) String() string { return p.Name }
 
-// Run runs a tree until ctx ends, has the daemon stop as planned while its parts
-// still run, and then ends them. It calls started once they run.
+// Run runs the tree until ctx ends, calls stop while the parts still run, and then
+// ends them. It calls started once the tree has been started.
 func Run(ctx context.Context, tree *suture.Supervisor, started, stop func()) error {
-	parts, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	partsCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	ended := tree.ServeBackground(parts)
+	ended := tree.ServeBackground(partsCtx)
 	started()
 	select {
 	case err := <-ended:
