--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway is a daemon that serves routed services on a platform: its
-// parts put together as a supervisor tree, from start to a planned stop. The
-// platform is an adapter that the program hands in.
+// Package gateway assembles the daemon that serves routed services on a
+// platform: it builds the components, runs them in a supervisor tree and shuts
+// them down gracefully. The program passes in the adapter for its platform.
 package gateway
 
 import (
@@ -30,75 +30,78 @@
 	"ladderridge.example/daemon/suspend"
 )
 
-// Engine serves the requests that a door has read.
+// Engine serves the requests that a front end has parsed.
 type Engine interface {
 	Serve(ctx context.Context, r *proxy.Request, sink proxy.Sink) proxy.Outcome
 }
 
-// Port is what a door is given.
+// Port is what the daemon provides to the front end that serves callers.
 type Port struct {
 	Engine Engine
-	// BodyLimit is the longest body that callers may send now, in bytes; 0 is
-	// no limit.
+	// BodyLimit returns the largest request body that is accepted at present,
+	// in bytes; 0 means no limit.
 	BodyLimit func() int64
-	// Closing reports whether connections are to be closed after their answer.
+	// Closing reports whether connections are to be closed after the current
+	// answer, because the daemon is shutting down.
 	Closing func() bool
 }
 
-// Platform is an adapter to what the daemon runs on.
+// Platform is the adapter to the platform that the daemon runs on.
 type Platform struct {
 	Store   storesync.Store
 	Decoder storesync.Decoder
 	Dialect proxy.Dialect
-	// Door makes the handler of callers' requests.
+	// Door returns the HTTP handler for callers' requests.
 	Door func(Port) http.Handler
-	// Duties takes what one daemon does for all; nil is nothing. DutyNames are what that is.
+	// Duties is the platform's interface for duties, which one daemon at a time does for all;
+	// nil if there are none. DutyNames lists these duties.
 	Duties    duties.Platform
 	DutyNames []duty.Name
-	// DutyRows are the store's rows of duties.
+	// DutyRows accesses the rows of duties in the store.
 	DutyRows duties.Rows
-	// ReadyPath is where the balancer asks whether the daemon is ready.
+	// ReadyPath is the path of the load balancer's readiness check.
 	ReadyPath string
 }
 
 // Gateway is one daemon. Get one from New, set the exported fields, then Run.
 type Gateway struct {
 	Settings *settings.Gateway
-	// Load reads the settings again; nil keeps those of the start.
+	// Load reads the settings again for a reload; nil disables reloads.
 	Load     func() (*settings.Gateway, error)
 	Platform Platform
-	// Start tells the processes of one daemon apart; it is any number that
-	// differs.
+	// Start identifies this process among the successive processes of one
+	// daemon; any number that differs between them will do.
 	Start uint64
-	// Listen takes a TCP address of the settings; nil asks the system for it. Whoever
-	// holds the addresses already hands them over here, so that nobody takes one between.
+	// Listen opens a TCP listener on an address of the settings; nil uses the operating
+	// system. A caller that has already bound the addresses passes its listeners here, so
+	// that no other process can take an address in between.
 	Listen func(ctx context.Context, addr string) (net.Listener, error)
 
 	log         log.Logger
 	logWriter   *logwriter.Writer
-	keeper      *storesync.Syncer
+	syncer      *storesync.Syncer
 	leaseholder *duties.Leaseholder
 	peers       *peer.Transport
 	channels    *channel.Pool
 	engine      *proxy.Engine
 	reporter    *reporter
 	registry    *prometheus.Registry
-	unread      slowreader.Guard
+	slowReaders slowreader.Guard
 	callers     *server
 	readiness   *server
 	admin       *server
 	phase       phase
 
-	// settings are those in force; reloads asks for them to be read again.
-	settings    atomic.Pointer[settings.Gateway]
-	reloads     chan struct{}
-	badSettings string
+	// settings are the current settings; a value on reloads requests that they be read again.
+	settings        atomic.Pointer[settings.Gateway]
+	reloads         chan struct{}
+	lastReloadError string
 }
 
-// New returns a daemon with its settings.
+// New returns a daemon with the given settings.
 func New(s *settings.Gateway) *Gateway { return &Gateway{Settings: s, reloads: make(chan struct{}, 1)} }
 
-// Run runs the daemon until ctx ends, and then stops it as planned.
+// Run runs the daemon until ctx ends, and then shuts it down gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
 	if err := g.build(); err != nil {
 		return err
@@ -114,7 +117,7 @@
 	}, g.stop)
 }
 
-// build puts the parts together.
+// build creates the components and connects them.
 func (g *Gateway) build() error {
 	s := g.Settings
 	g.settings.Store(s)
@@ -123,52 +126,51 @@
 	if err != nil {
 		return err
 	}
-	g.keeper = storesync.New()
-	keys.Trusted = g.keeper.PublicKey
+	g.syncer = storesync.New()
+	keys.Trusted = g.syncer.PublicKey
 	g.peers = &peer.Transport{Addr: s.Peers, Keys: keys, Log: g.log, Deliver: func(in peer.Incoming) {
-		g.keeper.HandleMessage(in.From, in.Message)
+		g.syncer.HandleMessage(in.From, in.Message)
 	}}
-	g.keeper.Store, g.keeper.Decoder, g.keeper.Peers, g.keeper.Log = g.Platform.Store, g.Platform.Decoder, sender{g.peers}, g.log
-	g.keeper.InForceWithin, g.keeper.SessionPause, g.keeper.FirstStart = s.InForceWithin, s.SessionPause, s.FirstStart
-	g.keeper.Self = storesync.Member{ID: s.ID, Hall: s.Hall, Addr: s.PeerAddr(), Public: keys.Public(), Start: g.Start, Capacity: s.Capacity()}
+	g.syncer.Store, g.syncer.Decoder, g.syncer.Peers, g.syncer.Log = g.Platform.Store, g.Platform.Decoder, sender{g.peers}, g.log
+	g.syncer.InForceWithin, g.syncer.SessionPause, g.syncer.FirstStart = s.InForceWithin, s.SessionPause, s.FirstStart
+	g.syncer.Self = storesync.Member{ID: s.ID, Hall: s.Hall, Addr: s.PeerAddr(), Public: keys.Public(), Start: g.Start, Capacity: s.Capacity()}
 	g.channels = channel.NewPool()
 	g.channels.Listed = g.listed
 	g.reporter = newReporter(g.log)
 	g.engine = proxy.New()
-	g.engine.StoreSync, g.engine.Channels, g.engine.Dialect = g.keeper, g.channels, g.Platform.Dialect
-	g.keeper.SuspendClock, g.engine.SuspendClock = suspend.TotalSuspended, suspend.TotalSuspended
-	g.engine.Hall, g.engine.OnComplete, g.engine.OnNotice = s.Hall, g.reporter.report, g.reporter.noticed
-	g.engine.OnLimitChange, g.keeper.OnLimitChange = g.limited, g.reporter.limited
+	g.engine.StoreSync, g.engine.Channels, g.engine.Dialect = g.syncer, g.channels, g.Platform.Dialect
+	g.syncer.SuspendClock, g.engine.SuspendClock = suspend.TotalSuspended, suspend.TotalSuspended
+	g.engine.Hall, g.engine.OnComplete, g.engine.OnNotice = s.Hall, g.reporter.report, g.reporter.logNotice
+	g.engine.OnLimitChange, g.syncer.OnLimitChange = g.onLimitChange, g.reporter.logLimitChange
 	g.engine.Budget = &retry.Budget{Seed: g.Start}
-	g.keeper.OnServerRestart = g.engine.ServerRestarted
-	g.keeper.Exposure = canary.Exposure{Share: s.ExposureShare, Slack: s.ExposureSlack}
-	g.keeper.Regions, g.keeper.ColdOverage, g.keeper.ColdSlack = s.Regions.ByHall(), s.ColdOverage, s.ColdSlack
-	g.keeper.Rate = g.engine.RequestRate
-	g.takeDuties(s)
+	g.syncer.OnServerRestart = g.engine.ServerRestarted
+	g.syncer.Exposure = canary.Exposure{Share: s.ExposureShare, Slack: s.ExposureSlack}
+	g.syncer.Regions, g.syncer.ColdOverage, g.syncer.ColdSlack = s.Regions.ByHall(), s.ColdOverage, s.ColdSlack
+	g.syncer.Rate = g.engine.RequestRate
+	g.prepareDuties(s)
 	g.apply(s)
 	g.registry = g.metrics()
-	g.unread.Log = g.log
-	g.callers = newServer(s.Callers, g.unread.Wrap(g.Platform.Door(Port{Engine: g.engine, BodyLimit: g.bodyLimit, Closing: g.phase.closing})))
+	g.slowReaders.Log = g.log
+	g.callers = newServer(s.Callers, g.slowReaders.Wrap(g.Platform.Door(Port{Engine: g.engine, BodyLimit: g.bodyLimit, Closing: g.phase.closing})))
 	g.readiness = newServer(s.Readiness, g.readyHandler())
 	g.admin = newServer(s.Admin, g.adminHandler())
 	return nil
 }
 
-// takeDuties sets the daemon up for what one daemon does for all, if the platform takes any
-// of that.
-func (g *Gateway) takeDuties(s *settings.Gateway) {
+// prepareDuties creates the component that contends for duties, if the platform has any.
+func (g *Gateway) prepareDuties(s *settings.Gateway) {
 	if g.Platform.Duties == nil || len(g.Platform.DutyNames) == 0 {
 		return
 	}
 	g.leaseholder = duties.New()
 	g.leaseholder.Self, g.leaseholder.Start, g.leaseholder.Log, g.leaseholder.StoodStill = s.ID, g.Start, g.log, suspend.TotalSuspended
 	g.leaseholder.Settings = duties.Settings{Names: g.Platform.DutyNames, Lease: s.DutyLease, Window: s.UsageWindow, Late: s.UsageLate, Rate: s.DutyRate}
-	g.leaseholder.Rows, g.leaseholder.Platform, g.leaseholder.Knowledge = g.Platform.DutyRows, g.Platform.Duties, g.keeper
+	g.leaseholder.Rows, g.leaseholder.Platform, g.leaseholder.Knowledge = g.Platform.DutyRows, g.Platform.Duties, g.syncer
 	g.leaseholder.Prepare()
-	g.keeper.Usage, g.engine.OnStart = g.leaseholder, g.leaseholder.Began
+	g.syncer.Usage, g.engine.OnStart = g.leaseholder, g.leaseholder.Began
 }
 
-// sender carries the keeper's messages to other daemons.
+// sender sends the syncer's messages to other daemons.
 type sender struct{ peers *peer.Transport }
 
 // Send implements storesync.Sender.
@@ -180,23 +182,24 @@
 // Forget implements storesync.Sender.
 func (s sender) Forget(id string) { s.peers.Forget(id) }
 
-// bodyLimit is the longest body that callers may send now.
+// bodyLimit returns the largest request body that the current configuration allows, in bytes.
 func (g *Gateway) bodyLimit() int64 {
-	if v := g.keeper.View(); v.Map != nil {
+	if v := g.syncer.View(); v.Map != nil {
 		return v.Map.Limits.BodyBytes
 	}
 	return 0
 }
 
-// tree is the supervisor tree: what serves callers apart from what keeps the
-// knowledge, so that the one can be restarted without the other.
+// tree returns the supervisor tree. The components that serve callers and those
+// that follow the store and talk to other daemons are under separate
+// supervisors, so that either group can be restarted without the other.
 func (g *Gateway) tree() *suture.Supervisor {
 	spec := suture.Spec{EventHook: func(e suture.Event) {
-		g.log.Error().Str("event", e.String()).Msg("gateway: a part ended")
+		g.log.Error().Str("event", e.String()).Msg("gateway: a supervised component ended")
 	}}
 	root := suture.New("gateway", spec)
 	coordination := suture.New("coordination", spec)
-	coordination.Add(supervise.Part{Name: "knowledge", Run: g.keeper.Run})
+	coordination.Add(supervise.Part{Name: "knowledge", Run: g.syncer.Run})
 	coordination.Add(supervise.Part{Name: "peers", Run: g.peers.Run})
 	if g.leaseholder != nil {
 		coordination.Add(supervise.Part{Name: "duties", Run: g.leaseholder.Run})
@@ -214,10 +217,10 @@
 	return root
 }
 
-// listed reports of an address whether a server is listed there.
+// listed returns a function that reports whether a backend server is listed at an address.
 func (g *Gateway) listed() func(addr string) bool {
 	addrs := map[string]bool{}
-	if v := g.keeper.View(); v.Servers != nil {
+	if v := g.syncer.View(); v.Servers != nil {
 		for _, s := range v.Servers.All() {
 			addrs[s.Addr] = true
 		}
@@ -225,27 +228,27 @@
 	return func(addr string) bool { return addrs[addr] }
 }
 
-// server is an HTTP server at one address.
+// server is an HTTP server of this daemon with its listener.
 type server struct {
 	addr     string
 	http     *http.Server
 	listener net.Listener
 }
 
-// The bounds of callers' connections. The configuration's own limits are those
-// of well-behaved callers; these only bound what others cost.
+// Limits for callers' connections. The configuration's own limits are meant for
+// well-behaved callers; these bound the resources that any other client can take.
 const (
-	headerTimeout = 10 * time.Second
-	idleTimeout   = time.Minute
-	maxHeader     = 64 << 10
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = time.Minute
+	maxHeaderBytes    = 64 << 10
 )
 
 func newServer(addr string, h http.Handler) *server {
-	return &server{addr: addr, http: &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader}}
+	return &server{addr: addr, http: &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}}
 }
 
-// listen takes the address, so that one in use ends the daemon at once with an
-// error.
+// listen binds the address before the daemon starts, so that an address in use
+// ends it at once with an error.
 func (s *server) listen(ctx context.Context, listen func(context.Context, string) (net.Listener, error)) error {
 	if listen == nil {
 		listen = listenTCP
@@ -255,7 +258,7 @@
 	return err
 }
 
-// listenTCP asks the system for an address.
+// listenTCP opens a listener of the operating system.
 func listenTCP(ctx context.Context, addr string) (net.Listener, error) {
 	return (&net.ListenConfig{}).Listen(ctx, "tcp", addr)
 }
--- a/daemon/gateway/halls.go
+++ b/daemon/gateway/halls.go
@@ -8,9 +8,9 @@
 	"ladderridge.example/daemon/control"
 )
 
-// Halls returns what this daemon knows of each data hall's servers, by name.
+// Halls summarises the servers of each data hall as this daemon sees them, sorted by name.
 func (g *Gateway) Halls() []control.HallDump {
-	v := g.keeper.View()
+	v := g.syncer.View()
 	if v.Servers == nil {
 		return nil
 	}
--- a/daemon/gateway/limits.go
+++ b/daemon/gateway/limits.go
@@ -9,19 +9,20 @@
 	"ladderridge.example/core/notice"
 )
 
-// limited takes a server whose limit a request of this daemon has heard to change.
-func (g *Gateway) limited(s *fleet.Server, was, is notice.LimitState) {
-	g.reporter.limited(s, was, is)
+// onLimitChange logs a changed rate limit that a server announced in an answer to this daemon,
+// and announces it to the other daemons.
+func (g *Gateway) onLimitChange(s *fleet.Server, was, is notice.LimitState) {
+	g.reporter.logLimitChange(s, was, is)
 	if is.Rate != was.Rate {
-		g.keeper.AnnounceLimit(s)
+		g.syncer.AnnounceLimit(s)
 	}
 }
 
-// mostLimits bounds the servers with a limit that are told by name.
-const mostLimits = 64
+// maxLimitSeries bounds the number of servers with metrics of their own.
+const maxLimitSeries = 64
 
-// limitCollector tells of the servers that name a limit, by server: the limit, this daemon's
-// share of it, and what it has sent of that.
+// limitCollector exports, for each server that announced a rate limit: the limit, this daemon's
+// share of it, and how many requests it has sent under it.
 type limitCollector struct {
 	gateway            *Gateway
 	limit, share, sent *prometheus.Desc
@@ -51,13 +52,13 @@
 // Collect implements prometheus.Collector.
 func (c *limitCollector) Collect(ch chan<- prometheus.Metric) {
 	n, now := 0, time.Now()
-	if v := c.gateway.keeper.View(); v.Servers != nil {
+	if v := c.gateway.syncer.View(); v.Servers != nil {
 		for _, s := range v.Servers.All() {
 			d := limitDump(s, now)
 			if d == nil {
 				continue
 			}
-			if n++; n > mostLimits {
+			if n++; n > maxLimitSeries {
 				continue
 			}
 			name := s.Incarnation().String()
--- a/daemon/gateway/metrics.go
+++ b/daemon/gateway/metrics.go
@@ -15,7 +15,7 @@
 // namespace is the prefix of every metric.
 const namespace = "ladderridge"
 
-// Paths of the operators' interface.
+// Paths of the admin interface for operators.
 const (
 	PathMetrics = "/metrics"
 	PathDump    = "/dump"
@@ -23,37 +23,37 @@
 	PathDuties  = "/duties"
 )
 
-// metrics registers what the daemon counts.
+// metrics returns a registry with the daemon's metrics.
 func (g *Gateway) metrics() *prometheus.Registry {
 	r := prometheus.NewRegistry()
-	r.MustRegister(collectors.NewGoCollector(), g.reporter.requests, g.reporter.duration, g.reporter.first, g.reporter.tries, g.reporter.notices)
+	r.MustRegister(collectors.NewGoCollector(), g.reporter.requests, g.reporter.duration, g.reporter.timeToFirst, g.reporter.attempts, g.reporter.notices)
 	counter := func(name, help string, get func() float64) {
 		r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, get))
 	}
 	gauge := func(name, help string, get func() float64) {
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, get))
 	}
-	counter("store_calls_total", "Calls to the platform's store.", func() float64 { return float64(g.keeper.Calls.Load()) })
-	counter("store_lost_total", "Times that the store stopped answering.", func() float64 { return float64(g.keeper.Outages.Load()) })
-	counter("store_regained_total", "Times that the store answered again.", func() float64 { return float64(g.keeper.Recoveries.Load()) })
-	counter("store_returns_total", "Topics of the store whose rows came from a copy, since its era rose.", func() float64 { return float64(g.keeper.Restores.Load()) })
+	counter("store_calls_total", "Calls to the platform's store.", func() float64 { return float64(g.syncer.Calls.Load()) })
+	counter("store_lost_total", "Times that the store stopped answering.", func() float64 { return float64(g.syncer.Outages.Load()) })
+	counter("store_regained_total", "Times that the store answered again.", func() float64 { return float64(g.syncer.Recoveries.Load()) })
+	counter("store_returns_total", "Topics of the store whose rows came from a copy, since its era rose.", func() float64 { return float64(g.syncer.Restores.Load()) })
 	counter("connections_opened_total", "Connections opened to servers.", func() float64 { return float64(g.channels.Opened.Load()) })
 	counter("connections_reused_total", "Requests sent on kept connections.", func() float64 { return float64(g.channels.Reused.Load()) })
 	counter("surplus_answers_total", "Answers of servers that belonged to no request.", func() float64 { return float64(g.channels.Surplus.Load()) })
 	counter("peer_sent_bytes_total", "Bytes sent to other daemons, QUIC included.", func() float64 { return float64(g.peers.Usage().SentBytes) })
 	counter("peer_received_bytes_total", "Bytes received from other daemons, QUIC included.", func() float64 { return float64(g.peers.Usage().ReceivedBytes) })
 	counter("log_lines_dropped_total", "Log lines that found the backlog full or could not be written.", func() float64 { return float64(g.logWriter.Dropped()) })
-	counter("standstills_total", "Times that the VM has stood still.", func() float64 { return float64(g.keeper.Suspensions.Load()) })
-	counter("rows_spoiled_total", "Rows of the store that came and do not decode.", func() float64 { return float64(g.keeper.CorruptedRows.Load()) })
-	counter("servers_ended_total", "Servers that ended without notice while requests of this daemon were under way there.", func() float64 { return float64(g.keeper.ServerExits.Load()) })
-	counter("callers_unread_total", "Callers that were let go since they did not read their answer.", func() float64 { return float64(g.unread.Disconnected.Load()) })
+	counter("standstills_total", "Times that the VM has stood still.", func() float64 { return float64(g.syncer.Suspensions.Load()) })
+	counter("rows_spoiled_total", "Rows of the store that came and do not decode.", func() float64 { return float64(g.syncer.CorruptedRows.Load()) })
+	counter("servers_ended_total", "Servers that ended without notice while requests of this daemon were under way there.", func() float64 { return float64(g.syncer.ServerExits.Load()) })
+	counter("callers_unread_total", "Callers that were let go since they did not read their answer.", func() float64 { return float64(g.slowReaders.Disconnected.Load()) })
 	gauge("held_answer_bytes", "Bytes of whole answers that are held for callers.", func() float64 { return float64(g.engine.BufferedBytes()) })
-	gauge("requests_quarantined", "Requests that get no server, since servers ended under them.", func() float64 { return float64(len(g.keeper.View().Quarantine.Entries(time.Now()))) })
-	gauge("halls_emptied", "Data halls whose servers get nothing.", func() float64 { return float64(len(g.keeper.View().Drained)) })
+	gauge("requests_quarantined", "Requests that get no server, since servers ended under them.", func() float64 { return float64(len(g.syncer.View().Quarantine.Entries(time.Now()))) })
+	gauge("halls_emptied", "Data halls whose servers get nothing.", func() float64 { return float64(len(g.syncer.View().Drained)) })
 	gauge("requests_open", "Requests under way.", func() float64 { return float64(g.engine.InFlight.Load()) })
-	gauge("config_age_seconds", "How long ago the configuration was confirmed.", func() float64 { return g.keeper.View().ConfigAge(time.Now()).Seconds() })
+	gauge("config_age_seconds", "How long ago the configuration was confirmed.", func() float64 { return g.syncer.View().ConfigAge(time.Now()).Seconds() })
 	gauge("config_number", "The configuration in force.", func() float64 {
-		if v := g.keeper.View(); v.Map != nil {
+		if v := g.syncer.View(); v.Map != nil {
 			return float64(v.Map.Number)
 		}
 		return 0
@@ -63,7 +63,7 @@
 	return r
 }
 
-// dutyMetrics registers what the daemon counts of duties.
+// dutyMetrics registers the metrics of duties.
 func (g *Gateway) dutyMetrics(counter func(name, help string, get func() float64)) {
 	if g.leaseholder == nil {
 		return
@@ -74,7 +74,7 @@
 	counter("duty_store_calls_total", "Calls to the store about duties.", func() float64 { return float64(g.leaseholder.Calls.Load()) })
 }
 
-// Duties returns what this daemon knows of each duty.
+// Duties returns the state of each duty as this daemon knows it.
 func (g *Gateway) Duties() []duties.Status {
 	if g.leaseholder == nil {
 		return []duties.Status{}
@@ -82,7 +82,7 @@
 	return g.leaseholder.Status()
 }
 
-// adminHandler serves operators.
+// adminHandler serves the admin interface.
 func (g *Gateway) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+PathMetrics, promhttp.HandlerFor(g.registry, promhttp.HandlerOpts{}))
@@ -101,12 +101,12 @@
 	return mux
 }
 
-// readyHandler answers the balancer.
+// readyHandler answers the load balancer's readiness check.
 func (g *Gateway) readyHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+g.Platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
-		if why := g.notReady(time.Now()); why != "" {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if reason := g.notReady(time.Now()); reason != "" {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		_, _ = w.Write([]byte("ready\n"))
@@ -114,9 +114,9 @@
 	return mux
 }
 
-// notReady is why the daemon should get no new connections, or "".
+// notReady returns why the daemon should get no new connections, or "" if it is ready.
 func (g *Gateway) notReady(now time.Time) string {
-	v := g.keeper.View()
+	v := g.syncer.View()
 	switch {
 	case g.phase.stopping.Load():
 		return "stopping"
--- a/daemon/gateway/reload.go
+++ b/daemon/gateway/reload.go
@@ -8,11 +8,11 @@
 	"ladderridge.example/daemon/settings"
 )
 
-// reloadEvery is the time between two looks at the settings file, which may
-// change without a signal.
-const reloadEvery = time.Second
+// reloadInterval is how often the settings file is read: it may change without
+// a signal to the process.
+const reloadInterval = time.Second
 
-// Reload has the settings read again now.
+// Reload requests that the settings be read again now.
 func (g *Gateway) Reload() {
 	select {
 	case g.reloads <- struct{}{}:
@@ -20,9 +20,9 @@
 	}
 }
 
-// watchSettings puts changed settings in force until ctx ends.
+// watchSettings applies changed settings until ctx ends.
 func (g *Gateway) watchSettings(ctx context.Context) error {
-	tick := clock.NewTicker(reloadEvery)
+	tick := clock.NewTicker(reloadInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -36,35 +36,37 @@
 	}
 }
 
-// reload reads the settings. What cannot change while the process runs, such as
-// addresses, is logged and stays; settings that are wrong stay as they were.
-func (g *Gateway) reload(asked bool) {
+// reload reads the settings and applies changes. Settings that cannot change
+// while the process runs, such as addresses, keep their effect, and the log says
+// that they need a restart. If the file is invalid, the current settings stay.
+// With requested set, it also logs that nothing has changed.
+func (g *Gateway) reload(requested bool) {
 	if g.Load == nil {
 		return
 	}
-	was := g.settings.Load()
+	old := g.settings.Load()
 	now, err := g.Load()
 	if err != nil {
-		if g.badSettings != err.Error() {
-			g.badSettings = err.Error()
-			g.log.Error().Err(err).Msg("gateway: the changed settings are wrong: the old ones stay in force")
+		if g.lastReloadError != err.Error() {
+			g.lastReloadError = err.Error()
+			g.log.Error().Err(err).Msg("gateway: the changed settings are invalid: the previous ones stay in use")
 		}
 		return
 	}
-	g.badSettings = ""
-	if *now == *was {
-		if asked {
-			g.log.Info().Msg("gateway: settings read again: nothing has changed")
+	g.lastReloadError = ""
+	if *now == *old {
+		if requested {
+			g.log.Info().Msg("gateway: settings reloaded: nothing has changed")
 		}
 		return
 	}
 	g.settings.Store(now)
 	g.apply(now)
-	restart := settings.Places(now) != settings.Places(was)
-	g.log.Info().Bool("needs_restart", restart).Dur("key_age", now.KeyAge).Dur("grace", now.Grace).Msg("gateway: changed settings are in force")
+	restart := settings.Places(now) != settings.Places(old)
+	g.log.Info().Bool("needs_restart", restart).Dur("key_age", now.KeyAge).Dur("grace", now.Grace).Msg("gateway: changed settings applied")
 }
 
-// apply puts the settings in force that may change while the process runs.
+// apply applies the settings that may change while the process runs.
 func (g *Gateway) apply(s *settings.Gateway) {
 	g.engine.SetKeyAge(s.KeyAge, s.KeyAgeCut)
 	g.engine.Budget.Set(s.RepeatRatio, s.RepeatSlack, s.RepeatWindow)
--- a/daemon/gateway/repeats.go
+++ b/daemon/gateway/repeats.go
@@ -11,8 +11,8 @@
 	"ladderridge.example/core/retry"
 )
 
-// repeatCollector exports the repeat budget by service. Its labels name the VM and the start
-// of the process, so that sums over all daemons also count the starts that have ended.
+// repeatCollector exports the retry budget of each service. Its labels name the VM and the start
+// of the process, so that sums over all daemons include processes that have since ended.
 type repeatCollector struct {
 	usage                           func() []retry.Usage
 	requests, repeats, denied, left *prometheus.Desc
@@ -49,20 +49,20 @@
 	}
 }
 
-// repeatLogEvery is the time between two lines about a service's repeats.
-const repeatLogEvery = time.Second
+// repeatLogInterval is the time between two log lines about a service's retries.
+const repeatLogInterval = time.Second
 
-// logRepeats writes a line for each service that has sent or denied repeats since the last
-// one, until ctx ends.
+// logRepeats periodically logs each service with retries that were sent or denied since its
+// previous line, until ctx ends.
 func (g *Gateway) logRepeats(ctx context.Context) error {
-	tick := clock.NewTicker(repeatLogEvery)
+	tick := clock.NewTicker(repeatLogInterval)
 	defer tick.Stop()
 	last := map[string]retry.Usage{}
 	for {
 		select {
 		case <-tick.C:
 			for _, u := range g.engine.Repeats() {
-				if was := last[u.Service]; u.Repeats != was.Repeats || u.Denied != was.Denied {
+				if prev := last[u.Service]; u.Repeats != prev.Repeats || u.Denied != prev.Denied {
 					g.logRepeat(u)
 				}
 				last[u.Service] = u
@@ -74,6 +74,6 @@
 }
 
 func (g *Gateway) logRepeat(u retry.Usage) {
-	g.log.Info().Str("service", u.Service).Str("start", strconv.FormatUint(g.Start, 16)).Int("daemons", g.keeper.View().Daemons).
-		Int64("requests", u.Requests).Int64("repeats", u.Repeats).Int64("denied", u.Denied).Float64("left", u.Left).Msg("repeats: since the start")
+	g.log.Info().Str("service", u.Service).Str("start", strconv.FormatUint(g.Start, 16)).Int("daemons", g.syncer.View().Daemons).
+		Int64("requests", u.Requests).Int64("repeats", u.Repeats).Int64("denied", u.Denied).Float64("left", u.Left).Msg("repeats: totals since the start of the process")
 }
--- a/daemon/gateway/report.go
+++ b/daemon/gateway/report.go
@@ -16,45 +16,46 @@
 	"ladderridge.example/daemon/proxy"
 )
 
-// reporter logs and counts requests that have ended. Requests that went wrong
-// are logged first; of the others, and beyond a number of lines a second, only
-// the count of what is left out is.
+// reporter logs and counts finished requests. Log lines are limited per second,
+// with a higher limit for requests that failed or were retried than for those
+// that succeeded at once; of the lines beyond the limits only the number is
+// logged.
 type reporter struct {
-	log      log.Logger
-	requests *prometheus.CounterVec
-	duration *prometheus.HistogramVec
-	first    *prometheus.HistogramVec
-	tries    *prometheus.CounterVec
-	notices  *prometheus.CounterVec
-
-	fine    quota
-	wrong   quota
-	leftOut atomic.Int64
+	log         log.Logger
+	requests    *prometheus.CounterVec
+	duration    *prometheus.HistogramVec
+	timeToFirst *prometheus.HistogramVec
+	attempts    *prometheus.CounterVec
+	notices     *prometheus.CounterVec
+
+	successLines lineLimiter
+	failureLines lineLimiter
+	omitted      atomic.Int64
 }
 
-// The bounds of the log, in lines a second.
+// The rate limits of the request log, in lines a second.
 const (
-	fineLines  = 20
-	wrongLines = 100
+	maxSuccessLines = 20
+	maxFailureLines = 100
 )
 
-// quota bounds lines by the second.
-type quota struct {
+// lineLimiter limits the number of log lines in each second.
+type lineLimiter struct {
 	perSecond int64
 	second    atomic.Int64
 	used      atomic.Int64
 }
 
-// take reports whether another line may be written in this second, which is
+// take reports whether another line may be written in this second. Seconds are
 // counted from the start of the process.
-func (q *quota) take(second int64) bool {
-	if was := q.second.Load(); was != second && q.second.CompareAndSwap(was, second) {
-		q.used.Store(0)
+func (l *lineLimiter) take(second int64) bool {
+	if prev := l.second.Load(); prev != second && l.second.CompareAndSwap(prev, second) {
+		l.used.Store(0)
 	}
-	return q.used.Add(1) <= q.perSecond
+	return l.used.Add(1) <= l.perSecond
 }
 
-var started = time.Now()
+var startedAt = time.Now()
 
 func newReporter(l log.Logger) *reporter {
 	buckets := prometheus.ExponentialBuckets(0.002, 2, 15)
@@ -64,17 +65,17 @@
 			[]string{"route", "outcome", "reason"}),
 		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "request_seconds", Help: "How long requests took, by outcome.", Buckets: buckets},
 			[]string{"outcome"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "first_part_seconds", Help: "Time to the first part of an answer, by route.", Buckets: buckets},
+		timeToFirst: prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "first_part_seconds", Help: "Time to the first part of an answer, by route.", Buckets: buckets},
 			[]string{"route"}),
-		tries: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "attempts_total", Help: "Attempts at servers, by service and version."},
+		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "attempts_total", Help: "Attempts at servers, by service and version."},
 			[]string{"service", "version"}),
 		notices: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "server_notices_total", Help: "Answers with which a server said that it leaves, asked for rest, or named a limit."},
 			[]string{"service", "notice"}),
-		fine: quota{perSecond: fineLines}, wrong: quota{perSecond: wrongLines},
+		successLines: lineLimiter{perSecond: maxSuccessLines}, failureLines: lineLimiter{perSecond: maxFailureLines},
 	}
 }
 
-// outcomeNames are an outcome's name and reason.
+// outcomeNames returns the name and the reason of an outcome for metrics and logs.
 func outcomeNames(out proxy.Outcome) (name, reason string) {
 	switch out := out.(type) {
 	case proxy.Answered:
@@ -93,49 +94,49 @@
 	}
 }
 
-// report takes a request that has ended.
+// report counts a finished request and logs it if the limits allow.
 func (r *reporter) report(rep proxy.Report) {
 	name, reason := outcomeNames(rep.Outcome)
 	r.requests.WithLabelValues(rep.Route, name, reason).Inc()
 	r.duration.WithLabelValues(name).Observe(rep.Took.Seconds())
 	if rep.FirstByte > 0 {
-		r.first.WithLabelValues(rep.Route).Observe(rep.FirstByte.Seconds())
+		r.timeToFirst.WithLabelValues(rep.Route).Observe(rep.FirstByte.Seconds())
 	}
-	r.tries.WithLabelValues(rep.Service, rep.Version).Add(float64(len(rep.Attempts)))
+	r.attempts.WithLabelValues(rep.Service, rep.Version).Add(float64(len(rep.Attempts)))
 	r.countNotices(rep)
-	second := int64(time.Since(started) / time.Second)
-	plain := name == "answered" && len(rep.Attempts) <= 1
-	if (plain && !r.fine.take(second)) || (!plain && !r.wrong.take(second)) {
-		r.leftOut.Add(1)
+	second := int64(time.Since(startedAt) / time.Second)
+	success := name == "answered" && len(rep.Attempts) <= 1
+	if (success && !r.successLines.take(second)) || (!success && !r.failureLines.take(second)) {
+		r.omitted.Add(1)
 		return
 	}
-	r.line(rep, name, reason)
+	r.logRequest(rep, name, reason)
 }
 
-// noticed logs what a server says of itself that was not known.
-func (r *reporter) noticed(s *fleet.Server, n notice.Notice) {
-	r.log.Info().Str("server", s.Incarnation().String()).Str("service", s.Service).Bool("listed_leaving", s.Leaving).Stringer("notice", n).Msg("server: says of itself what it takes")
+// logNotice logs a new notice that a server announced about itself.
+func (r *reporter) logNotice(s *fleet.Server, n notice.Notice) {
+	r.log.Info().Str("server", s.Incarnation().String()).Str("service", s.Service).Bool("listed_leaving", s.Leaving).Stringer("notice", n).Msg("server: announced that it leaves, backs off or is limited")
 }
 
-// limited logs a server whose limit begins, changes or ends.
-func (r *reporter) limited(s *fleet.Server, was, is notice.LimitState) {
-	e, what := r.log.Info(), "server: its limit has changed"
+// logLimitChange logs that the rate limit of a server begins, changes or ends.
+func (r *reporter) logLimitChange(s *fleet.Server, was, is notice.LimitState) {
+	e, message := r.log.Info(), "server: rate limit changed"
 	switch {
 	case is.Rate == was.Rate:
-		e, what = r.log.Warn(), "server: names a limit that is none: what stood before stands"
+		e, message = r.log.Warn(), "server: announced a malformed rate limit: the previous limit stays"
 	case was.Rate == 0:
-		what = "server: names a limit"
+		message = "server: announced a rate limit"
 	case is.Rate == 0:
-		what = "server: its limit has ended"
+		message = "server: rate limit ended"
 	}
 	if was.Rate > 0 {
 		e.Dur("stood", is.ReceivedAt.Sub(was.Since))
 	}
 	e.Str("server", s.Incarnation().String()).Str("service", s.Service).Float64("per_second", is.Rate).Float64("was", was.Rate).
-		Str("told_by", is.From).Str("malformed", is.Malformed).Msg(what)
+		Str("told_by", is.From).Str("malformed", is.Malformed).Msg(message)
 }
 
-// countNotices counts what servers said of themselves in answers.
+// countNotices counts the notices that servers announced in their answers.
 func (r *reporter) countNotices(rep proxy.Report) {
 	for _, t := range rep.Attempts {
 		if t.Notice.Leaving {
@@ -153,8 +154,8 @@
 	}
 }
 
-// line writes a request's line.
-func (r *reporter) line(rep proxy.Report, name, reason string) {
+// logRequest writes a request's logRequest.
+func (r *reporter) logRequest(rep proxy.Report, name, reason string) {
 	e := r.log.Info()
 	if name != "answered" && name != "caller_gone" {
 		e = r.log.Warn()
@@ -165,7 +166,7 @@
 		Uint64("config", rep.Config).Int64("config_age_ms", rep.ConfigAge.Milliseconds()).
 		Str("session", strconv.FormatUint(rep.Session, 16)).Str("rollout", rep.Rollout).Bool("escalated", rep.Escalated).Int64("took_ms", rep.Took.Milliseconds()).Int64("first_ms", rep.FirstByte.Milliseconds())
 	if len(rep.Attempts) > 0 {
-		e = e.Str("tries", triesText(rep.Attempts))
+		e = e.Str("tries", attemptsText(rep.Attempts))
 	}
 	if refused, ok := rep.Outcome.(proxy.Refused); ok {
 		e = e.Int64("retry_after_ms", refused.RetryAfter.Milliseconds())
@@ -173,8 +174,8 @@
 	e.Msg("request: ended")
 }
 
-// triesText writes the attempts in one line.
-func triesText(tries []proxy.AttemptReport) string {
+// attemptsText formats the attempts of a request for its log line.
+func attemptsText(tries []proxy.AttemptReport) string {
 	var b strings.Builder
 	for i, t := range tries {
 		if i > 0 {
@@ -188,18 +189,18 @@
 	return b.String()
 }
 
-// leftOutEvery is the time between two lines about lines left out.
-const leftOutEvery = 5 * time.Second
+// omittedLogInterval is the time between two log lines about omitted lines.
+const omittedLogInterval = 5 * time.Second
 
-// run tells how many lines were left out, until ctx ends.
+// run periodically logs how many lines were omitted, until ctx ends.
 func (r *reporter) run(ctx context.Context) error {
-	tick := clock.NewTicker(leftOutEvery)
+	tick := clock.NewTicker(omittedLogInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if n := r.leftOut.Swap(0); n > 0 {
-				r.log.Info().Int64("requests", n).Msg("request: lines left out")
+			if n := r.omitted.Swap(0); n > 0 {
+				r.log.Info().Int64("requests", n).Msg("request: log lines omitted by the rate limit")
 			}
 		case <-ctx.Done():
 			return nil
--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// phase is how far a planned stop has come. The zero value serves.
+// phase is the phase of a graceful shutdown. The zero value means serving.
 type phase struct {
 	stopping atomic.Bool
 }
 
-// closing reports whether connections are closed after their answer.
+// closing reports whether connections are to be closed after the current answer.
 func (p *phase) closing() bool { return p.stopping.Load() }
 
-// The times of a planned stop.
+// Times of a graceful shutdown.
 const (
-	// stopNotice is how long the daemon still takes all requests while it says that it
-	// is not ready: the balancer asks every second and needs two answers.
-	stopNotice = 2500 * time.Millisecond
-	// lookEvery is the time between two looks whether what was taken has ended.
-	lookEvery = 50 * time.Millisecond
-	// lastMoment is what is left of the grace when requests are broken off.
-	lastMoment = 500 * time.Millisecond
+	// notReadyPeriod is how long the daemon reports not ready but still takes all requests:
+	// the load balancer checks every second and needs two failed checks.
+	notReadyPeriod = 2500 * time.Millisecond
+	// pollInterval is the time between two checks whether all accepted requests have ended.
+	pollInterval = 50 * time.Millisecond
+	// closeMargin is how long before the end of the grace period requests are aborted.
+	closeMargin = 500 * time.Millisecond
 )
 
-// stop ends the daemon without cutting a request: it says that it is not ready,
-// takes requests until the balancer has noticed, and finishes what is under way.
-// While that lasts it takes what is over in time and refuses the rest with a time to
-// come back: when all daemons are stopped in turn there may be no other.
+// stop shuts the daemon down without aborting requests: it reports not ready, takes
+// requests until the load balancer has noticed, and finishes those in progress.
+// Meanwhile it accepts requests that can end within the grace period and refuses the
+// others with a time to retry after: while all daemons are being restarted one by one,
+// there may be no other daemon to take them.
 func (g *Gateway) stop() {
-	begun, grace := time.Now(), g.settings.Load().Grace
-	g.log.Info().Int64("open", g.engine.InFlight.Load()).Msg("gateway: stopping: not ready")
+	start, grace := time.Now(), g.settings.Load().Grace
+	g.log.Info().Int64("open", g.engine.InFlight.Load()).Msg("gateway: shutting down: reporting not ready")
 	g.phase.stopping.Store(true)
-	time.Sleep(min(stopNotice, grace/2))
-	end := begun.Add(grace - lastMoment)
+	time.Sleep(min(notReadyPeriod, grace/2))
+	end := start.Add(grace - closeMargin)
 	g.engine.ShutdownBy(end)
-	for g.engine.InFlight.Load() > 0 && time.Until(end) > lookEvery {
-		time.Sleep(lookEvery)
+	for g.engine.InFlight.Load() > 0 && time.Until(end) > pollInterval {
+		time.Sleep(pollInterval)
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	if err := g.callers.http.Shutdown(ctx); err != nil {
-		g.log.Warn().Err(err).Int64("open", g.engine.InFlight.Load()).Msg("gateway: stopping: requests outlasted the grace")
+		g.log.Warn().Err(err).Int64("open", g.engine.InFlight.Load()).Msg("gateway: shutting down: requests exceeded the grace period")
 	}
-	g.log.Info().Dur("took", time.Since(begun)).Msg("gateway: stopped")
+	g.log.Info().Dur("took", time.Since(start)).Msg("gateway: stopped")
 }
