--- a/daemon/cmd/ladderridged/cmd_gateway.go
+++ b/daemon/cmd/ladderridged/cmd_gateway.go
@@ -66,7 +66,7 @@
 	store := platform.NewStore(s.StoreURL)
 	g.Platform = gateway.Platform{
 		Store: store, DutyRows: store, Decoder: platform.Rows{}, Dialect: platform.Dialect{}, ReadyPath: platform.ReadyPath,
-		Door: func(p gateway.Port) http.Handler {
+		FrontEnd: func(p gateway.Port) http.Handler {
 			return &platform.Door{Engine: p.Engine, BodyLimit: p.BodyLimit, Closing: p.Closing}
 		},
 	}
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -51,8 +51,8 @@
 	Store   storesync.Store
 	Decoder storesync.Decoder
 	Dialect proxy.Dialect
-	// Door returns the HTTP handler for callers' requests.
-	Door func(Port) http.Handler
+	// FrontEnd returns the HTTP handler for callers' requests.
+	FrontEnd func(Port) http.Handler
 	// Duties is the platform's interface for duties, which one daemon at a time does for all;
 	// nil if there are none. DutyNames lists these duties.
 	Duties    duties.Platform
@@ -151,7 +151,7 @@
 	g.apply(s)
 	g.registry = g.metrics()
 	g.slowReaders.Log = g.log
-	g.callers = newServer(s.Callers, g.slowReaders.Wrap(g.Platform.Door(Port{Engine: g.engine, BodyLimit: g.bodyLimit, Closing: g.phase.closing})))
+	g.callers = newServer(s.Callers, g.slowReaders.Wrap(g.Platform.FrontEnd(Port{Engine: g.engine, BodyLimit: g.bodyLimit, Closing: g.phase.closing})))
 	g.readiness = newServer(s.Readiness, g.readyHandler())
 	g.admin = newServer(s.Admin, g.adminHandler())
 	return nil
