--- a/daemon/cmd/ladderridged/cmd_gateway.go
+++ b/daemon/cmd/ladderridged/cmd_gateway.go
@@ -66,8 +66,8 @@
 	store := platform.NewStore(s.StoreURL)
 	g.Platform = gateway.Platform{
 		Store: store, DutyRows: store, Decoder: platform.Rows{}, Dialect: platform.Dialect{}, ReadyPath: platform.ReadyPath,
-		FrontEnd: func(p gateway.Port) http.Handler {
-			return &platform.Door{Engine: p.Engine, BodyLimit: p.BodyLimit, Closing: p.Closing}
+		FrontEnd: func(cfg gateway.FrontEndConfig) http.Handler {
+			return &platform.Door{Engine: cfg.Engine, BodyLimit: cfg.BodyLimit, Closing: cfg.Closing}
 		},
 	}
 	takeDuties(g, s)
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -35,8 +35,8 @@
 	Serve(ctx context.Context, r *proxy.Request, sink proxy.Sink) proxy.Outcome
 }
 
-// Port is what the daemon provides to the front end that serves callers.
-type Port struct {
+// FrontEndConfig is what the daemon provides to the front end that serves callers.
+type FrontEndConfig struct {
 	Engine Engine
 	// BodyLimit returns the largest request body that is accepted at present,
 	// in bytes; 0 means no limit.
@@ -52,7 +52,7 @@
 	Decoder storesync.Decoder
 	Dialect proxy.Dialect
 	// FrontEnd returns the HTTP handler for callers' requests.
-	FrontEnd func(Port) http.Handler
+	FrontEnd func(FrontEndConfig) http.Handler
 	// Duties is the platform's interface for duties, which one daemon at a time does for all;
 	// nil if there are none. DutyNames lists these duties.
 	Duties    duties.Platform
@@ -151,7 +151,7 @@
 	g.apply(s)
 	g.registry = g.metrics()
 	g.slowReaders.Log = g.log
-	g.callers = newServer(s.Callers, g.slowReaders.Wrap(g.Platform.FrontEnd(Port{Engine: g.engine, BodyLimit: g.bodyLimit, Closing: g.phase.closing})))
+	g.callers = newServer(s.Callers, g.slowReaders.Wrap(g.Platform.FrontEnd(FrontEndConfig{Engine: g.engine, BodyLimit: g.bodyLimit, Closing: g.phase.closing})))
 	g.readiness = newServer(s.Readiness, g.readyHandler())
 	g.admin = newServer(s.Admin, g.adminHandler())
 	return nil
