--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -1,6 +1,7 @@
-// Package duties does what one daemon at a time does for all on the platform: it reports
-// usage and orders backend servers. Package duty decides who does it, usage and autoscaling what
-// is said; here are the calls to the store and the platform, and their answers.
+// Package duties performs the duties that one daemon at a time performs for all daemons on the
+// platform: it reports usage and orders backend servers. Package duty elects the daemon, and
+// packages usage and autoscaling compute the reports and orders; this package makes the calls to
+// the store and the platform and handles their answers.
 package duties
 
 import (
@@ -22,77 +23,76 @@
 	"ladderridge.example/daemon/suspend"
 )
 
-// Kind says what sort of error a platform met.
+// Kind classifies an error.
 type Kind string
 
 // The kinds of error.
 const (
-	// Unanswered is a call that gave no answer, or none that counts: it may be carried out
-	// later.
+	// Unanswered is a call without a valid answer: it may still be carried out later.
 	Unanswered Kind = "unanswered"
-	// Declined is a call that was not carried out, for now.
+	// Declined is a call that was not carried out and may be repeated.
 	Declined Kind = "declined"
-	// Overtaken is a call that was not carried out since a later holder has called.
+	// Overtaken is a call that was rejected because a later lease holder has already called.
 	Overtaken Kind = "overtaken"
-	// Forbidden is an order that was not carried out since a later holder has called, or
-	// since there is nothing to be had.
+	// Forbidden is an order that was rejected, either because a later lease holder has already
+	// called or because no servers are available.
 	Forbidden Kind = "forbidden"
 	// Malformed is a row that does not decode.
 	Malformed Kind = "malformed"
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
 
-// Rows are the rows of the platform's store.
+// Rows accesses the rows of the platform's store.
 type Rows interface {
 	// Read returns all rows of a topic.
 	Read(ctx context.Context, topic gossip.Topic) (storesync.Page, error)
-	// Swap sets a row if its version is still was, and returns its new version.
-	Swap(ctx context.Context, topic gossip.Topic, key string, data []byte, was revision.Revision) (revision.Revision, error)
+	// Swap sets a row if its version is still the expected one, and returns its new version.
+	Swap(ctx context.Context, topic gossip.Topic, key string, data []byte, expected revision.Revision) (revision.Revision, error)
 }
 
-// Signature says who calls.
+// Signature identifies the lease holder that makes a call.
 type Signature struct {
-	// Holder is the daemon that holds the duty, Token that of its lease.
+	// Holder is the daemon that holds the duty, Token the fencing token of its lease.
 	Holder string
 	Token  uint64
 }
 
-// Platform takes what holders of duties say.
+// Platform is the platform's interface for lease holders.
 type Platform interface {
-	// Report tells the usage of a window.
+	// Report reports the usage of a window.
 	Report(ctx context.Context, by Signature, r usage.Report) error
-	// Order asks for a number of servers of a service.
+	// Order requests a number of servers of a service.
 	Order(ctx context.Context, by Signature, service string, o autoscaling.Order) error
 }
 
-// Settings are what the operator says of duties.
+// Settings are the operator's settings for duties.
 type Settings struct {
-	// Names are the duties that there are.
+	// Names lists the duties to perform.
 	Names []duty.Name
-	// Lease is how long a holder holds a duty after it last renewed it.
+	// Lease is how long a lease lasts after it was last renewed.
 	Lease time.Duration
-	// Window is the length of a window of usage, Late how long after its end it is reported
-	// at the latest.
+	// Window is the length of a usage window, Late how long after its end its report is due at
+	// the latest.
 	Window time.Duration
 	Late   time.Duration
-	// Rate bounds the calls to the platform, a second, of all daemons together.
+	// Rate limits the calls to the platform, in calls a second for all daemons together.
 	Rate float64
 }
 
-// Knowledge is what is known of the platform.
+// Knowledge provides the current view of the platform's store.
 type Knowledge interface {
 	View() *storesync.View
-	// ReadsStore reports whether this daemon reads the store for others.
+	// ReadsStore reports whether this daemon reads the store for the others of its data hall.
 	ReadsStore() bool
 }
 
-// Leaseholder is one daemon's part in all duties. Get one from New, set the exported fields, then
-// Run.
+// Leaseholder contends for the duties on behalf of one daemon, and performs those that it holds.
+// Get one from New, set the exported fields, then Run.
 type Leaseholder struct {
 	Self      string
 	Start     uint64
@@ -100,128 +100,130 @@
 	Rows      Rows
 	Platform  Platform
 	Knowledge Knowledge
-	// StoodStill tells how long the VM has stood still; nil is never.
+	// StoodStill returns how long the VM has been suspended in total; nil means never.
 	StoodStill suspend.Clock
 	Log        log.Logger
 
-	// Reports, Orders and Failures count calls to the platform that were taken, and those
-	// that were not; Calls those to the store.
+	// Reports and Orders count the calls that the platform accepted, Failures those that it did
+	// not accept, Calls the calls to the store.
 	Reports  atomic.Int64
 	Orders   atomic.Int64
 	Failures atomic.Int64
 	Calls    atomic.Int64
 
-	ledger   *ledger
-	holdings []*holding
-	events   chan event
-	began    time.Time
-	// calledAt is when the platform was last called.
-	calledAt time.Time
-	status   atomic.Pointer[[]Status]
-	run      func(ctx context.Context) error
+	usage     *usageState
+	states    []*dutyState
+	events    chan event
+	startedAt time.Time
+	// lastCallAt is when the platform was last called.
+	lastCallAt time.Time
+	status     atomic.Pointer[[]Status]
+	run        func(ctx context.Context) error
 }
 
-// holding is this daemon's part in one duty.
-type holding struct {
-	name  duty.Name
-	claim duty.Elector
-	// held is the token by which it held the duty at the last look, 0 if it did not; tenure
-	// is the token with which it took the duty: it takes over what was left only then.
-	held   uint64
-	tenure uint64
-	// calling tells that a call to the platform is under way, restUntil when the next may be
-	// made, rest how long the last pause was.
-	calling   bool
-	restUntil time.Time
-	rest      time.Duration
-	work      work
+// dutyState is the state of one duty in this daemon.
+type dutyState struct {
+	name    duty.Name
+	elector duty.Elector
+	// heldToken is the token under which this daemon held the duty at the last tick, 0 if it did
+	// not hold it. tenure is the token with which it acquired the duty: it loads the state of
+	// the previous holder only then.
+	heldToken uint64
+	tenure    uint64
+	// calling reports whether a call to the platform is in progress. The next call may be made
+	// at backoffUntil; backoff is the length of the last pause.
+	calling      bool
+	backoffUntil time.Time
+	backoff      time.Duration
+	task         task
 }
 
-// work is what a duty's holder does: *reporting or *ordering.
-type work interface{ work() }
+// task is the work of a duty's holder: *reportTask or *orderTask.
+type task interface{ task() }
 
-func (*reporting) work() {}
-func (*ordering) work()  {}
+func (*reportTask) task() {}
+func (*orderTask) task()  {}
 
-// event is what came of a call: stepped or called.
+// event is the result of a call: storeReply or platformReply.
 type event interface{ event() }
 
-// stepped is what the store answered.
-type stepped struct {
-	to *holding
-	by duty.Event
+// storeReply is the result of a call to the store.
+type storeReply struct {
+	to     *dutyState
+	result duty.Event
 }
 
-// called is what the platform answered.
-type called struct {
-	to  *holding
+// platformReply is the result of a call to the platform.
+type platformReply struct {
+	to  *dutyState
 	by  Signature
 	err error
-	// done notes the outcome.
+	// done records the outcome.
 	done func(err error)
 }
 
-func (stepped) event() {}
-func (called) event()  {}
+func (storeReply) event()    {}
+func (platformReply) event() {}
 
 const (
-	// tickEvery is the time between two looks at what is due.
-	tickEvery = 100 * time.Millisecond
-	// contendAfter is how long after its start a daemon first takes a duty: by then it knows
-	// whether another one reads for its hall.
-	contendAfter = 2 * time.Second
-	// storeTimeout and platformTimeout bound calls.
+	// tickInterval is the time between two checks of what is due.
+	tickInterval = 100 * time.Millisecond
+	// contendDelay is how long after its start a daemon first contends for a duty: by then it
+	// knows whether another daemon reads the store for its data hall.
+	contendDelay = 2 * time.Second
+	// storeTimeout and platformTimeout limit the duration of a call.
 	storeTimeout    = 700 * time.Millisecond
 	platformTimeout = 1500 * time.Millisecond
-	// restFloor and restCeiling bound the pause after a call that was not taken, which doubles.
-	// A report has several tries until it is late.
-	restFloor   = 500 * time.Millisecond
-	restCeiling = 2 * time.Second
-	// backlog bounds the answers that wait.
+	// minBackoff and maxBackoff bound the pause after a failed call, which doubles with each
+	// failure. They leave a report several attempts before its deadline.
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// backlog is the number of results that can wait for the leaseholder's goroutine.
 	backlog = 64
 )
 
-// New returns a leaseholder without duties.
+// New returns a leaseholder that holds no duty.
 func New() *Leaseholder {
-	d := &Leaseholder{events: make(chan event, backlog), ledger: newLedger()}
+	d := &Leaseholder{events: make(chan event, backlog), usage: newUsageState()}
 	d.status.Store(&[]Status{})
 	d.run = func(ctx context.Context) error { return d.loop(ctx) }
 	return d
 }
 
-// Prepare sets the leaseholder up. It is called before Run and before anything is counted.
+// Prepare initialises the leaseholder from its exported fields. Call it before Run and before any
+// request is counted.
 func (d *Leaseholder) Prepare() {
-	d.ledger.own = usage.Counter{
+	d.usage.own = usage.Counter{
 		Process: usage.Process{ID: d.Self, Start: d.Start}, Length: d.Settings.Window, Retention: 2 * d.Settings.Late,
 	}
-	d.ledger.counts = slices.Contains(d.Settings.Names, duty.Usage)
-	// It never begins anew: the leases are measured from it.
-	d.began = time.Now()
+	d.usage.enabled = slices.Contains(d.Settings.Names, duty.Usage)
+	// This stays the same when the supervisor restarts Run: lease times are measured from it.
+	d.startedAt = time.Now()
 }
 
-// newHoldings returns the duties as a daemon begins with them that knows nothing of them yet.
-func (d *Leaseholder) newHoldings() []*holding {
-	var out []*holding
+// newStates returns the initial state of each duty, with nothing known of its row.
+func (d *Leaseholder) newStates() []*dutyState {
+	var out []*dutyState
 	for _, name := range d.Settings.Names {
-		h := &holding{name: name, claim: duty.Elector{Self: d.Self, Start: d.Start, LeaseDuration: d.Settings.Lease}}
+		ds := &dutyState{name: name, elector: duty.Elector{Self: d.Self, Start: d.Start, LeaseDuration: d.Settings.Lease}}
 		switch name {
 		case duty.Usage:
-			h.work = &reporting{}
+			ds.task = &reportTask{}
 		case duty.Autoscaling:
-			h.work = newOrdering()
+			ds.task = newOrderTask()
 		}
-		out = append(out, h)
+		out = append(out, ds)
 	}
 	return out
 }
 
-// Run does the duties that fall to this daemon until ctx ends.
+// Run contends for the duties and performs those that this daemon holds, until ctx ends.
 func (d *Leaseholder) Run(ctx context.Context) error { return d.run(ctx) }
 
 func (d *Leaseholder) loop(ctx context.Context) error {
-	// What was under way when this was restarted is answered to nobody: the rows say what stands.
-	d.holdings = d.newHoldings()
-	tick := clock.NewTicker(tickEvery)
+	// After a restart the results of earlier calls are lost; the rows are read again instead.
+	d.states = d.newStates()
+	tick := clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -235,97 +237,99 @@
 	}
 }
 
-// clock is a time that also counts while the VM is suspended.
-func (d *Leaseholder) clock() time.Duration { return time.Since(d.began) + d.StoodStill.Now() }
+// clock returns the time since the start, including the time for which the VM was suspended.
+func (d *Leaseholder) clock() time.Duration { return time.Since(d.startedAt) + d.StoodStill.Now() }
 
 func (d *Leaseholder) handle(e event) {
 	switch e := e.(type) {
-	case stepped:
-		e.to.claim.Step(e.by, d.clock())
-	case called:
-		d.called(e)
+	case storeReply:
+		e.to.elector.Step(e.result, d.clock())
+	case platformReply:
+		d.handlePlatformReply(e)
 	}
 }
 
-// called takes what the platform answered.
-func (d *Leaseholder) called(e called) {
+// handlePlatformReply handles the result of a call to the platform.
+func (d *Leaseholder) handlePlatformReply(e platformReply) {
 	e.to.calling = false
 	if e.err == nil {
-		e.to.rest = 0
+		e.to.backoff = 0
 	} else {
 		d.Failures.Add(1)
-		e.to.rest = min(restCeiling, max(restFloor, 2*e.to.rest))
-		e.to.restUntil = time.Now().Add(e.to.rest)
-		d.Log.Warn().Str("duty", string(e.to.name)).Uint64("token", e.by.Token).Err(e.err).Msg("duty: the platform has not taken a call")
+		e.to.backoff = min(maxBackoff, max(minBackoff, 2*e.to.backoff))
+		e.to.backoffUntil = time.Now().Add(e.to.backoff)
+		d.Log.Warn().Str("duty", string(e.to.name)).Uint64("token", e.by.Token).Err(e.err).Msg("duty: call to the platform failed")
 	}
 	switch {
 	case fault.Is(e.err, Overtaken):
-		e.to.claim.Step(duty.Superseded{}, d.clock())
+		e.to.elector.Step(duty.Superseded{}, d.clock())
 	case fault.Is(e.err, Forbidden):
-		e.to.claim.Step(duty.MaybeSuperseded{}, d.clock())
+		e.to.elector.Step(duty.MaybeSuperseded{}, d.clock())
 	}
 	e.done(e.err)
 }
 
-// tick does what is due of each duty.
+// tick advances the election of each duty and performs the duties that this daemon holds.
 func (d *Leaseholder) tick(ctx context.Context, now time.Time) {
-	for _, h := range d.holdings {
-		order := h.claim.Step(duty.Tick{Contend: d.contends(now)}, d.clock())
-		d.do(ctx, h, order)
-		token, held := h.claim.Holds(d.clock())
-		d.noteHolder(h, token, held)
+	for _, ds := range d.states {
+		action := ds.elector.Step(duty.Tick{Contend: d.contends(now)}, d.clock())
+		d.callStore(ctx, ds, action)
+		token, held := ds.elector.Holds(d.clock())
+		d.updateHeld(ds, token, held)
 		if !held {
 			continue
 		}
-		switch w := h.work.(type) {
-		case *reporting:
-			d.report(ctx, h, w, now)
-		case *ordering:
-			d.order(ctx, h, w, now)
+		switch w := ds.task.(type) {
+		case *reportTask:
+			d.report(ctx, ds, w, now)
+		case *orderTask:
+			d.order(ctx, ds, w, now)
 		}
 	}
 	d.publish()
 }
 
-// contends reports whether this daemon takes duties that nobody holds: those that read the
-// store for their halls do, so that calls grow with halls and not with daemons. While the store
-// is away for a hall all of its daemons try to read it: none of them contends then.
+// contends reports whether this daemon contends for duties that nobody holds. Only the daemons
+// that read the store for their data hall do, so that the number of calls grows with the halls and
+// not with the daemons. While the store is unreachable from a hall, all of its daemons try to read
+// it; none of them contends then.
 func (d *Leaseholder) contends(now time.Time) bool {
-	if now.Sub(d.began) < contendAfter || !d.Knowledge.ReadsStore() {
+	if now.Sub(d.startedAt) < contendDelay || !d.Knowledge.ReadsStore() {
 		return false
 	}
 	v := d.Knowledge.View()
 	return v.Ready() && v.ConfigAge(now) < d.Settings.Lease
 }
 
-// noteHolder logs that this daemon has begun or ceased to hold a duty.
-func (d *Leaseholder) noteHolder(h *holding, token uint64, held bool) {
+// updateHeld records and logs that this daemon has acquired or lost a duty. When it has acquired
+// one, it loads the state that the previous holder stored.
+func (d *Leaseholder) updateHeld(ds *dutyState, token uint64, held bool) {
 	if !held {
 		token = 0
 	}
-	if token == h.held {
+	if token == ds.heldToken {
 		return
 	}
-	h.held = token
+	ds.heldToken = token
 	if !held {
-		d.Log.Warn().Str("duty", string(h.name)).Msg("duty: not held any more")
+		d.Log.Warn().Str("duty", string(ds.name)).Msg("duty: lost")
 		return
 	}
-	d.Log.Info().Str("duty", string(h.name)).Uint64("token", token).Msg("duty: held")
-	if h.tenure == h.claim.Tenure() {
+	d.Log.Info().Str("duty", string(ds.name)).Uint64("token", token).Msg("duty: acquired")
+	if ds.tenure == ds.elector.Tenure() {
 		return
 	}
-	h.tenure = h.claim.Tenure()
-	switch w := h.work.(type) {
-	case *reporting:
-		d.takeBook(h, w)
-	case *ordering:
-		d.takeOrders(h, w)
+	ds.tenure = ds.elector.Tenure()
+	switch w := ds.task.(type) {
+	case *reportTask:
+		d.loadReportLog(ds, w)
+	case *orderTask:
+		d.loadOrders(ds, w)
 	}
 }
 
-// do makes the call to the store that a claim wants.
-func (d *Leaseholder) do(ctx context.Context, h *holding, o duty.Action) {
+// callStore makes the store call that an elector asks for.
+func (d *Leaseholder) callStore(ctx context.Context, ds *dutyState, o duty.Action) {
 	if o == nil {
 		return
 	}
@@ -333,18 +337,18 @@
 	go func() {
 		within, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
-		var answer duty.Event
+		var reply duty.Event
 		switch o := o.(type) {
 		case duty.ReadRow:
-			answer = d.read(within, h.name)
+			reply = d.read(within, ds.name)
 		case duty.WriteRow:
-			answer = d.write(within, h.name, o)
+			reply = d.write(within, ds.name, o)
 		}
-		d.deliver(ctx, stepped{to: h, by: answer})
+		d.deliver(ctx, storeReply{to: ds, result: reply})
 	}()
 }
 
-// deliver hands an event to the goroutine of the leaseholder.
+// deliver passes an event to the goroutine of the leaseholder.
 func (d *Leaseholder) deliver(ctx context.Context, e event) {
 	select {
 	case d.events <- e:
@@ -352,29 +356,31 @@
 	}
 }
 
-// mayCall reports whether the platform may be called now, and notes that it is.
-func (d *Leaseholder) mayCall(h *holding, now time.Time) bool {
-	if h.calling || now.Before(h.restUntil) {
+// beginCall reports whether the platform may be called now for a duty. If so, it records that a
+// call is in progress.
+func (d *Leaseholder) beginCall(ds *dutyState, now time.Time) bool {
+	if ds.calling || now.Before(ds.backoffUntil) {
 		return false
 	}
-	if d.Settings.Rate > 0 && now.Sub(d.calledAt) < time.Duration(float64(time.Second)/d.Settings.Rate) {
+	if d.Settings.Rate > 0 && now.Sub(d.lastCallAt) < time.Duration(float64(time.Second)/d.Settings.Rate) {
 		return false
 	}
-	h.calling, d.calledAt = true, now
+	ds.calling, d.lastCallAt = true, now
 	return true
 }
 
-// call calls the platform. Whether this daemon holds the duty is asked right before.
-func (d *Leaseholder) call(ctx context.Context, h *holding, send func(ctx context.Context, by Signature) error, done func(err error)) {
-	token, held := h.claim.Holds(d.clock())
+// callPlatform calls the platform in the background. It checks right before the call that this
+// daemon still holds the duty.
+func (d *Leaseholder) callPlatform(ctx context.Context, ds *dutyState, send func(ctx context.Context, by Signature) error, done func(err error)) {
+	token, held := ds.elector.Holds(d.clock())
 	if !held {
-		h.calling = false
+		ds.calling = false
 		return
 	}
 	by := Signature{Holder: d.Self, Token: token}
 	go func() {
 		within, cancel := context.WithTimeout(ctx, platformTimeout)
 		defer cancel()
-		d.deliver(ctx, called{to: h, by: by, err: send(within, by), done: done})
+		d.deliver(ctx, platformReply{to: ds, by: by, err: send(within, by), done: done})
 	}()
 }
--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -28,7 +28,7 @@
 	late   = 10 * time.Second
 )
 
-// table is the store's rows of duties.
+// table simulates the store's rows of duties.
 type table struct {
 	mu      sync.Mutex
 	version uint64
@@ -36,85 +36,88 @@
 	calls   int
 }
 
-// way is one daemon's way to the store.
-type way struct {
+// storeLink is one daemon's connection to the store.
+type storeLink struct {
 	*table
 	mu sync.Mutex
-	// cut ends all calls without an answer, lossy does writes and answers none of them.
+	// With cut set all calls fail without an answer; with lossy set writes take effect but get no
+	// answer.
 	cut   bool
 	lossy bool
 }
 
 var errLost = &storesync.Error{Op: "call store", Kind: storesync.Unavailable, Err: errors.New("no answer")}
 
-func (w *way) set(cut, lossy bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut, w.lossy = cut, lossy
+func (l *storeLink) set(cut, lossy bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.cut, l.lossy = cut, lossy
 }
 
-func (w *way) faults() (cut, lossy bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cut, w.lossy
+func (l *storeLink) faults() (cut, lossy bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.cut, l.lossy
 }
 
 // Read implements duties.Rows.
-func (w *way) Read(_ context.Context, topic gossip.Topic) (storesync.Page, error) {
-	if cut, _ := w.faults(); cut || topic != gossip.Duties {
+func (l *storeLink) Read(_ context.Context, topic gossip.Topic) (storesync.Page, error) {
+	if cut, _ := l.faults(); cut || topic != gossip.Duties {
 		return storesync.Page{}, errLost
 	}
-	w.table.mu.Lock()
-	defer w.table.mu.Unlock()
-	w.calls++
-	page := storesync.Page{Version: revision.New(1, w.version)}
-	for _, r := range w.rows {
+	l.table.mu.Lock()
+	defer l.table.mu.Unlock()
+	l.calls++
+	page := storesync.Page{Version: revision.New(1, l.version)}
+	for _, r := range l.rows {
 		page.Rows = append(page.Rows, r)
 	}
 	return page, nil
 }
 
 // Swap implements duties.Rows.
-func (w *way) Swap(_ context.Context, _ gossip.Topic, key string, data []byte, was revision.Revision) (revision.Revision, error) {
-	cut, lossy := w.faults()
+func (l *storeLink) Swap(_ context.Context, _ gossip.Topic, key string, data []byte, was revision.Revision) (revision.Revision, error) {
+	cut, lossy := l.faults()
 	if cut {
 		return revision.Revision{}, errLost
 	}
-	w.table.mu.Lock()
-	defer w.table.mu.Unlock()
-	w.calls++
-	if w.rows[key].Version.Number != was.Number {
+	l.table.mu.Lock()
+	defer l.table.mu.Unlock()
+	l.calls++
+	if l.rows[key].Version.Number != was.Number {
 		return revision.Revision{}, &storesync.Error{Op: "swap", Kind: storesync.Conflict}
 	}
-	w.version++
-	w.rows[key] = gossip.Row{Key: key, Data: data, Version: revision.New(1, w.version)}
+	l.version++
+	l.rows[key] = gossip.Row{Key: key, Data: data, Version: revision.New(1, l.version)}
 	if lossy {
 		return revision.Revision{}, errLost
 	}
-	return revision.New(1, w.version), nil
+	return revision.New(1, l.version), nil
 }
 
-// usageSubject is what reports of usage are about.
+// usageSubject is the subject of usage reports, for which tokens are checked.
 const usageSubject = "usage"
 
-// platform plays the platform's interface for duties, and notes what it must not be told.
+// platform simulates the platform's interface for duties, and fails the test on calls that must
+// not occur.
 type platform struct {
 	t  *testing.T
 	mu sync.Mutex
-	// highest is the highest token seen, by duty and subject, holders who used which.
+	// highest is the highest token seen for each subject, holders the daemon that used each token.
 	highest map[string]uint64
 	holders map[string]string
 	reports map[usage.Window][]usage.Count
 	orders  []autoscaling.Order
-	// refused counts the calls that were refused, by their token.
+	// refused counts the refused calls by token.
 	refused map[uint64]int
-	// mute answers no call, and keeps the orders to be carried out later.
+	// With mute set no call is answered, and orders are kept to be carried out later. none lists
+	// the data halls without available spot servers.
 	mute bool
-	kept []keptOrder
+	kept []delayedOrder
 	none map[string]bool
 }
 
-type keptOrder struct {
+type delayedOrder struct {
 	by    duties.Signature
 	order autoscaling.Order
 }
@@ -123,7 +126,7 @@
 	return &platform{t: t, highest: map[string]uint64{}, holders: map[string]string{}, reports: map[usage.Window][]usage.Count{}, refused: map[uint64]int{}, none: map[string]bool{}}
 }
 
-// admit takes a caller's token, or refuses it; the platform is locked.
+// admit accepts or refuses a caller's token. The caller of admit holds the mutex.
 func (p *platform) admit(subject string, by duties.Signature) error {
 	if by.Token < p.highest[subject] {
 		p.refused[by.Token]++
@@ -164,7 +167,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mute {
-		p.kept = append(p.kept, keptOrder{by: by, order: o})
+		p.kept = append(p.kept, delayedOrder{by: by, order: o})
 		return &duties.Error{Op: "order", Kind: duties.Unanswered}
 	}
 	return p.carryOut(by, service, o)
@@ -181,8 +184,8 @@
 	return nil
 }
 
-// carryOutLate carries out the orders that were not answered.
-func (p *platform) carryOutLate() {
+// carryOutDelayed carries out the orders that were kept without an answer.
+func (p *platform) carryOutDelayed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, k := range p.kept {
@@ -197,14 +200,14 @@
 	p.mute = on
 }
 
-// taken is how many orders were carried out.
-func (p *platform) taken() int {
+// orderCount returns how many orders were carried out.
+func (p *platform) orderCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.orders)
 }
 
-// newest is the count last ordered in a place, -1 for none.
+// newest returns the count last ordered in a pool, -1 for none.
 func (p *platform) newest(at autoscaling.Pool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,23 +229,23 @@
 	return out
 }
 
-// known is what a daemon knows: it is as old as age says.
-type known struct {
+// fixedView is a view of the store that was confirmed a fixed time ago.
+type fixedView struct {
 	view *storesync.View
 	age  time.Duration
 }
 
 // View implements duties.Knowledge.
-func (k known) View() *storesync.View {
+func (k fixedView) View() *storesync.View {
 	v := *k.view
 	v.ConfigAt = time.Now().Add(-k.age)
 	return &v
 }
 
 // ReadsStore implements duties.Knowledge.
-func (known) ReadsStore() bool { return true }
+func (fixedView) ReadsStore() bool { return true }
 
-// view is a service in two halls with a number of servers in each.
+// view returns a view with one service in two data halls, with the given number of servers in each.
 func view(each int) *storesync.View {
 	terms := autoscaling.Policy{MinServers: 1, MaxServers: 40, BootTime: 4 * time.Second, SpotPrice: 0.2}
 	m := routemap.New(routemap.Parts{Number: 1, Services: []routemap.Service{{Name: "llm", Slots: 10, Autoscaling: terms}}})
@@ -255,25 +258,25 @@
 	return &storesync.View{Map: m, Servers: fleet.NewList(servers)}
 }
 
-// daemon is one leaseholder and its way to the store.
+// daemon is one leaseholder and its connection to the store.
 type daemon struct {
 	*duties.Leaseholder
-	way *way
+	link *storeLink
 }
 
-// site is some daemons that tell each other what they count.
-type site struct {
+// cluster is a cluster of daemons that send each other their usage counts.
+type cluster struct {
 	store    *table
 	platform *platform
 	daemons  []*daemon
 }
 
-func newSite(t *testing.T, daemons int, names ...duty.Name) *site {
+func newCluster(t *testing.T, daemons int, names ...duty.Name) *cluster {
 	t.Helper()
-	s := &site{store: &table{rows: map[string]gossip.Row{}}, platform: newPlatform(t)}
+	s := &cluster{store: &table{rows: map[string]gossip.Row{}}, platform: newPlatform(t)}
 	for i := range daemons {
-		d := &daemon{Leaseholder: duties.New(), way: &way{table: s.store}}
-		d.Self, d.Start, d.Rows, d.Platform, d.Knowledge = "entry-"+strconv.Itoa(i), uint64(i+1), d.way, s.platform, known{view: view(4)}
+		d := &daemon{Leaseholder: duties.New(), link: &storeLink{table: s.store}}
+		d.Self, d.Start, d.Rows, d.Platform, d.Knowledge = "entry-"+strconv.Itoa(i), uint64(i+1), d.link, s.platform, fixedView{view: view(4)}
 		d.Log = log.Logger{Level: log.PanicLevel}
 		d.Settings = duties.Settings{Names: names, Lease: lease, Window: window, Late: late}
 		d.Prepare()
@@ -283,14 +286,14 @@
 }
 
 // start runs the daemons until the test ends.
-func (s *site) start(ctx context.Context) {
+func (s *cluster) start(ctx context.Context) {
 	for _, d := range s.daemons {
 		go func() { _ = d.Run(ctx) }()
 	}
 }
 
-// share has all daemons tell each other what they have counted.
-func (s *site) share() {
+// share has all daemons send each other their usage counts.
+func (s *cluster) share() {
 	for _, d := range s.daemons {
 		records, _ := d.Updates(time.Now())
 		for _, other := range s.daemons {
@@ -301,8 +304,8 @@
 	}
 }
 
-// play lets a while pass, in which each daemon counts a request a second.
-func (s *site) play(d time.Duration) {
+// runFor runs the cluster for a while, in which each daemon counts a request a second.
+func (s *cluster) runFor(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
 		for _, daemon := range s.daemons {
 			daemon.Began("org")
@@ -311,8 +314,8 @@
 	}
 }
 
-// holder is the daemon that holds a duty, or nil.
-func (s *site) holder(name duty.Name) *daemon {
+// holder returns the daemon that holds a duty, or nil.
+func (s *cluster) holder(name duty.Name) *daemon {
 	for _, d := range s.daemons {
 		for _, status := range d.Status() {
 			if status.Duty == name && status.Held {
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -16,75 +16,77 @@
 )
 
 const (
-	// decideEvery is the time between two looks at how many servers are needed.
-	decideEvery = 500 * time.Millisecond
-	// noneFloor and noneCeiling bound how long nothing is ordered where there was nothing to
-	// be had, which doubles.
-	noneFloor   = 2 * time.Second
-	noneCeiling = 4 * time.Second
-	// lostAgain is the least time between two orders for servers that were taken back.
-	lostAgain = 2 * time.Second
+	// decideInterval is the time between two decisions on how many servers are needed.
+	decideInterval = 500 * time.Millisecond
+	// minUnavailable and maxUnavailable bound how long nothing is ordered in a pool where no
+	// servers were available; the time doubles with each refusal.
+	minUnavailable = 2 * time.Second
+	maxUnavailable = 4 * time.Second
+	// replaceInterval is the minimum time between two orders for servers that were preempted.
+	replaceInterval = 2 * time.Second
 )
 
-// ordering is the work of the holder of the duty to order servers.
-type ordering struct {
-	// services are by name.
+// orderTask is the task of the daemon that holds the duty to order servers.
+type orderTask struct {
+	// services is keyed by service name.
 	services  map[string]*serviceOrders
 	decidedAt time.Time
 }
 
-// serviceOrders is what was ordered for one service.
+// serviceOrders holds the orders for one service and the measurements that they are decided by.
 type serviceOrders struct {
-	demand autoscaling.PeakLoad
-	stands autoscaling.CountWatch
-	places map[autoscaling.Pool]*placeOrders
-	// planned is how many servers were last found to be needed.
-	planned int
-	toldAt  time.Time
-	endedAt time.Time
-	// due are orders that stand in the store and have not been taken yet.
+	demand     autoscaling.PeakLoad
+	countWatch autoscaling.CountWatch
+	pools      map[autoscaling.Pool]*poolOrders
+	// planned is how many servers were needed according to the last decision.
+	planned      int
+	loggedAt     time.Time
+	scaledDownAt time.Time
+	// due lists the orders that the platform has not accepted yet. They are sent once the store
+	// holds them.
 	due []autoscaling.Order
 }
 
-// placeOrders is what was ordered in one place.
-type placeOrders struct {
-	count int
-	asked bool
-	at    time.Time
-	// most is how many servers have served there since the order, short since when fewer do
-	// than were ordered.
-	most  int
-	short time.Time
-	// none is until when nothing is ordered, noneFor how long that was.
-	none    time.Time
-	noneFor time.Duration
+// poolOrders is the last order for one pool.
+type poolOrders struct {
+	count   int
+	ordered bool
+	at      time.Time
+	// maxServing is the largest number of servers that have served in the pool since the order,
+	// shortSince since when fewer serve than were ordered.
+	maxServing int
+	shortSince time.Time
+	// Nothing is ordered until unavailableUntil, since no servers were available;
+	// unavailableFor is the length of that pause.
+	unavailableUntil time.Time
+	unavailableFor   time.Duration
 }
 
-func newOrdering() *ordering { return &ordering{services: map[string]*serviceOrders{}} }
+func newOrderTask() *orderTask { return &orderTask{services: map[string]*serviceOrders{}} }
 
-func (w *ordering) service(name string) *serviceOrders {
+func (w *orderTask) service(name string) *serviceOrders {
 	if w.services[name] == nil {
-		w.services[name] = &serviceOrders{places: map[autoscaling.Pool]*placeOrders{}}
+		w.services[name] = &serviceOrders{pools: map[autoscaling.Pool]*poolOrders{}}
 	}
 	return w.services[name]
 }
 
-func (o *serviceOrders) place(p autoscaling.Pool) *placeOrders {
-	if o.places[p] == nil {
-		o.places[p] = &placeOrders{}
+func (o *serviceOrders) pool(p autoscaling.Pool) *poolOrders {
+	if o.pools[p] == nil {
+		o.pools[p] = &poolOrders{}
 	}
-	return o.places[p]
+	return o.pools[p]
 }
 
-// OrderBook is what the store keeps of orders.
+// OrderBook is the stored state of the duty to order servers.
 type OrderBook struct {
-	// Orders are those that the platform was last given, or is about to be.
+	// Orders lists the last order for each pool, sent or about to be sent.
 	Orders []Ordered `json:"orders"`
-	// Planned is how many servers were last found to be needed, by service.
+	// Planned is how many servers each service needed according to the last decision.
 	Planned map[string]int `json:"planned"`
 }
 
-// Ordered is one order as the store keeps it.
+// Ordered is one stored order.
 type Ordered struct {
 	Service string           `json:"service"`
 	Hall    string           `json:"hall"`
@@ -92,7 +94,7 @@
 	Count   int              `json:"count"`
 }
 
-// ReadOrders reads what the store keeps of orders.
+// ReadOrders decodes the stored state of the duty to order servers.
 func ReadOrders(state string) (OrderBook, error) {
 	var b OrderBook
 	if state == "" {
@@ -104,31 +106,31 @@
 	return b, nil
 }
 
-// takeOrders takes the orders that the holder before has left.
-func (d *Leaseholder) takeOrders(h *holding, w *ordering) {
-	*w = *newOrdering()
-	left, err := ReadOrders(h.claim.State())
+// loadOrders loads the orders that the previous holder stored.
+func (d *Leaseholder) loadOrders(ds *dutyState, w *orderTask) {
+	*w = *newOrderTask()
+	stored, err := ReadOrders(ds.elector.State())
 	if err != nil {
-		d.Log.Error().Err(err).Msg("duty: the orders of the holder before do not decode: what serves is taken for what was ordered")
+		d.Log.Error().Err(err).Msg("duty: the stored orders do not decode: assuming that the serving servers are those that were ordered")
 		return
 	}
-	for name, n := range left.Planned {
+	for name, n := range stored.Planned {
 		w.service(name).planned = n
 	}
-	for _, o := range left.Orders {
-		p := w.service(o.Service).place(autoscaling.Pool{Hall: o.Hall, Kind: o.Kind})
-		p.count, p.asked, p.at = o.Count, true, time.Now()
+	for _, o := range stored.Orders {
+		p := w.service(o.Service).pool(autoscaling.Pool{Hall: o.Hall, Kind: o.Kind})
+		p.count, p.ordered, p.at = o.Count, true, time.Now()
 	}
 }
 
-// keepOrders has the store keep what is ordered.
-func (d *Leaseholder) keepOrders(h *holding, w *ordering) {
+// storeOrders has the current orders stored.
+func (d *Leaseholder) storeOrders(ds *dutyState, w *orderTask) {
 	out := OrderBook{Planned: map[string]int{}}
 	for name, service := range w.services {
 		out.Planned[name] = service.planned
-		for place, p := range service.places {
-			if p.asked {
-				out.Orders = append(out.Orders, Ordered{Service: name, Hall: place.Hall, Kind: place.Kind, Count: p.count})
+		for pool, p := range service.pools {
+			if p.ordered {
+				out.Orders = append(out.Orders, Ordered{Service: name, Hall: pool.Hall, Kind: pool.Kind, Count: p.count})
 			}
 		}
 	}
@@ -137,34 +139,34 @@
 	})
 	data, err := json.Marshal(out)
 	if err != nil {
-		d.Log.Error().Err(err).Msg("duty: orders cannot be encoded")
+		d.Log.Error().Err(err).Msg("duty: cannot encode the orders")
 		return
 	}
-	h.claim.SetState(string(data))
+	ds.elector.SetState(string(data))
 }
 
-// order decides how many servers are needed, and sends orders that the store keeps.
-func (d *Leaseholder) order(ctx context.Context, h *holding, w *ordering, now time.Time) {
+// order decides how many servers are needed, and sends due orders once the store holds them.
+func (d *Leaseholder) order(ctx context.Context, ds *dutyState, w *orderTask, now time.Time) {
 	v := d.Knowledge.View()
-	if v.Map == nil || v.Servers == nil || h.calling {
+	if v.Map == nil || v.Servers == nil || ds.calling {
 		return
 	}
-	if now.Sub(w.decidedAt) >= decideEvery && !w.anyDue() {
+	if now.Sub(w.decidedAt) >= decideInterval && !w.anyDue() {
 		w.decidedAt = now
-		d.decide(h, w, v, now)
+		d.decide(ds, w, v, now)
 	}
-	if !h.claim.StateStored() {
+	if !ds.elector.StateStored() {
 		return
 	}
 	for name, service := range w.services {
-		if len(service.due) > 0 && d.mayCall(h, now) {
-			d.send(ctx, h, name, service)
+		if len(service.due) > 0 && d.beginCall(ds, now) {
+			d.send(ctx, ds, name, service)
 			return
 		}
 	}
 }
 
-func (w *ordering) anyDue() bool {
+func (w *orderTask) anyDue() bool {
 	for _, service := range w.services {
 		if len(service.due) > 0 {
 			return true
@@ -173,8 +175,8 @@
 	return false
 }
 
-// decide looks at each service whose servers are ordered.
-func (d *Leaseholder) decide(h *holding, w *ordering, v *storesync.View, now time.Time) {
+// decide decides on orders for each service that is scaled automatically.
+func (d *Leaseholder) decide(ds *dutyState, w *orderTask, v *storesync.View, now time.Time) {
 	changed := false
 	for _, s := range v.Map.Services() {
 		if !s.Autoscaling.Enabled() {
@@ -182,61 +184,63 @@
 		}
 		service := w.service(s.Name)
 		in := service.input(s, v, now)
-		d.tellStands(s.Name, service, in, now)
+		d.logStatus(s.Name, service, in, now)
 		service.due = autoscaling.Decide(in)
 		for _, o := range service.due {
 			if o.ScaleDown {
-				service.endedAt = now
+				service.scaledDownAt = now
 			}
-			p := service.place(o.Pool)
-			p.count, p.asked, p.at, p.most, p.short = o.Count, true, now, 0, time.Time{}
+			p := service.pool(o.Pool)
+			p.count, p.ordered, p.at, p.maxServing, p.shortSince = o.Count, true, now, 0, time.Time{}
 			d.Log.Info().Str("service", s.Name).Str("hall", o.Pool.Hall).Str("kind", string(o.Pool.Kind)).Int("count", o.Count).Str("why", o.Reason).
-				Int("need", in.Need()).Float64("peak", in.Peak).Bool("known", in.HasLoad).Int("serving", in.Pools[o.Pool].Serving).Msg("duty: servers are ordered")
+				Int("need", in.Need()).Float64("peak", in.Peak).Bool("known", in.HasLoad).Int("serving", in.Pools[o.Pool].Serving).Msg("duty: ordering servers")
 		}
 		if len(service.due) > 0 {
 			changed, service.planned = true, in.Need()
 		}
 	}
 	if changed {
-		d.keepOrders(h, w)
+		d.storeOrders(ds, w)
 	}
 }
 
-// standsEvery is the time between two lines about what stands.
-const standsEvery = 5 * time.Second
+// statusLogInterval is the time between two log lines about a service's servers.
+const statusLogInterval = 5 * time.Second
 
-// tellStands logs how many servers stand and are needed: why there were so few at a time.
-func (d *Leaseholder) tellStands(name string, service *serviceOrders, in autoscaling.Input, now time.Time) {
-	if now.Sub(service.toldAt) < standsEvery {
+// logStatus logs how many servers a service has and needs, so that an operator can find out later
+// why there were too few at some time.
+func (d *Leaseholder) logStatus(name string, service *serviceOrders, in autoscaling.Input, now time.Time) {
+	if now.Sub(service.loggedAt) < statusLogInterval {
 		return
 	}
-	service.toldAt = now
+	service.loggedAt = now
 	var text []string
 	for _, hall := range in.Halls {
 		for _, kind := range []autoscaling.Kind{autoscaling.OnDemand, autoscaling.Spot} {
 			p := autoscaling.Pool{Hall: hall, Kind: kind}
-			at := in.Pools[p]
-			text = append(text, fmt.Sprintf("%s %s: %d of %d, %d warm, %d of another version", hall, kind, at.Serving, at.Ordered, at.Warm, at.RollingOut))
+			state := in.Pools[p]
+			text = append(text, fmt.Sprintf("%s %s: %d of %d, %d warm, %d of another version", hall, kind, state.Serving, state.Ordered, state.Warm, state.RollingOut))
 		}
 	}
-	d.Log.Info().Str("service", name).Int("need", in.Need()).Float64("peak", in.Peak).Bool("settled", in.PeakSettled).Str("stands", strings.Join(text, "; ")).Msg("duty: what stands")
+	d.Log.Info().Str("service", name).Int("need", in.Need()).Float64("peak", in.Peak).Bool("settled", in.PeakSettled).Str("stands", strings.Join(text, "; ")).Msg("duty: server counts")
 }
 
-// send sends the first order that is due.
-func (d *Leaseholder) send(ctx context.Context, h *holding, name string, service *serviceOrders) {
+// send sends the first due order of a service.
+func (d *Leaseholder) send(ctx context.Context, ds *dutyState, name string, service *serviceOrders) {
 	o := service.due[0]
-	d.call(ctx, h, func(ctx context.Context, by Signature) error { return d.Platform.Order(ctx, by, name, o) }, func(err error) {
-		p := service.place(o.Pool)
+	d.callPlatform(ctx, ds, func(ctx context.Context, by Signature) error { return d.Platform.Order(ctx, by, name, o) }, func(err error) {
+		p := service.pool(o.Pool)
 		switch {
 		case err == nil:
 			d.Orders.Add(1)
-			p.noneFor = 0
+			p.unavailableFor = 0
 		case fault.Is(err, Forbidden):
-			p.noneFor = min(noneCeiling, max(noneFloor, 2*p.noneFor))
-			p.none, p.asked = time.Now().Add(p.noneFor), false
+			p.unavailableFor = min(maxUnavailable, max(minUnavailable, 2*p.unavailableFor))
+			p.unavailableUntil, p.ordered = time.Now().Add(p.unavailableFor), false
 		case fault.Is(err, Unanswered):
-			// It may be carried out after the next one, unless that carries a higher token.
-			h.claim.RaiseToken()
+			// The platform may still carry it out after the next order, unless the next one has a
+			// higher token.
+			ds.elector.RaiseToken()
 			return
 		default:
 			return
@@ -245,73 +249,73 @@
 	})
 }
 
-// input is what an order for the service is decided by.
+// input returns the data that an order for the service is decided by.
 func (o *serviceOrders) input(s *routemap.Service, v *storesync.View, now time.Time) autoscaling.Input {
 	in := autoscaling.Input{Now: now, Policy: s.Autoscaling, Slots: s.Slots, Drained: map[string]bool{}, Pools: map[autoscaling.Pool]autoscaling.PoolState{}}
 	for hall := range v.Drained {
 		in.Drained[hall] = true
 	}
-	work := 0.0
+	load := 0.0
 	for _, server := range v.Servers.Service(s.Name) {
-		work += server.State.TotalLoad()
+		load += server.State.TotalLoad()
 		if !slices.Contains(in.Halls, server.Hall) {
 			in.Halls = append(in.Halls, server.Hall)
 		}
-		place := placeOf(server)
+		pool := poolOf(server)
 		if !server.Usable() {
 			continue
 		}
-		at := in.Pools[place]
+		state := in.Pools[pool]
 		switch {
 		case !v.Stable(s.Name, server.Version):
-			at.RollingOut++
+			state.RollingOut++
 		case now.Before(server.State.ColdLimit().Until):
-			at.Serving++
+			state.Serving++
 		default:
-			at.Serving++
-			at.Warm++
+			state.Serving++
+			state.Warm++
 		}
-		in.Pools[place] = at
+		in.Pools[pool] = state
 	}
-	for place := range o.places {
-		if !slices.Contains(in.Halls, place.Hall) {
-			in.Halls = append(in.Halls, place.Hall)
+	for pool := range o.pools {
+		if !slices.Contains(in.Halls, pool.Hall) {
+			in.Halls = append(in.Halls, pool.Hall)
 		}
 	}
 	slices.Sort(in.Halls)
-	standing := 0
-	for _, at := range in.Pools {
-		standing += at.Serving
+	serving := 0
+	for _, state := range in.Pools {
+		serving += state.Serving
 	}
-	in.LastNeed, in.ScaledDownAt = o.planned, o.endedAt
-	in.CountSteady = o.stands.Observe(standing, now)
-	o.demand.Observe(work, now)
+	in.LastNeed, in.ScaledDownAt = o.planned, o.scaledDownAt
+	in.CountSteady = o.countWatch.Observe(serving, now)
+	o.demand.Observe(load, now)
 	in.Peak, in.HasLoad = o.demand.Peak()
 	in.PeakSettled = o.demand.Settled(now)
-	o.stand(&in, now)
+	o.addOrders(&in, now)
 	return in
 }
 
-// stand adds what was ordered to what stands.
-func (o *serviceOrders) stand(in *autoscaling.Input, now time.Time) {
-	for place, p := range o.places {
-		at := in.Pools[place]
-		p.most = max(p.most, at.Serving)
+// addOrders adds the last orders to the state of the pools.
+func (o *serviceOrders) addOrders(in *autoscaling.Input, now time.Time) {
+	for pool, p := range o.pools {
+		state := in.Pools[pool]
+		p.maxServing = max(p.maxServing, state.Serving)
 		switch {
-		case !p.asked || at.Serving >= p.count:
-			p.short = time.Time{}
-		case p.short.IsZero():
-			p.short = now
+		case !p.ordered || state.Serving >= p.count:
+			p.shortSince = time.Time{}
+		case p.shortSince.IsZero():
+			p.shortSince = now
 		}
-		at.Ordered, at.HasOrder, at.ShortSince = p.count, p.asked, p.short
-		at.ServersLost = p.asked && at.Serving < min(p.most, p.count) && now.Sub(p.at) >= lostAgain
-		at.Unavailable = now.Before(p.none)
-		in.Pools[place] = at
+		state.Ordered, state.HasOrder, state.ShortSince = p.count, p.ordered, p.shortSince
+		state.ServersLost = p.ordered && state.Serving < min(p.maxServing, p.count) && now.Sub(p.at) >= replaceInterval
+		state.Unavailable = now.Before(p.unavailableUntil)
+		in.Pools[pool] = state
 	}
 }
 
-// placeOf is where a server stands.
-func placeOf(s *fleet.Server) autoscaling.Pool {
+// poolOf returns the pool of a server.
+func poolOf(s *fleet.Server) autoscaling.Pool {
 	if s.Spot {
 		return autoscaling.Pool{Hall: s.Hall, Kind: autoscaling.Spot}
 	}
--- a/daemon/duties/report.go
+++ b/daemon/duties/report.go
@@ -8,58 +8,57 @@
 	"ladderridge.example/core/usage"
 )
 
-// reporting is the work of the holder of the duty to report usage.
-type reporting struct {
-	book usage.ReportLog
+// reportTask is the task of the daemon that holds the duty to report usage.
+type reportTask struct {
+	reports usage.ReportLog
 }
 
-// takeBook takes the book that the holder before has left.
-func (d *Leaseholder) takeBook(h *holding, w *reporting) {
-	book, err := usage.DecodeReportLog(h.claim.State())
+// loadReportLog loads the report log that the previous holder stored.
+func (d *Leaseholder) loadReportLog(ds *dutyState, w *reportTask) {
+	reports, err := usage.DecodeReportLog(ds.elector.State())
 	if err != nil {
-		d.Log.Error().Err(err).Msg("duty: the book of reports does not decode: a new one is begun")
+		d.Log.Error().Err(err).Msg("duty: the stored report log does not decode: starting with an empty one")
 	}
-	w.book = book
+	w.reports = reports
 }
 
-// report composes the report of the next window, and sends those that the store keeps.
-func (d *Leaseholder) report(ctx context.Context, h *holding, w *reporting, now time.Time) {
-	d.compose(h, w, now)
-	r, ok := w.book.Due(now, d.Settings.Window, d.Settings.Late)
-	if !ok || !h.claim.StateStored() || !d.mayCall(h, now) {
+// report composes the report of the next window, and sends a due report once the store holds it.
+func (d *Leaseholder) report(ctx context.Context, ds *dutyState, w *reportTask, now time.Time) {
+	d.compose(ds, w, now)
+	r, ok := w.reports.Due(now, d.Settings.Window, d.Settings.Late)
+	if !ok || !ds.elector.StateStored() || !d.beginCall(ds, now) {
 		return
 	}
-	d.call(ctx, h, func(ctx context.Context, by Signature) error { return d.Platform.Report(ctx, by, r) }, func(err error) {
+	d.callPlatform(ctx, ds, func(ctx context.Context, by Signature) error { return d.Platform.Report(ctx, by, r) }, func(err error) {
 		if err != nil {
 			return
 		}
 		d.Reports.Add(1)
-		w.book = w.book.WithAccepted(r.Window)
+		w.reports = w.reports.WithAccepted(r.Window)
 		d.Log.Info().Uint64("window", uint64(r.Window)).Int("organisations", len(r.Counts)).Dur("after", time.Since(r.Window.End(d.Settings.Window))).Msg("duty: usage reported")
 	})
 }
 
-// compose puts the report of the next window into the book, which the store keeps from then
-// on.
-func (d *Leaseholder) compose(h *holding, w *reporting, now time.Time) {
-	d.ledger.mu.Lock()
-	d.ledger.turn(now)
-	r, ok := w.book.Next(d.ledger.pool, now, d.Settings.Window, d.Settings.Late)
-	d.ledger.mu.Unlock()
+// compose adds the report of the next window to the report log and has the log stored.
+func (d *Leaseholder) compose(ds *dutyState, w *reportTask, now time.Time) {
+	d.usage.mu.Lock()
+	d.usage.mergeOwn(now)
+	r, ok := w.reports.Next(d.usage.aggregate, now, d.Settings.Window, d.Settings.Late)
+	d.usage.mu.Unlock()
 	if !ok {
 		return
 	}
-	book := w.book.With(r)
-	state, err := book.Encode()
+	reports := w.reports.With(r)
+	state, err := reports.Encode()
 	if err != nil {
-		d.Log.Error().Err(err).Msg("duty: the book of reports cannot be encoded")
+		d.Log.Error().Err(err).Msg("duty: cannot encode the report log")
 		return
 	}
-	w.book = book
-	h.claim.SetState(state)
+	w.reports = reports
+	ds.elector.SetState(state)
 }
 
-// holderOfUsage is who holds the duty to report usage, as far as is known here.
+// holderOfUsage returns the lease holder of the duty to report usage, as far as this daemon knows.
 func (d *Leaseholder) holderOfUsage() string {
 	for _, s := range d.Status() {
 		if s.Duty == duty.Usage {
--- a/daemon/duties/rows.go
+++ b/daemon/duties/rows.go
@@ -11,11 +11,11 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-// read reads a duty's row.
+// read reads the row of a duty.
 func (d *Leaseholder) read(ctx context.Context, name duty.Name) duty.Event {
 	page, err := d.Rows.Read(ctx, gossip.Duties)
 	if err != nil {
-		d.Log.Warn().Str("duty", string(name)).Err(err).Msg("duty: its row could not be read")
+		d.Log.Warn().Str("duty", string(name)).Err(err).Msg("duty: cannot read the row")
 		return duty.ReadFailed{}
 	}
 	for _, r := range page.Rows {
@@ -24,7 +24,7 @@
 		}
 		var in duty.Record
 		if err := json.Unmarshal(r.Data, &in); err != nil {
-			d.Log.Error().Str("duty", string(name)).Err(&Error{Op: "read duty", Kind: Malformed, Err: err}).Msg("duty: its row does not decode: nobody takes it until an operator removes the row")
+			d.Log.Error().Str("duty", string(name)).Err(&Error{Op: "read duty", Kind: Malformed, Err: err}).Msg("duty: the row does not decode: no daemon can hold the duty until an operator removes the row")
 			return duty.ReadFailed{}
 		}
 		return duty.Read{Record: in, Version: r.Version}
@@ -32,11 +32,11 @@
 	return duty.Read{Version: revision.New(page.Version.Era, 0)}
 }
 
-// write writes a duty's row.
+// write writes the row of a duty.
 func (d *Leaseholder) write(ctx context.Context, name duty.Name, o duty.WriteRow) duty.Event {
 	data, err := json.Marshal(o.Record)
 	if err != nil {
-		d.Log.Error().Str("duty", string(name)).Err(err).Msg("duty: its row cannot be encoded")
+		d.Log.Error().Str("duty", string(name)).Err(err).Msg("duty: cannot encode the row")
 		return duty.ReadFailed{}
 	}
 	version, err := d.Rows.Swap(ctx, gossip.Duties, string(name), data, o.Expected)
@@ -46,7 +46,7 @@
 	case fault.Is(err, storesync.Conflict):
 		return duty.Conflict{}
 	default:
-		d.Log.Warn().Str("duty", string(name)).Stringer("was", o.Expected).Err(err).Msg("duty: its row may not have been written")
+		d.Log.Warn().Str("duty", string(name)).Stringer("was", o.Expected).Err(err).Msg("duty: write of the row failed, its outcome is unknown")
 		return duty.WriteOutcomeUnknown{}
 	}
 }
--- a/daemon/duties/status.go
+++ b/daemon/duties/status.go
@@ -2,22 +2,22 @@
 
 import "ladderridge.example/core/duty"
 
-// Status is what is known of a duty here.
+// Status is the state of a duty as this daemon knows it.
 type Status struct {
 	Duty   duty.Name `json:"duty"`
 	Holder string    `json:"holder"`
 	Token  uint64    `json:"token"`
-	// Held tells that this daemon holds it, State what its row holds.
+	// Held reports whether this daemon holds the duty. State is the state stored in its row.
 	Held  bool   `json:"held"`
 	State string `json:"state"`
 }
 
-// publish makes what is known of the duties known to operators.
+// publish updates the status that operators can read.
 func (d *Leaseholder) publish() {
 	var out []Status
-	for _, h := range d.holdings {
-		s := Status{Duty: h.name, Held: h.held != 0}
-		if r, ok := h.claim.Record(); ok {
+	for _, ds := range d.states {
+		s := Status{Duty: ds.name, Held: ds.heldToken != 0}
+		if r, ok := ds.elector.Record(); ok {
 			s.Holder, s.Token, s.State = r.Holder, r.Token, r.State
 		}
 		out = append(out, s)
@@ -25,5 +25,5 @@
 	d.status.Store(&out)
 }
 
-// Status returns what is known of the duties here.
+// Status returns the state of each duty as this daemon knows it.
 func (d *Leaseholder) Status() []Status { return *d.status.Load() }
