--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -32,8 +32,8 @@
 	Unanswered Kind = "unanswered"
 	// Declined is a call that was not carried out and may be repeated.
 	Declined Kind = "declined"
-	// Overtaken is a call that was rejected because a later lease holder has already called.
-	Overtaken Kind = "overtaken"
+	// Superseded is a call that was rejected because a later lease holder has already called.
+	Superseded Kind = "overtaken"
 	// Forbidden is an order that was rejected, either because a later lease holder has already
 	// called or because no servers are available.
 	Forbidden Kind = "forbidden"
@@ -261,7 +261,7 @@
 		d.Log.Warn().Str("duty", string(e.to.name)).Uint64("token", e.by.Token).Err(e.err).Msg("duty: call to the platform failed")
 	}
 	switch {
-	case fault.Is(e.err, Overtaken):
+	case fault.Is(e.err, Superseded):
 		e.to.elector.Step(duty.Superseded{}, d.clock())
 	case fault.Is(e.err, Forbidden):
 		e.to.elector.Step(duty.MaybeSuperseded{}, d.clock())
--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -132,7 +132,7 @@
 		p.refused[by.Token]++
 		kind := duties.Forbidden
 		if subject == usageSubject {
-			kind = duties.Overtaken
+			kind = duties.Superseded
 		}
 		return &duties.Error{Op: "call platform", Kind: kind}
 	}
