--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -55,8 +55,8 @@
 	Swap(ctx context.Context, topic gossip.Topic, key string, data []byte, expected revision.Revision) (revision.Revision, error)
 }
 
-// Signature identifies the lease holder that makes a call.
-type Signature struct {
+// Caller identifies the lease holder that makes a call.
+type Caller struct {
 	// Holder is the daemon that holds the duty, Token the fencing token of its lease.
 	Holder string
 	Token  uint64
@@ -65,9 +65,9 @@
 // Platform is the platform's interface for lease holders.
 type Platform interface {
 	// Report reports the usage of a window.
-	Report(ctx context.Context, by Signature, r usage.Report) error
+	Report(ctx context.Context, by Caller, r usage.Report) error
 	// Order requests a number of servers of a service.
-	Order(ctx context.Context, by Signature, service string, o autoscaling.Order) error
+	Order(ctx context.Context, by Caller, service string, o autoscaling.Order) error
 }
 
 // Settings are the operator's settings for duties.
@@ -156,7 +156,7 @@
 // platformReply is the result of a call to the platform.
 type platformReply struct {
 	to  *dutyState
-	by  Signature
+	by  Caller
 	err error
 	// done records the outcome.
 	done func(err error)
@@ -371,13 +371,13 @@
 
 // callPlatform calls the platform in the background. It checks right before the call that this
 // daemon still holds the duty.
-func (d *Leaseholder) callPlatform(ctx context.Context, ds *dutyState, send func(ctx context.Context, by Signature) error, done func(err error)) {
+func (d *Leaseholder) callPlatform(ctx context.Context, ds *dutyState, send func(ctx context.Context, by Caller) error, done func(err error)) {
 	token, held := ds.elector.Holds(d.clock())
 	if !held {
 		ds.calling = false
 		return
 	}
-	by := Signature{Holder: d.Self, Token: token}
+	by := Caller{Holder: d.Self, Token: token}
 	go func() {
 		within, cancel := context.WithTimeout(ctx, platformTimeout)
 		defer cancel()
--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -118,7 +118,7 @@
 }
 
 type delayedOrder struct {
-	by    duties.Signature
+	by    duties.Caller
 	order autoscaling.Order
 }
 
@@ -127,7 +127,7 @@
 }
 
 // admit accepts or refuses a caller's token. The caller of admit holds the mutex.
-func (p *platform) admit(subject string, by duties.Signature) error {
+func (p *platform) admit(subject string, by duties.Caller) error {
 	if by.Token < p.highest[subject] {
 		p.refused[by.Token]++
 		kind := duties.Forbidden
@@ -146,7 +146,7 @@
 }
 
 // Report implements duties.Platform.
-func (p *platform) Report(_ context.Context, by duties.Signature, r usage.Report) error {
+func (p *platform) Report(_ context.Context, by duties.Caller, r usage.Report) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mute {
@@ -163,7 +163,7 @@
 }
 
 // Order implements duties.Platform.
-func (p *platform) Order(_ context.Context, by duties.Signature, service string, o autoscaling.Order) error {
+func (p *platform) Order(_ context.Context, by duties.Caller, service string, o autoscaling.Order) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mute {
@@ -173,7 +173,7 @@
 	return p.carryOut(by, service, o)
 }
 
-func (p *platform) carryOut(by duties.Signature, service string, o autoscaling.Order) error {
+func (p *platform) carryOut(by duties.Caller, service string, o autoscaling.Order) error {
 	if err := p.admit(service+" "+o.Pool.Hall, by); err != nil {
 		return err
 	}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -228,7 +228,7 @@
 // send sends the first due order of a service.
 func (d *Leaseholder) send(ctx context.Context, ds *dutyState, name string, service *serviceOrders) {
 	o := service.due[0]
-	d.callPlatform(ctx, ds, func(ctx context.Context, by Signature) error { return d.Platform.Order(ctx, by, name, o) }, func(err error) {
+	d.callPlatform(ctx, ds, func(ctx context.Context, by Caller) error { return d.Platform.Order(ctx, by, name, o) }, func(err error) {
 		p := service.pool(o.Pool)
 		switch {
 		case err == nil:
--- a/daemon/duties/report.go
+++ b/daemon/duties/report.go
@@ -29,7 +29,7 @@
 	if !ok || !ds.elector.StateStored() || !d.beginCall(ds, now) {
 		return
 	}
-	d.callPlatform(ctx, ds, func(ctx context.Context, by Signature) error { return d.Platform.Report(ctx, by, r) }, func(err error) {
+	d.callPlatform(ctx, ds, func(ctx context.Context, by Caller) error { return d.Platform.Report(ctx, by, r) }, func(err error) {
 		if err != nil {
 			return
 		}
