--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -100,9 +100,9 @@
 	Rows      Rows
 	Platform  Platform
 	Knowledge Knowledge
-	// StoodStill returns how long the VM has been suspended in total; nil means never.
-	StoodStill suspend.Clock
-	Log        log.Logger
+	// SuspendClock returns how long the VM has been suspended in total; nil means never.
+	SuspendClock suspend.Clock
+	Log          log.Logger
 
 	// Reports and Orders count the calls that the platform accepted, Failures those that it did
 	// not accept, Calls the calls to the store.
@@ -238,7 +238,7 @@
 }
 
 // clock returns the time since the start, including the time for which the VM was suspended.
-func (d *Leaseholder) clock() time.Duration { return time.Since(d.startedAt) + d.StoodStill.Now() }
+func (d *Leaseholder) clock() time.Duration { return time.Since(d.startedAt) + d.SuspendClock.Now() }
 
 func (d *Leaseholder) handle(e event) {
 	switch e := e.(type) {
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -163,7 +163,7 @@
 		return
 	}
 	g.leaseholder = duties.New()
-	g.leaseholder.Self, g.leaseholder.Start, g.leaseholder.Log, g.leaseholder.StoodStill = s.ID, g.Start, g.log, suspend.TotalSuspended
+	g.leaseholder.Self, g.leaseholder.Start, g.leaseholder.Log, g.leaseholder.SuspendClock = s.ID, g.Start, g.log, suspend.TotalSuspended
 	g.leaseholder.Settings = duties.Settings{Names: g.Platform.DutyNames, Lease: s.DutyLease, Window: s.UsageWindow, Late: s.UsageLate, Rate: s.DutyRate}
 	g.leaseholder.Rows, g.leaseholder.Platform, g.leaseholder.Knowledge = g.Platform.DutyRows, g.Platform.Duties, g.syncer
 	g.leaseholder.Prepare()
