--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -308,7 +308,7 @@
 func (s *cluster) runFor(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
 		for _, daemon := range s.daemons {
-			daemon.Began("org")
+			daemon.CountRequest("org")
 		}
 		s.share()
 	}
--- a/daemon/duties/usage.go
+++ b/daemon/duties/usage.go
@@ -27,8 +27,8 @@
 
 func newUsageState() *usageState { return &usageState{aggregate: usage.NewAggregate()} }
 
-// Began counts a request of an organisation that starts now.
-func (d *Leaseholder) Began(organisation string) {
+// CountRequest counts a request of an organisation that starts now.
+func (d *Leaseholder) CountRequest(organisation string) {
 	if organisation == "" || !d.usage.enabled {
 		return
 	}
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -167,7 +167,7 @@
 	g.leaseholder.Settings = duties.Settings{Names: g.Platform.DutyNames, Lease: s.DutyLease, Window: s.UsageWindow, Late: s.UsageLate, Rate: s.DutyRate}
 	g.leaseholder.Rows, g.leaseholder.Platform, g.leaseholder.Knowledge = g.Platform.DutyRows, g.Platform.Duties, g.syncer
 	g.leaseholder.Prepare()
-	g.syncer.Usage, g.engine.OnStart = g.leaseholder, g.leaseholder.Began
+	g.syncer.Usage, g.engine.OnStart = g.leaseholder, g.leaseholder.CountRequest
 }
 
 // sender sends the syncer's messages to other daemons.
