--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -78,8 +78,8 @@
 	return o.pools[p]
 }
 
-// OrderBook is the stored state of the duty to order servers.
-type OrderBook struct {
+// OrderLog is the stored state of the duty to order servers.
+type OrderLog struct {
 	// Orders lists the last order for each pool, sent or about to be sent.
 	Orders []Ordered `json:"orders"`
 	// Planned is how many servers each service needed according to the last decision.
@@ -95,13 +95,13 @@
 }
 
 // ReadOrders decodes the stored state of the duty to order servers.
-func ReadOrders(state string) (OrderBook, error) {
-	var b OrderBook
+func ReadOrders(state string) (OrderLog, error) {
+	var b OrderLog
 	if state == "" {
 		return b, nil
 	}
 	if err := json.Unmarshal([]byte(state), &b); err != nil {
-		return OrderBook{}, &Error{Op: "read orders", Kind: Malformed, Err: err}
+		return OrderLog{}, &Error{Op: "read orders", Kind: Malformed, Err: err}
 	}
 	return b, nil
 }
@@ -125,7 +125,7 @@
 
 // storeOrders has the current orders stored.
 func (d *Leaseholder) storeOrders(ds *dutyState, w *orderTask) {
-	out := OrderBook{Planned: map[string]int{}}
+	out := OrderLog{Planned: map[string]int{}}
 	for name, service := range w.services {
 		out.Planned[name] = service.planned
 		for pool, p := range service.pools {
