--- a/daemon/cmd/ladderridge/cmd_duties.go
+++ b/daemon/cmd/ladderridge/cmd_duties.go
@@ -94,7 +94,7 @@
 
 // showOrders says what stands in the row of orders.
 func showOrders(state string) string {
-	book, err := duties.ReadOrders(state)
+	book, err := duties.DecodeOrders(state)
 	if err != nil {
 		return err.Error()
 	}
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -94,8 +94,8 @@
 	Count   int              `json:"count"`
 }
 
-// ReadOrders decodes the stored state of the duty to order servers.
-func ReadOrders(state string) (OrderLog, error) {
+// DecodeOrders decodes the stored state of the duty to order servers.
+func DecodeOrders(state string) (OrderLog, error) {
 	var b OrderLog
 	if state == "" {
 		return b, nil
@@ -109,7 +109,7 @@
 // loadOrders loads the orders that the previous holder stored.
 func (d *Leaseholder) loadOrders(ds *dutyState, w *orderTask) {
 	*w = *newOrderTask()
-	stored, err := ReadOrders(ds.elector.State())
+	stored, err := DecodeOrders(ds.elector.State())
 	if err != nil {
 		d.Log.Error().Err(err).Msg("duty: the stored orders do not decode: assuming that the serving servers are those that were ordered")
 		return
