--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -76,10 +76,10 @@
 	Names []duty.Name
 	// Lease is how long a lease lasts after it was last renewed.
 	Lease time.Duration
-	// Window is the length of a usage window, Late how long after its end its report is due at
+	// Window is the length of a usage window, ReportDeadline how long after its end its report is due at
 	// the latest.
-	Window time.Duration
-	Late   time.Duration
+	Window         time.Duration
+	ReportDeadline time.Duration
 	// Rate limits the calls to the platform, in calls a second for all daemons together.
 	Rate float64
 }
@@ -194,7 +194,7 @@
 // request is counted.
 func (d *Leaseholder) Prepare() {
 	d.usage.own = usage.Counter{
-		Process: usage.Process{ID: d.Self, Start: d.Start}, Length: d.Settings.Window, Retention: 2 * d.Settings.Late,
+		Process: usage.Process{ID: d.Self, Start: d.Start}, Length: d.Settings.Window, Retention: 2 * d.Settings.ReportDeadline,
 	}
 	d.usage.enabled = slices.Contains(d.Settings.Names, duty.Usage)
 	// This stays the same when the supervisor restarts Run: lease times are measured from it.
--- a/daemon/duties/report.go
+++ b/daemon/duties/report.go
@@ -25,7 +25,7 @@
 // report composes the report of the next window, and sends a due report once the store holds it.
 func (d *Leaseholder) report(ctx context.Context, ds *dutyState, w *reportTask, now time.Time) {
 	d.compose(ds, w, now)
-	r, ok := w.reports.Due(now, d.Settings.Window, d.Settings.Late)
+	r, ok := w.reports.Due(now, d.Settings.Window, d.Settings.ReportDeadline)
 	if !ok || !ds.elector.StateStored() || !d.beginCall(ds, now) {
 		return
 	}
@@ -43,7 +43,7 @@
 func (d *Leaseholder) compose(ds *dutyState, w *reportTask, now time.Time) {
 	d.usage.mu.Lock()
 	d.usage.mergeOwn(now)
-	r, ok := w.reports.Next(d.usage.aggregate, now, d.Settings.Window, d.Settings.Late)
+	r, ok := w.reports.Next(d.usage.aggregate, now, d.Settings.Window, d.Settings.ReportDeadline)
 	d.usage.mu.Unlock()
 	if !ok {
 		return
