--- a/daemon/peer/codec.go
+++ b/daemon/peer/codec.go
@@ -13,40 +13,41 @@
 	"ladderridge.example/core/node"
 )
 
-// Message is what daemons say to each other: a message of package node or of
-// package gossip.
+// Message is a message between daemons: one of the message types of package
+// node or package gossip.
 type Message any
 
-// tag says which type of message follows it on the wire.
+// tag is the first byte of an encoded message and identifies its type.
 type tag byte
 
-// The tags. They are part of the protocol: never renumber them.
+// The tags are part of the wire protocol: never renumber them.
 const (
 	tagHeartbeat tag = iota + 1
 	tagFetch
 	tagDeliver
-	tagTallyUp
-	tagTallyDown
+	tagSubtreeSums
+	tagTotalsReport
 	tagCopies
 	tagCopiesHeld
 	tagRelease
-	tagTallyAcross
-	tagAsk
-	tagTell
+	tagHallReport
+	tagRequest
+	tagResponse
 	tagEvidence
-	// tagPacked is a message of any other tag, compressed.
-	tagPacked
+	// tagCompressed marks a compressed message, which contains a tag and a
+	// body.
+	tagCompressed
 )
 
-// packFrom is the length from which a message is compressed, in bytes: shorter
-// ones fit into a datagram.
-const packFrom = maxDatagram
+// compressAbove is the length in bytes above which a message is compressed.
+// Shorter messages fit into a datagram.
+const compressAbove = maxDatagram
 
-// MaxMessage bounds a message, in bytes.
+// MaxMessage is the maximum size of a message in bytes.
 const MaxMessage = 16 << 20
 
-// decoding bounds what a message may make the decoder allocate.
-var decoding = func() cbor.DecMode {
+// decMode limits the memory that decoding a message may allocate.
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 16}.DecMode()
 	if err != nil {
 		panic(err)
@@ -54,7 +55,8 @@
 	return mode
 }()
 
-// Encode writes a message: one byte for its type, then CBOR.
+// Encode encodes a message as a tag followed by CBOR, and compresses it if it
+// is longer than compressAbove.
 func Encode(m Message) ([]byte, error) {
 	var t tag
 	switch m.(type) {
@@ -65,11 +67,11 @@
 	case node.Deliver:
 		t = tagDeliver
 	case node.SubtreeSums:
-		t = tagTallyUp
+		t = tagSubtreeSums
 	case node.TotalsReport:
-		t = tagTallyDown
+		t = tagTotalsReport
 	case node.HallReport:
-		t = tagTallyAcross
+		t = tagHallReport
 	case node.Copies:
 		t = tagCopies
 	case node.CopiesHeld:
@@ -77,29 +79,29 @@
 	case node.Release:
 		t = tagRelease
 	case gossip.Request:
-		t = tagAsk
+		t = tagRequest
 	case gossip.Response:
-		t = tagTell
+		t = tagResponse
 	case gossip.Evidence:
 		t = tagEvidence
 	default:
-		return nil, &Error{Op: "encode message", Kind: BadMessage, Err: fmt.Errorf("%T is no message", m)}
+		return nil, &Error{Op: "encode message", Kind: BadMessage, Err: fmt.Errorf("%T is not a message type", m)}
 	}
 	body, err := cbor.Marshal(m)
 	if err != nil {
 		return nil, &Error{Op: "encode message", Kind: BadMessage, Err: err}
 	}
 	data := append([]byte{byte(t)}, body...)
-	if len(data) <= packFrom {
+	if len(data) <= compressAbove {
 		return data, nil
 	}
-	return pack(data)
+	return compress(data)
 }
 
-// pack compresses an encoded message.
-func pack(data []byte) ([]byte, error) {
+// compress compresses an encoded message.
+func compress(data []byte) ([]byte, error) {
 	var out bytes.Buffer
-	out.WriteByte(byte(tagPacked))
+	out.WriteByte(byte(tagCompressed))
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
 		return nil, &Error{Op: "encode message", Kind: BadMessage, Err: err}
@@ -113,53 +115,53 @@
 	return out.Bytes(), nil
 }
 
-// unpack reads a compressed message.
-func unpack(body []byte) (Message, error) {
+// decompress decodes the body of a compressed message.
+func decompress(body []byte) (Message, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), MaxMessage+1))
 	if err != nil {
 		return nil, &Error{Op: "decode message", Kind: BadMessage, Err: err}
 	}
-	if len(data) == 0 || tag(data[0]) == tagPacked {
-		return nil, &Error{Op: "decode message", Kind: BadMessage, Err: errors.New("a compressed message holds none")}
+	if len(data) == 0 || tag(data[0]) == tagCompressed {
+		return nil, &Error{Op: "decode message", Kind: BadMessage, Err: errors.New("a compressed message is empty or contains another compressed one")}
 	}
 	return Decode(data)
 }
 
-// Decode reads a message.
+// Decode decodes a message that Encode returned.
 func Decode(data []byte) (Message, error) {
 	if len(data) == 0 || len(data) > MaxMessage {
-		return nil, &Error{Op: "decode message", Kind: BadMessage, Err: fmt.Errorf("%d bytes", len(data))}
+		return nil, &Error{Op: "decode message", Kind: BadMessage, Err: fmt.Errorf("a length of %d bytes is out of range", len(data))}
 	}
 	t, body := tag(data[0]), data[1:]
-	if t == tagPacked {
-		return unpack(body)
+	if t == tagCompressed {
+		return decompress(body)
 	}
-	read, ok := decoders[t]
+	decodeBody, ok := decoders[t]
 	if !ok {
-		return nil, &Error{Op: "decode message", Kind: BadMessage, Err: fmt.Errorf("tag %d is unknown", t)}
+		return nil, &Error{Op: "decode message", Kind: BadMessage, Err: fmt.Errorf("unknown tag %d", t)}
 	}
-	return read(body)
+	return decodeBody(body)
 }
 
-// decoders read the messages by their tags.
+// decoders maps each tag to the decoder of its message type.
 var decoders = map[tag]func(body []byte) (Message, error){
-	tagHeartbeat:   decode[node.Heartbeat],
-	tagFetch:       decode[node.Fetch],
-	tagDeliver:     decode[node.Deliver],
-	tagTallyUp:     decode[node.SubtreeSums],
-	tagTallyDown:   decode[node.TotalsReport],
-	tagTallyAcross: decode[node.HallReport],
-	tagCopies:      decode[node.Copies],
-	tagCopiesHeld:  decode[node.CopiesHeld],
-	tagRelease:     decode[node.Release],
-	tagAsk:         decode[gossip.Request],
-	tagTell:        decode[gossip.Response],
-	tagEvidence:    decode[gossip.Evidence],
+	tagHeartbeat:    decode[node.Heartbeat],
+	tagFetch:        decode[node.Fetch],
+	tagDeliver:      decode[node.Deliver],
+	tagSubtreeSums:  decode[node.SubtreeSums],
+	tagTotalsReport: decode[node.TotalsReport],
+	tagHallReport:   decode[node.HallReport],
+	tagCopies:       decode[node.Copies],
+	tagCopiesHeld:   decode[node.CopiesHeld],
+	tagRelease:      decode[node.Release],
+	tagRequest:      decode[gossip.Request],
+	tagResponse:     decode[gossip.Response],
+	tagEvidence:     decode[gossip.Evidence],
 }
 
 func decode[M any](body []byte) (Message, error) {
 	var m M
-	if err := decoding.Unmarshal(body, &m); err != nil {
+	if err := decMode.Unmarshal(body, &m); err != nil {
 		return nil, &Error{Op: "decode message", Kind: BadMessage, Err: err}
 	}
 	return m, nil
--- a/daemon/peer/codec_test.go
+++ b/daemon/peer/codec_test.go
@@ -20,7 +20,7 @@
 	"ladderridge.example/daemon/peer"
 )
 
-// messages has one of each type.
+// messages has one message of each type.
 var messages = []peer.Message{
 	node.Heartbeat{
 		Incarnation: 7, Hall: "h", Addr: "127.0.0.1:1", WantsReply: true, Turn: 3,
@@ -43,7 +43,7 @@
 	gossip.Evidence{Hall: "h", Start: 1, Sequence: 2, Counts: []gossip.Count{{Service: "s", Version: "v", Route: "r", Answers: 3, Failed: 2, First: canary.LatencyHistogram{1, 2}, Between: canary.LatencyHistogram{10: 1}}}, OldInFlight: map[string]int{"s": 4}, Withdrawn: []string{"s@v"}},
 }
 
-func TestMessagesReadBackAsThemselves(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	for _, m := range messages {
 		data, err := peer.Encode(m)
 		if err != nil {
@@ -59,8 +59,8 @@
 	}
 }
 
-// FuzzDecode checks that any bytes are a message or a typed error, and that a
-// node lives through any message.
+// FuzzDecode checks that any input either decodes or gives a *peer.Error, and
+// that a node handles any decoded message without a panic.
 func FuzzDecode(f *testing.F) {
 	for _, m := range messages {
 		data, err := peer.Encode(m)
@@ -78,8 +78,8 @@
 			}
 			return
 		}
-		l := newLinks(1)
-		l.addAll(3, 2)
+		l := newNetwork(1)
+		l.startAll(3, 2)
 		if m, ok := m.(node.Message); ok {
 			l.feed("entry-000", node.Received{From: "entry-001", Message: m})
 		}
--- a/daemon/peer/core_measure_test.go
+++ b/daemon/peer/core_measure_test.go
@@ -14,12 +14,13 @@
 	"ladderridge.example/core/node"
 )
 
-func figure(name string, value float64, unit string) {
+func printFigure(name string, value float64, unit string) {
 	fmt.Printf("%s: %.4g %s\n", name, value, unit)
 }
 
-// bytesOf is what a daemon has sent and received, at a quantile over daemons.
-func (l *links) bytesOf(q float64) float64 {
+// bytesQuantile returns a quantile over daemons of the bytes that each has sent
+// and received.
+func (l *network) bytesQuantile(q float64) float64 {
 	var all []int
 	for _, n := range l.byDaemon {
 		all = append(all, n)
@@ -28,9 +29,9 @@
 	return float64(all[int(q*float64(len(all)-1))])
 }
 
-// loadOf gives every daemon the figures of a number of organisations and
+// sumsOf returns the sums of a daemon with a number of organisations and
 // versions.
-func loadOf(orgs, versions int) aggregation.Sums {
+func sumsOf(orgs, versions int) aggregation.Sums {
 	var s aggregation.Sums
 	for i := range orgs {
 		s.Demands = append(s.Demands, aggregation.Demand{Key: aggregation.KeyOf(fmt.Sprint("org", i)), Requests: 35, Tokens: 700, InFlight: 9})
@@ -44,14 +45,14 @@
 }
 
 // TestCapacityOfCore measures the control core alone, with the real codec, in
-// modelled time: messages, bytes (without QUIC) and processor time of a daemon.
+// simulated time: messages, bytes (without QUIC) and CPU time per daemon.
 func TestCapacityOfCore(t *testing.T) {
 	const seconds = 30
 	for _, n := range []int{50, 100, 200, 400, 800} {
-		l := newLinks(1)
-		own := loadOf(10, 10)
+		l := newNetwork(1)
+		own := sumsOf(10, 10)
 		l.own = func(string) aggregation.Sums { return own }
-		l.addAll(n, 4)
+		l.startAll(n, 4)
 		l.platform.generation = 1
 		l.run(15 * time.Second)
 		messages, reads := l.messages, l.platform.reads
@@ -61,11 +62,11 @@
 		spent := time.Since(begun)
 		name := fmt.Sprintf("core with %d daemons ", n)
 		per := float64(n) * seconds
-		figure(name+"messages sent", float64(l.messages-messages)/per, "messages/s")
-		figure(name+"bytes median", l.bytesOf(0.5)/seconds/1000, "KB/s")
-		figure(name+"bytes most", l.bytesOf(1)/seconds/1000, "KB/s")
-		figure(name+"cpu, links included", 100*spent.Seconds()/per, "% of a core")
-		figure(name+"platform reads per data hall", float64(l.platform.reads-reads)/4/seconds, "calls/s")
+		printFigure(name+"messages sent", float64(l.messages-messages)/per, "messages/s")
+		printFigure(name+"bytes median", l.bytesQuantile(0.5)/seconds/1000, "KB/s")
+		printFigure(name+"bytes most", l.bytesQuantile(1)/seconds/1000, "KB/s")
+		printFigure(name+"cpu, links included", 100*spent.Seconds()/per, "% of a core")
+		printFigure(name+"platform reads per data hall", float64(l.platform.reads-reads)/4/seconds, "calls/s")
 		var took []float64
 		for range 5 {
 			l.platform.generation++
@@ -76,25 +77,25 @@
 			took = append(took, l.now.Sub(from).Seconds())
 			l.run(2 * time.Second)
 		}
-		figure(name+"edit in force most", slices.Max(took), "s")
+		printFigure(name+"edit in force most", slices.Max(took), "s")
 	}
 }
 
-// TestCapacityOfLimits measures what an organisation and a version cost each
-// daemon on the wire.
+// TestCapacityOfLimits measures how many bytes each organisation and version
+// adds to the traffic of a daemon.
 func TestCapacityOfLimits(t *testing.T) {
 	for _, n := range []int{0, 10, 50, 200} {
-		l := newLinks(1)
-		own := loadOf(n, n)
+		l := newNetwork(1)
+		own := sumsOf(n, n)
 		l.own = func(string) aggregation.Sums { return own }
-		l.addAll(100, 4)
+		l.startAll(100, 4)
 		l.platform.generation = 1
 		l.run(15 * time.Second)
 		clear(l.byDaemon)
 		l.run(20 * time.Second)
 		name := fmt.Sprintf("%d organisations and %d versions ", n, n)
-		figure(name+"bytes median", l.bytesOf(0.5)/20/1000, "KB/s")
-		figure(name+"bytes most", l.bytesOf(1)/20/1000, "KB/s")
+		printFigure(name+"bytes median", l.bytesQuantile(0.5)/20/1000, "KB/s")
+		printFigure(name+"bytes most", l.bytesQuantile(1)/20/1000, "KB/s")
 	}
 }
 
@@ -102,21 +103,21 @@
 func TestCapacityOfBills(t *testing.T) {
 	const many = 100_000
 	before := liveHeap()
-	ledger := bill.NewPending()
+	pending := bill.NewPending()
 	for i := range many {
-		ledger.Add(longBill(i), time.Time{})
+		pending.Add(longBill(i), time.Time{})
 	}
-	figure("pending bill memory", (liveHeap()-before)/many, "bytes")
+	printFigure("pending bill memory", (liveHeap()-before)/many, "bytes")
 	before = liveHeap()
 	copies := bill.NewCopies()
 	for i := range many {
 		copies.Hold("origin", []bill.Bill{longBill(i)}, time.Time{})
 	}
-	figure("bill's copy memory", (liveHeap()-before)/many, "bytes")
-	runtime.KeepAlive(ledger)
+	printFigure("bill's copy memory", (liveHeap()-before)/many, "bytes")
+	runtime.KeepAlive(pending)
 	runtime.KeepAlive(copies)
-	l := newLinks(1)
-	l.addAll(4, 2)
+	l := newNetwork(1)
+	l.startAll(4, 2)
 	l.platform.generation = 1
 	l.run(10 * time.Second)
 	quiet := 10 * time.Second
@@ -130,12 +131,12 @@
 		l.feed("entry-000", node.BillAdded{Bill: longBill(i)})
 		l.run(quiet / bills)
 	}
-	figure("bill messages", float64(l.messages-messages-idleMessages)/bills, "messages/bill")
-	figure("bill bytes", float64(l.bytes-bytes-idleBytes)/bills, "bytes/bill")
-	figure("bill writes at 30 bills/s", float64(l.platform.writes-writes)/bills, "transactions/bill")
+	printFigure("bill messages", float64(l.messages-messages-idleMessages)/bills, "messages/bill")
+	printFigure("bill bytes", float64(l.bytes-bytes-idleBytes)/bills, "bytes/bill")
+	printFigure("bill writes at 30 bills/s", float64(l.platform.writes-writes)/bills, "transactions/bill")
 }
 
-// longBill is a bill with names of ordinary length.
+// longBill returns a bill with names of typical length.
 func longBill(i int) bill.Bill {
 	return bill.Bill{
 		Key:          fmt.Sprintf("voluntas/entry-001-mx635aze-%d", i),
@@ -143,7 +144,7 @@
 	}
 }
 
-// liveHeap is the memory that live objects take, in bytes.
+// liveHeap returns the size of all live objects in bytes.
 func liveHeap() float64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/daemon/peer/error.go
+++ b/daemon/peer/error.go
@@ -2,20 +2,20 @@
 
 import "ladderridge.example/core/fault"
 
-// Kind says what sort of error the package met.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
 const (
-	// BadKeys are certificate files that cannot be used.
+	// BadKeys means that keys or certificate files cannot be used.
 	BadKeys Kind = "unusable keys"
-	// BadMessage is a message that cannot be decoded.
+	// BadMessage means that a message cannot be encoded or decoded.
 	BadMessage Kind = "bad message"
-	// BadAddress is an address that cannot be listened on.
+	// BadAddress means that the transport cannot listen on its address.
 	BadAddress Kind = "unusable address"
 )
 
-// String names the kind.
+// String implements fmt.Stringer.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
--- a/daemon/peer/pause_test.go
+++ b/daemon/peer/faults_test.go
@@ -9,13 +9,13 @@
 	"ladderridge.example/core/replication"
 )
 
-// TestPausedDaemonDoubtsItsTable freezes a daemon while the table is edited.
-// When it goes on, with everything that was sent meanwhile waiting in its
-// inbox, it must doubt its table until it holds the newest one.
-func TestPausedDaemonDoubtsItsTable(t *testing.T) {
+// TestPausedDaemonHoldsItsTableUnconfirmed freezes a daemon while the table is
+// edited. After it resumes, with all messages sent in the meantime still
+// queued, its table must be unconfirmed until it holds the newest one.
+func TestPausedDaemonHoldsItsTableUnconfirmed(t *testing.T) {
 	for seed := range uint64(20) {
-		l := newLinks(seed)
-		l.addAll(6, 2)
+		l := newNetwork(seed)
+		l.startAll(6, 2)
 		l.platform.generation = 1
 		l.run(10 * time.Second)
 		paused := "entry-003"
@@ -23,11 +23,13 @@
 		l.run(20 * time.Second)
 		l.platform.generation = 2
 		l.run(3 * time.Second)
-		// Nothing new comes through at first, only what waits in the inbox.
+		// At first only the queued messages are delivered: all new ones are
+		// lost and the platform is down.
 		l.thaw(paused)
 		l.loss, l.platform.down = 1, true
 		n := l.nodes[paused]
-		// The control goroutine publishes nothing before its first event.
+		// The control goroutine publishes nothing before its first event, so
+		// the table is checked only after a recent event.
 		for ms := range 7000 {
 			if ms == 2100 {
 				l.loss, l.platform.down = 0, false
@@ -35,39 +37,40 @@
 			l.run(time.Millisecond)
 			holds := n.Store.Get(replication.Config).Number
 			if holds < 2 && !n.Unconfirmed(l.now) && l.now.Sub(n.LastEvent()) < time.Second {
-				t.Fatalf("seed %d: after a pause the daemon trusts generation %d", seed, holds)
+				t.Fatalf("seed %d: after a pause the daemon holds generation %d as confirmed", seed, holds)
 			}
 		}
 		if n.Unconfirmed(l.now) || n.Store.Get(replication.Config).Number != 2 {
-			t.Fatalf("seed %d: the daemon still doubts, or missed the edit", seed)
+			t.Fatalf("seed %d: the table is still unconfirmed, or the edit was missed", seed)
 		}
 	}
 }
 
-// TestCutOffDaemonServesOn cuts a data hall off from the platform and from the
-// others: it does not doubt, and its knowledge ages.
-func TestCutOffDaemonServesOn(t *testing.T) {
-	l := newLinks(1)
-	l.addAll(6, 2)
+// TestPartitionedDaemonKeepsItsTableConfirmed disconnects a data hall from the
+// platform and from the other hall: its table stays confirmed, and its age
+// grows.
+func TestPartitionedDaemonKeepsItsTableConfirmed(t *testing.T) {
+	l := newNetwork(1)
+	l.startAll(6, 2)
 	l.platform.generation = 1
 	l.run(10 * time.Second)
-	l.cut[[2]string{"hall-0", "hall-1"}] = true
+	l.partitioned[[2]string{"hall-0", "hall-1"}] = true
 	l.platform.cutHalls["hall-1"] = true
 	l.run(30 * time.Second)
 	n := l.nodes["entry-001"]
 	if n.Unconfirmed(l.now) {
-		t.Error("a daemon that was cut off, but never paused, doubts its table")
+		t.Error("the table of a daemon that was partitioned, but never paused, is unconfirmed")
 	}
 	if age := l.now.Sub(n.Store.ConfirmedAt(replication.Config)); age < 28*time.Second {
-		t.Errorf("cut off for 30 s, its table was confirmed %v ago", age)
+		t.Errorf("partitioned for 30 s, its table was confirmed %v ago", age)
 	}
 }
 
-// TestEditReachesAllInTime counts the time from an edit to in force on the last
-// of 100 daemons, with one in ten frozen and 5% of the messages lost.
+// TestEditReachesAllInTime checks that an edit is in force on all of 100
+// daemons within 5 s, with one in ten frozen and 5% of the messages lost.
 func TestEditReachesAllInTime(t *testing.T) {
-	l := newLinks(7)
-	l.addAll(100, 4)
+	l := newNetwork(7)
+	l.startAll(100, 4)
 	l.platform.generation = 1
 	l.loss = 0.05
 	l.run(20 * time.Second)
@@ -90,12 +93,12 @@
 	}
 }
 
-// TestHallStartsAtOnce starts all daemons at once with the platform up and
-// then down: the platform's reads stay bounded, and with it down a daemon that
-// starts anew takes the table from the others.
+// TestHallStartsAtOnce starts all daemons of a hall at once with the platform
+// up: the reads of the platform stay bounded. Then, with the platform down, a
+// restarted daemon gets the table from the others.
 func TestHallStartsAtOnce(t *testing.T) {
-	l := newLinks(3)
-	l.addAll(50, 1)
+	l := newNetwork(3)
+	l.startAll(50, 1)
 	l.platform.generation = 1
 	l.run(10 * time.Second)
 	if low, _ := l.generations(); low != 1 {
@@ -116,14 +119,14 @@
 	}
 }
 
-// TestHallStartsAtARateLimitedPlatform starts 50 daemons at once while the
-// platform takes two calls a second: all get the table from the few that were
-// let through, and the others do not hammer it.
-func TestHallStartsAtARateLimitedPlatform(t *testing.T) {
-	l := newLinks(4)
+// TestHallStartsWithARateLimitedPlatform starts 50 daemons at once while the
+// platform accepts two calls per second: all get the table from the few whose
+// calls succeed, and the number of rejected calls stays bounded.
+func TestHallStartsWithARateLimitedPlatform(t *testing.T) {
+	l := newNetwork(4)
 	l.platform.rate = 2
 	l.platform.generation = 1
-	l.addAll(50, 1)
+	l.startAll(50, 1)
 	const seconds = 20
 	l.run(seconds * time.Second)
 	if low, _ := l.generations(); low != 1 {
@@ -135,11 +138,11 @@
 	t.Logf("%d reads, %d of them over the rate", l.platform.reads, l.platform.limited)
 }
 
-// TestLostCopyIsSentAgain loses the message with a bill's copy while the
-// platform is down: the bill must be safe with another daemon soon after.
-func TestLostCopyIsSentAgain(t *testing.T) {
-	l := newLinks(5)
-	l.addAll(4, 2)
+// TestLostBillCopyIsResent loses the message with a bill's copy while the
+// platform is down: soon after, the bill must be durable on another daemon.
+func TestLostBillCopyIsResent(t *testing.T) {
+	l := newNetwork(5)
+	l.startAll(4, 2)
 	l.platform.generation = 1
 	l.run(10 * time.Second)
 	l.platform.down = true
@@ -148,16 +151,17 @@
 	l.run(100 * time.Millisecond)
 	l.loss = 0
 	l.run(3 * time.Second)
-	if !l.safe["b"] {
+	if !l.durable["b"] {
 		t.Error("the lost copy was not sent again")
 	}
 }
 
-// TestSecondDaemonHoldsTheBill kills the daemon that holds copies without
-// anybody knowing yet: a second one is asked and acknowledges.
-func TestSecondDaemonHoldsTheBill(t *testing.T) {
-	l := newLinks(6)
-	l.addAll(6, 2)
+// TestBillIsCopiedToASecondDaemon kills all daemons of the other hall, one of
+// which is to hold a bill's copy, before the rest detect it: the copy goes to a
+// second daemon, which acknowledges it.
+func TestBillIsCopiedToASecondDaemon(t *testing.T) {
+	l := newNetwork(6)
+	l.startAll(6, 2)
 	l.platform.generation = 1
 	l.run(10 * time.Second)
 	l.platform.down = true
@@ -168,37 +172,38 @@
 	}
 	l.bill("entry-000", "b")
 	l.run(25 * time.Millisecond)
-	if l.safe["b"] {
-		t.Fatal("the bill is safe with a daemon that is gone")
+	if l.durable["b"] {
+		t.Fatal("the bill is durable on a daemon that was killed")
 	}
 	l.feed("entry-000", node.BillCopyTimedOut{Key: "b"})
 	l.run(25 * time.Millisecond)
-	if !l.safe["b"] {
+	if !l.durable["b"] {
 		t.Error("no second daemon has the bill")
 	}
 }
 
-// TestDaemonWhoseVMStoodStillDoubtsItsTable has a VM suspended while the table is edited: by
-// its own clock no time has passed. The table is in doubt until it is confirmed by a read
-// that was sent afterwards, and is as old as the world has it.
-func TestDaemonWhoseVMStoodStillDoubtsItsTable(t *testing.T) {
+// TestSuspendedVMHoldsItsTableUnconfirmed suspends a VM while the table is
+// edited: by its own clock no time has passed. The table is unconfirmed until a
+// read that was sent after the suspension confirms it, and its age includes the
+// suspension.
+func TestSuspendedVMHoldsItsTableUnconfirmed(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	n := node.New(member.Listed{ID: "entry-1", Hall: "h"}, 1, now)
 	n.Handle(node.ReadDone{Topic: replication.Config, Number: 1, Data: []byte("table"), SentAt: now}, now)
 	now = now.Add(100 * time.Millisecond)
 	if n.Unconfirmed(now) {
-		t.Fatal("in doubt before")
+		t.Fatal("unconfirmed before the suspension")
 	}
 	n.Handle(node.Suspended{For: 20 * time.Second}, now)
 	if age := now.Sub(n.Store.ConfirmedAt(replication.Config)); !n.Unconfirmed(now) || age < 20*time.Second {
-		t.Errorf("after the standstill: in doubt %v, confirmed %v ago", n.Unconfirmed(now), age)
+		t.Errorf("after the suspension: unconfirmed %v, confirmed %v ago", n.Unconfirmed(now), age)
 	}
 	n.Handle(node.ReadDone{Topic: replication.Config, Number: 1, SentAt: now.Add(-time.Millisecond)}, now.Add(time.Second))
 	if !n.Unconfirmed(now.Add(time.Second)) {
-		t.Error("a read from before confirms the table")
+		t.Error("a read sent before the suspension confirms the table")
 	}
 	n.Handle(node.ReadDone{Topic: replication.Config, Number: 2, Data: []byte("newer"), SentAt: now.Add(time.Second)}, now.Add(2*time.Second))
 	if n.Unconfirmed(now.Add(2 * time.Second)) {
-		t.Error("still in doubt")
+		t.Error("still unconfirmed")
 	}
 }
--- a/daemon/peer/keys.go
+++ b/daemon/peer/keys.go
@@ -12,69 +12,77 @@
 	"github.com/quic-go/quic-go"
 )
 
-// protocol is the name that both ends of a connection must agree on.
+// protocol is the ALPN protocol name that both ends of a connection must agree
+// on.
 const protocol = "ladderridge/1"
 
-// Identity is what a daemon shows to others and checks them by: Keys or
+// Identity authenticates this daemon to others and verifies them: Keys or
 // OwnKeys.
 type Identity interface {
-	// server is the TLS configuration for connections that others make.
+	// server returns the TLS configuration for incoming connections.
 	server() *tls.Config
-	// client is the TLS configuration for a connection to the daemon of that id.
+	// client returns the TLS configuration for an outgoing connection to the
+	// daemon with the given id.
 	client(id string) (*tls.Config, error)
-	// resetKey signs the resets of connections to an earlier process.
+	// resetKey returns the QUIC stateless reset key, with which a restarted
+	// daemon resets connections to its previous process.
 	resetKey() (quic.StatelessResetKey, error)
 }
 
-// Keys are the files that a daemon shows and checks other daemons by. They are
-// read again when their times change, so that keys can be replaced without a
-// restart.
+// Keys names the files with a daemon's certificate, its private key and the
+// certificate authority that other daemons are verified against. The files are
+// read again when their modification times change, so that keys can be replaced
+// without a restart.
 type Keys struct {
 	Certificate string
 	Key         string
 	Authority   string
 
 	mu sync.Mutex
-	// read are the times of the files when they were last read.
-	read   fileTimes
-	pair   *tls.Certificate
-	pool   *x509.CertPool
-	broken error
+	// readTimes are the modification times of the files when they were last
+	// read.
+	readTimes fileTimes
+	pair      *tls.Certificate
+	pool      *x509.CertPool
+	lastErr   error
 }
 
-// fileTimes are when the certificate, the key and the authority were written. All
-// of them count: files are replaced one after the other, and may have like times
-// when that is done.
+// fileTimes holds the modification times of the certificate, the key and the
+// authority. All three are compared: the files are replaced one after the other
+// and may end up with equal times, so the newest time alone does not show each
+// change.
 type fileTimes [3]time.Time
 
-// Load reads the files; call it once before use, to find faults early.
+// Load reads the files. Call it once before use, to detect unusable files at
+// start.
 func (k *Keys) Load() error {
 	_, _, err := k.current()
 	return err
 }
 
-// current returns the keys as the files have them now. Files that have become
-// unusable leave the last good keys in force.
+// current returns the keys from the files as they are now. If the files have
+// become unusable, the last valid keys stay in use.
 func (k *Keys) current() (*tls.Certificate, *x509.CertPool, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	changed := k.changed()
-	if k.pair != nil && changed == k.read {
+	changed := k.modTimes()
+	if k.pair != nil && changed == k.readTimes {
 		return k.pair, k.pool, nil
 	}
 	pair, pool, err := k.load()
 	if err != nil && k.pair == nil {
 		return nil, nil, &Error{Op: "load keys", Kind: BadKeys, Err: err}
 	}
-	k.read, k.broken = changed, err
+	k.readTimes, k.lastErr = changed, err
 	if err == nil {
 		k.pair, k.pool = pair, pool
 	}
 	return k.pair, k.pool, nil
 }
 
-// changed is when the files were written; a file that is not there has no time.
-func (k *Keys) changed() fileTimes {
+// modTimes returns the modification times of the files; the time of a missing
+// file is zero.
+func (k *Keys) modTimes() fileTimes {
 	var out fileTimes
 	for i, name := range []string{k.Certificate, k.Key, k.Authority} {
 		if info, err := os.Stat(name); err == nil {
@@ -95,12 +103,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, nil, errors.New(k.Authority + " has no certificate")
+		return nil, nil, errors.New(k.Authority + " contains no certificate")
 	}
 	return &pair, pool, nil
 }
 
-// resetKey is a key that every process of the same daemon derives alike.
+// resetKey derives the key from the private key, so that every process of the
+// same daemon has the same one.
 func (k *Keys) resetKey() (quic.StatelessResetKey, error) {
 	pair, _, err := k.current()
 	if err != nil {
@@ -113,7 +122,7 @@
 	return quic.StatelessResetKey(sha256.Sum256(append([]byte("ladderridge stateless reset "), private...))), nil
 }
 
-// server is the TLS configuration for connections that others make.
+// server returns the TLS configuration for incoming connections.
 func (k *Keys) server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -134,7 +143,8 @@
 	}
 }
 
-// client is the TLS configuration for a connection to the daemon of that id.
+// client returns the TLS configuration for an outgoing connection to the daemon
+// with the given id.
 func (k *Keys) client(id string) (*tls.Config, error) {
 	pair, pool, err := k.current()
 	if err != nil {
--- a/daemon/peer/links_test.go
+++ b/daemon/peer/network_test.go
@@ -15,23 +15,23 @@
 	"ladderridge.example/daemon/peer"
 )
 
-// delivery is something that happens to a node at a time.
+// delivery is an event or a message that is due at a node at a given time.
 type delivery struct {
-	at    time.Time
-	order int
-	to    string
-	life  int
-	event node.Event
-	data  []byte
-	from  string
+	at          time.Time
+	sequence    int
+	to          string
+	incarnation int
+	event       node.Event
+	data        []byte
+	from        string
 }
 
-// deliveries is a heap by time.
+// deliveries is a heap ordered by time.
 type deliveries []delivery
 
 func (d deliveries) Len() int { return len(d) }
 func (d deliveries) Less(i, j int) bool {
-	return d[i].at.Before(d[j].at) || (d[i].at.Equal(d[j].at) && d[i].order < d[j].order)
+	return d[i].at.Before(d[j].at) || (d[i].at.Equal(d[j].at) && d[i].sequence < d[j].sequence)
 }
 func (d deliveries) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
 func (d *deliveries) Push(x any)   { *d = append(*d, x.(delivery)) }
@@ -42,7 +42,7 @@
 	return x
 }
 
-// fakePlatform is the platform as far as nodes see it.
+// fakePlatform is the part of the platform that nodes use.
 type fakePlatform struct {
 	generation uint64
 	list       []member.Listed
@@ -53,63 +53,64 @@
 	loseNext   int
 	reads      int
 	writes     int
-	// rate bounds the reads of a second; 0 is no bound. limited counts those
-	// that were over it.
-	rate    int
-	second  int64
-	inSec   int
-	limited int
+	// rate limits the reads per second; 0 is unlimited. limited counts the
+	// reads above the rate.
+	rate          int
+	second        int64
+	readsInSecond int
+	limited       int
 }
 
-// overRate counts a read and reports whether it is over the rate.
+// overRate counts a read and reports whether it exceeds the rate.
 func (p *fakePlatform) overRate(now time.Time) bool {
 	if now.Unix() != p.second {
-		p.second, p.inSec = now.Unix(), 0
+		p.second, p.readsInSecond = now.Unix(), 0
 	}
-	p.inSec++
-	if p.rate == 0 || p.inSec <= p.rate {
+	p.readsInSecond++
+	if p.rate == 0 || p.readsInSecond <= p.rate {
 		return false
 	}
 	p.limited++
 	return true
 }
 
-// links joins nodes in modelled time by in-memory links that lose, delay and
-// cut, with every message through the real codec.
-type links struct {
-	now      time.Time
-	rng      *rand.Rand
-	queue    deliveries
-	order    int
-	nodes    map[string]*node.Node
-	ids      []string
-	life     map[string]int
-	frozen   map[string]bool
-	held     map[string][]delivery
-	loss     float64
-	cut      map[[2]string]bool
-	platform fakePlatform
-	own      func(id string) aggregation.Sums
-	safe     map[string]bool
-	messages int
-	bytes    int
-	byDaemon map[string]int
-	halls    int
+// network connects nodes in simulated time over in-memory links that delay and
+// lose messages and can be partitioned. Every message passes through the real
+// codec.
+type network struct {
+	now         time.Time
+	rng         *rand.Rand
+	queue       deliveries
+	sequence    int
+	nodes       map[string]*node.Node
+	ids         []string
+	incarnation map[string]int
+	frozen      map[string]bool
+	inbox       map[string][]delivery
+	loss        float64
+	partitioned map[[2]string]bool
+	platform    fakePlatform
+	own         func(id string) aggregation.Sums
+	durable     map[string]bool
+	messages    int
+	bytes       int
+	byDaemon    map[string]int
+	halls       int
 }
 
-func newLinks(seed uint64) *links {
-	return &links{
+func newNetwork(seed uint64) *network {
+	return &network{
 		now: time.UnixMilli(1_800_000_000_000), rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node.Node{},
-		life: map[string]int{}, frozen: map[string]bool{}, held: map[string][]delivery{}, cut: map[[2]string]bool{},
-		platform: fakePlatform{bills: map[string]int{}, cutHalls: map[string]bool{}}, safe: map[string]bool{}, byDaemon: map[string]int{},
+		incarnation: map[string]int{}, frozen: map[string]bool{}, inbox: map[string][]delivery{}, partitioned: map[[2]string]bool{},
+		platform: fakePlatform{bills: map[string]int{}, cutHalls: map[string]bool{}}, durable: map[string]bool{}, byDaemon: map[string]int{},
 		own: func(string) aggregation.Sums { return aggregation.Sums{} },
 	}
 }
 
 func hallOf(i, halls int) string { return fmt.Sprintf("hall-%d", i%halls) }
 
-// addAll lists and starts n daemons spread over some halls.
-func (l *links) addAll(n, halls int) {
+// startAll registers and starts n daemons, distributed over a number of halls.
+func (l *network) startAll(n, halls int) {
 	l.halls = halls
 	for i := range n {
 		id := fmt.Sprintf("entry-%03d", i)
@@ -121,67 +122,69 @@
 	}
 }
 
-func (l *links) listed(id string) member.Listed {
+func (l *network) listed(id string) member.Listed {
 	i := slices.IndexFunc(l.platform.list, func(m member.Listed) bool { return m.ID == id })
 	return l.platform.list[i]
 }
 
-// start starts a daemon anew, with nothing kept.
-func (l *links) start(id string) {
-	l.life[id]++
+// start starts a daemon without any stored state.
+func (l *network) start(id string) {
+	l.incarnation[id]++
 	if !slices.Contains(l.ids, id) {
 		l.ids = append(l.ids, id)
 	}
 	n := node.New(l.listed(id), uint64(l.now.UnixMilli()), l.now)
-	// The settings name two seeds, for starts while the platform is down.
+	// The settings have two seeds, for starts while the platform is down.
 	n.Seeds = append(n.Seeds, l.platform.list[:min(2, len(l.platform.list))]...)
 	l.nodes[id] = n
-	l.after(time.Duration(l.rng.Int64N(int64(node.TickInterval))), delivery{to: id, event: node.Tick{}})
+	l.schedule(time.Duration(l.rng.Int64N(int64(node.TickInterval))), delivery{to: id, event: node.Tick{}})
 }
 
-func (l *links) kill(id string) {
+func (l *network) kill(id string) {
 	delete(l.nodes, id)
 	delete(l.frozen, id)
-	delete(l.held, id)
-	l.life[id]++
+	delete(l.inbox, id)
+	l.incarnation[id]++
 }
 
-func (l *links) freeze(id string) { l.frozen[id] = true }
+func (l *network) freeze(id string) { l.frozen[id] = true }
 
-// drain is how long a thawed daemon takes to read what came meanwhile.
-const drain = 2 * time.Second
+// thawDuration is the time over which a thawed daemon receives the messages
+// that arrived while it was frozen.
+const thawDuration = 2 * time.Second
 
-// thaw lets a frozen daemon go on: the messages that came meanwhile come now.
-func (l *links) thaw(id string) {
+// thaw resumes a frozen daemon and delivers the events and messages that
+// arrived while it was frozen.
+func (l *network) thaw(id string) {
 	delete(l.frozen, id)
-	for i, d := range l.held[id] {
+	for i, d := range l.inbox[id] {
 		wait := time.Duration(0)
 		if d.data != nil {
-			wait = drain * time.Duration(i) / time.Duration(len(l.held[id]))
+			wait = thawDuration * time.Duration(i) / time.Duration(len(l.inbox[id]))
 		}
-		l.after(wait, d)
+		l.schedule(wait, d)
 	}
-	delete(l.held, id)
+	delete(l.inbox, id)
 }
 
-func (l *links) after(wait time.Duration, d delivery) {
-	l.order++
-	d.at, d.order, d.life = l.now.Add(wait), l.order, l.life[d.to]
+func (l *network) schedule(wait time.Duration, d delivery) {
+	l.sequence++
+	d.at, d.sequence, d.incarnation = l.now.Add(wait), l.sequence, l.incarnation[d.to]
 	heap.Push(&l.queue, d)
 }
 
-// feed gives a node an event and carries out its orders.
-func (l *links) feed(id string, e node.Event) {
+// feed passes an event to a node and performs the actions that it returns.
+func (l *network) feed(id string, e node.Event) {
 	n := l.nodes[id]
 	if n == nil {
 		return
 	}
 	for _, o := range n.Handle(e, l.now) {
-		l.obey(id, o)
+		l.perform(id, o)
 	}
 }
 
-func (l *links) obey(id string, o node.Action) {
+func (l *network) perform(id string, o node.Action) {
 	switch o := o.(type) {
 	case node.Send:
 		l.send(id, o)
@@ -190,7 +193,7 @@
 	case node.WriteBills:
 		l.write(id, o)
 	case node.BillDurable:
-		l.safe[o.Key] = true
+		l.durable[o.Key] = true
 	case node.Changed:
 		if o.Document.Topic == replication.VMs {
 			l.feed(id, node.VMsKnown{Entries: l.platform.list, Halls: l.halls})
@@ -198,7 +201,7 @@
 	}
 }
 
-func (l *links) send(from string, o node.Send) {
+func (l *network) send(from string, o node.Send) {
 	data, err := peer.Encode(o.Message)
 	if err != nil {
 		panic(err)
@@ -208,18 +211,18 @@
 	l.byDaemon[o.To] += len(data)
 	l.bytes += len(data)
 	a, b := l.listed(from).Hall, l.listed(o.To).Hall
-	if l.cut[[2]string{a, b}] || l.cut[[2]string{b, a}] || l.rng.Float64() < l.loss {
+	if l.partitioned[[2]string{a, b}] || l.partitioned[[2]string{b, a}] || l.rng.Float64() < l.loss {
 		return
 	}
 	wait := time.Millisecond + time.Duration(l.rng.Int64N(int64(2*time.Millisecond)))
-	l.after(wait, delivery{to: o.To, from: from, data: data})
+	l.schedule(wait, delivery{to: o.To, from: from, data: data})
 }
 
-func (l *links) platformFails(id string) bool {
+func (l *network) platformFails(id string) bool {
 	return l.platform.down || l.platform.cutHalls[l.listed(id).Hall]
 }
 
-func (l *links) read(id string, o node.Read) {
+func (l *network) read(id string, o node.Read) {
 	l.platform.reads++
 	done := node.ReadDone{Topic: o.Topic, SentAt: l.now}
 	switch {
@@ -235,13 +238,13 @@
 	if !done.Failed && done.Number > o.HeldNumber {
 		done.Data = []byte(fmt.Sprintf("%s %d", o.Topic, done.Number))
 	}
-	l.after(2*time.Millisecond, delivery{to: id, event: done})
+	l.schedule(2*time.Millisecond, delivery{to: id, event: done})
 }
 
-func (l *links) write(id string, o node.WriteBills) {
+func (l *network) write(id string, o node.WriteBills) {
 	l.platform.writes++
 	if l.platformFails(id) {
-		l.after(2*time.Millisecond, delivery{to: id, event: node.BillsFailed{}})
+		l.schedule(2*time.Millisecond, delivery{to: id, event: node.BillsFailed{}})
 		return
 	}
 	var found []string
@@ -260,11 +263,11 @@
 		l.platform.loseNext--
 		answer = node.BillsFailed{}
 	}
-	l.after(2*time.Millisecond, delivery{to: id, event: answer})
+	l.schedule(2*time.Millisecond, delivery{to: id, event: answer})
 }
 
-// run lets modelled time pass.
-func (l *links) run(d time.Duration) {
+// run advances simulated time by d.
+func (l *network) run(d time.Duration) {
 	end := l.now.Add(d)
 	for len(l.queue) > 0 && !l.queue[0].at.After(end) {
 		next := heap.Pop(&l.queue).(delivery)
@@ -274,12 +277,12 @@
 	l.now = end
 }
 
-func (l *links) deliver(d delivery) {
-	if d.life != l.life[d.to] || l.nodes[d.to] == nil {
+func (l *network) deliver(d delivery) {
+	if d.incarnation != l.incarnation[d.to] || l.nodes[d.to] == nil {
 		return
 	}
 	if l.frozen[d.to] {
-		l.held[d.to] = append(l.held[d.to], d)
+		l.inbox[d.to] = append(l.inbox[d.to], d)
 		return
 	}
 	if d.data != nil {
@@ -291,19 +294,20 @@
 		return
 	}
 	if _, ok := d.event.(node.Tick); ok {
-		l.after(node.TickInterval, delivery{to: d.to, event: node.Tick{}})
-		l.after(node.FlushInterval, delivery{to: d.to, event: node.Flush{}})
+		l.schedule(node.TickInterval, delivery{to: d.to, event: node.Tick{}})
+		l.schedule(node.FlushInterval, delivery{to: d.to, event: node.Flush{}})
 		d.event = node.Tick{Own: l.own(d.to)}
 	}
 	l.feed(d.to, d.event)
 }
 
-func (l *links) bill(id, key string) {
+func (l *network) bill(id, key string) {
 	l.feed(id, node.BillAdded{Bill: bill.Bill{Key: key, Organisation: "o", Model: "m", Version: "v", Tokens: 1, Cost: 1}})
 }
 
-// generations returns the lowest and highest generation held by live daemons.
-func (l *links) generations() (low, high uint64) {
+// generations returns the lowest and highest generation held by running
+// daemons.
+func (l *network) generations() (low, high uint64) {
 	low = ^uint64(0)
 	for id, n := range l.nodes {
 		if l.frozen[id] {
--- a/daemon/peer/own_keys.go
+++ b/daemon/peer/own_keys.go
@@ -14,9 +14,10 @@
 	"github.com/quic-go/quic-go"
 )
 
-// OwnKeys are a key pair that a daemon makes at its start, for VMs that keep no
-// files. Other daemons are trusted by the public keys that they have published
-// where only daemons may write; a stranger is refused. Get one from NewOwnKeys.
+// OwnKeys is a key pair with a self-signed certificate that a daemon generates
+// at its start, for VMs without persistent files. Other daemons are verified
+// against the public keys that they have published in a place that only daemons
+// can write to; all others are refused. Create it with NewOwnKeys.
 type OwnKeys struct {
 	// Trusted returns the public key that a daemon has published, or nil.
 	Trusted func(id string) ed25519.PublicKey
@@ -25,12 +26,12 @@
 	reset quic.StatelessResetKey
 }
 
-// lifetime is how long a certificate made at the start is dated around the
-// present. The date is not checked, since times of day jump: the key lives as
-// long as its process.
-const lifetime = 10 * 365 * 24 * time.Hour
+// certValidity is how far before and after the present a generated certificate
+// is valid. The dates are not checked, because the wall clock may jump: the key
+// is valid for as long as its process runs.
+const certValidity = 10 * 365 * 24 * time.Hour
 
-// NewOwnKeys makes a key pair for the daemon of that id.
+// NewOwnKeys generates a key pair for the daemon with the given id.
 func NewOwnKeys(id string) (*OwnKeys, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -38,7 +39,7 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: id}, DNSNames: []string{id},
-		NotBefore: time.Now().Add(-lifetime), NotAfter: time.Now().Add(lifetime),
+		NotBefore: time.Now().Add(-certValidity), NotAfter: time.Now().Add(certValidity),
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
 	if err != nil {
@@ -50,7 +51,7 @@
 	}, nil
 }
 
-// Public is the public key to publish.
+// Public returns the public key to publish.
 func (k *OwnKeys) Public() ed25519.PublicKey {
 	private, ok := k.pair.PrivateKey.(ed25519.PrivateKey)
 	if !ok {
@@ -74,26 +75,27 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, NextProtos: []string{protocol}, ServerName: id,
 		Certificates: []tls.Certificate{k.pair},
-		// There is no authority: VerifyConnection compares the key itself.
+		// There is no certificate authority: VerifyConnection checks the key
+		// itself.
 		InsecureSkipVerify: true, //nolint:gosec // Checked in VerifyConnection.
 		VerifyConnection:   func(s tls.ConnectionState) error { return k.verify(s, id) },
 	}, nil
 }
 
-// verify checks that the other end has the key that the daemon it names, which
-// must be want if that is set, has published.
+// verify checks that the peer's key is the one published by the daemon that its
+// certificate names. If want is not empty, that daemon must be want.
 func (k *OwnKeys) verify(s tls.ConnectionState, want string) error {
 	if len(s.PeerCertificates) == 0 {
-		return fmt.Errorf("the other end shows no certificate")
+		return fmt.Errorf("the peer sent no certificate")
 	}
 	cert := s.PeerCertificates[0]
 	id := cert.Subject.CommonName
 	if want != "" && id != want {
-		return fmt.Errorf("the other end is %q, not %q", id, want)
+		return fmt.Errorf("the peer is %q, want %q", id, want)
 	}
 	shown, ok := cert.PublicKey.(ed25519.PublicKey)
 	if trusted := k.Trusted(id); !ok || trusted == nil || !trusted.Equal(shown) {
-		return fmt.Errorf("the key of %q is not the one that it has published", id)
+		return fmt.Errorf("the key of %q does not match its published key", id)
 	}
 	return nil
 }
--- a/daemon/peer/own_keys_test.go
+++ b/daemon/peer/own_keys_test.go
@@ -14,7 +14,7 @@
 	"ladderridge.example/daemon/peer"
 )
 
-// published are the keys that daemons have published, as all of them see them.
+// published is the directory of public keys that all daemons read.
 type published struct {
 	mu   sync.Mutex
 	keys map[string]ed25519.PublicKey
@@ -32,8 +32,8 @@
 	return p.keys[id]
 }
 
-// ownEnd is a daemon with keys of its own making.
-func ownEnd(t *testing.T, p *published, id string) (*peer.Transport, chan peer.Incoming, ed25519.PublicKey) {
+// startSelfSigned starts a transport with generated keys.
+func startSelfSigned(t *testing.T, p *published, id string) (*peer.Transport, chan peer.Incoming, ed25519.PublicKey) {
 	t.Helper()
 	keys, err := peer.NewOwnKeys(id)
 	if err != nil {
@@ -55,16 +55,16 @@
 	return tr, got, keys.Public()
 }
 
-// Only daemons that have published their key are spoken to; one that takes the
-// name of another is refused.
-func TestStrangersAreRefused(t *testing.T) {
+// Messages are accepted only from daemons that have published their key. A
+// daemon that uses the id of another is refused.
+func TestUnpublishedKeysAreRefused(t *testing.T) {
 	p := &published{keys: map[string]ed25519.PublicKey{}}
-	a, _, aKey := ownEnd(t, p, "a")
-	b, atB, bKey := ownEnd(t, p, "b")
+	a, _, aKey := startSelfSigned(t, p, "a")
+	b, atB, bKey := startSelfSigned(t, p, "b")
 	p.set("a", aKey)
 	p.set("b", bKey)
-	stranger, _, _ := ownEnd(t, p, "stranger")
-	impostor, _, _ := ownEnd(t, p, "a")
+	stranger, _, _ := startSelfSigned(t, p, "stranger")
+	impostor, _, _ := startSelfSigned(t, p, "a")
 	again := clock.NewTicker(20 * time.Millisecond)
 	defer again.Stop()
 	for arrived := 0; arrived < 3; {
@@ -74,7 +74,7 @@
 		a.Send("b", b.Addr, gossip.Request{Nonce: 1})
 		select {
 		case in := <-atB:
-			if ask, ok := in.Message.(gossip.Request); !ok || in.From != "a" || ask.Nonce != 1 {
+			if request, ok := in.Message.(gossip.Request); !ok || in.From != "a" || request.Nonce != 1 {
 				t.Fatalf("%s sent %+v", in.From, in.Message)
 			}
 			arrived++
--- a/daemon/peer/shares_measure_test.go
+++ b/daemon/peer/shares_measure_test.go
@@ -10,34 +10,36 @@
 	"ladderridge.example/core/limit"
 )
 
-// The limit that 40 daemons in 4 data halls share, in tenths of requests a
-// second, as a tally counts.
+// A limit that 40 daemons in 4 data halls share, in tenths of requests per
+// second, the unit of aggregated demand.
 const (
 	sharedLimit   = 10_000.0
 	sharesDaemons = 40
 	sharesHalls   = 4
 )
 
-// shared is one organisation's demand on daemons that share its limit.
-type shared struct {
-	*links
+// sharedLimitCluster simulates one organisation's demand on daemons that share
+// its limit.
+type sharedLimitCluster struct {
+	*network
 	demand func(id string) uint32
 }
 
-func newShared(demand func(l *links, id string) uint32) *shared {
-	s := &shared{links: newLinks(1)}
-	s.demand = func(id string) uint32 { return demand(s.links, id) }
+func newSharedLimitCluster(demand func(l *network, id string) uint32) *sharedLimitCluster {
+	s := &sharedLimitCluster{network: newNetwork(1)}
+	s.demand = func(id string) uint32 { return demand(s.network, id) }
 	s.own = func(id string) aggregation.Sums {
 		return aggregation.Sums{Demands: []aggregation.Demand{{Key: 1, Requests: s.demand(id)}}}
 	}
-	s.addAll(sharesDaemons, sharesHalls)
+	s.startAll(sharesDaemons, sharesHalls)
 	s.platform.generation = 1
 	s.run(20 * time.Second)
 	return s
 }
 
-// admitted is what all daemons together admit now, of the limit.
-func (s *shared) admitted() float64 {
+// admitted returns the fraction of the limit that all daemons together admit
+// now.
+func (s *sharedLimitCluster) admitted() float64 {
 	sum := 0.0
 	for id, n := range s.nodes {
 		totals, fresh := n.Tree.Totals(s.now)
@@ -56,9 +58,9 @@
 	return sum / sharedLimit
 }
 
-// over the next seconds, the most that is admitted and how long it stays more
-// than 5% off what it comes to.
-func (s *shared) watch(d time.Duration) (most float64, settled time.Duration) {
+// watch advances the simulation by d. It returns the largest admitted fraction
+// and the time after which the fraction stays within 5% of its final value.
+func (s *sharedLimitCluster) watch(d time.Duration) (most float64, settled time.Duration) {
 	begun := s.now
 	var samples []float64
 	const every = 100 * time.Millisecond
@@ -77,11 +79,11 @@
 }
 
 // TestCapacityOfShares measures how far daemons that share a limit over- and
-// under-admit: with steady uneven demand, when all of it moves to another data
-// hall, and when data halls are cut off from each other.
+// under-admit: with steady uneven demand, when all of the demand moves to
+// another data hall, and when data halls are disconnected from each other.
 func TestCapacityOfShares(t *testing.T) {
 	busy := "hall-0"
-	uneven := func(l *links, id string) uint32 {
+	uneven := func(l *network, id string) uint32 {
 		switch {
 		case l.listed(id).Hall == busy:
 			return 3000
@@ -90,19 +92,19 @@
 		}
 		return 0
 	}
-	s := newShared(uneven)
-	figure("shares, steady uneven demand, admitted", s.admitted(), "of the limit")
+	s := newSharedLimitCluster(uneven)
+	printFigure("shares, steady uneven demand, admitted", s.admitted(), "of the limit")
 	busy = "hall-1"
 	most, settled := s.watch(20 * time.Second)
-	figure("shares, demand moves to another hall, admitted at most", most, "of the limit")
-	figure("shares, demand moves to another hall, settled after", settled.Seconds(), "s")
-	figure("shares, demand moves to another hall, admitted then", s.admitted(), "of the limit")
+	printFigure("shares, demand moves to another hall, admitted at most", most, "of the limit")
+	printFigure("shares, demand moves to another hall, settled after", settled.Seconds(), "s")
+	printFigure("shares, demand moves to another hall, admitted then", s.admitted(), "of the limit")
 	for i := range sharesHalls {
 		for j := range i {
-			s.cut[[2]string{hallOf(i, sharesHalls), hallOf(j, sharesHalls)}] = true
+			s.partitioned[[2]string{hallOf(i, sharesHalls), hallOf(j, sharesHalls)}] = true
 		}
 	}
 	most, _ = s.watch(20 * time.Second)
-	figure("shares, halls cut off, admitted at most", most, "of the limit")
-	figure("shares, halls cut off, admitted then", s.admitted(), "of the limit")
+	printFigure("shares, halls cut off, admitted at most", most, "of the limit")
+	printFigure("shares, halls cut off, admitted then", s.admitted(), "of the limit")
 }
--- a/daemon/peer/transport.go
+++ b/daemon/peer/transport.go
@@ -1,9 +1,9 @@
 // Package peer carries messages between daemons over QUIC with mutual TLS. The
-// certificate of a daemon names it: its id is its common name and DNS name.
+// id of a daemon is the common name and DNS name of its certificate.
 //
-// A message that fits into a datagram is sent as one and may be lost; larger
-// ones go on a stream of their own. The protocol above it (package node) needs
-// neither order nor certainty.
+// A message that fits into a datagram is sent as one and may be lost; each
+// larger message is sent on a stream of its own. The protocol above it (package
+// node) needs neither ordered nor reliable delivery.
 package peer
 
 import (
@@ -20,53 +20,54 @@
 	"ladderridge.example/core/clock"
 )
 
-// The bounds of the transport.
+// Limits of the transport.
 const (
 	// maxDatagram is the largest message sent as a datagram, in bytes.
 	maxDatagram = 1000
-	// idleTimeout ends connections that nobody uses.
+	// idleTimeout closes unused connections.
 	idleTimeout = 60 * time.Second
-	// sendTimeout bounds the sending of one message, its dial included.
+	// sendTimeout limits the sending of one message, including the dial.
 	sendTimeout = 2 * time.Second
-	// backlog is how many messages to one daemon wait for its connection.
-	backlog = 64
-	// redialAfter is the pause after a failed dial.
-	redialAfter = 500 * time.Millisecond
+	// queueLen is the number of messages that may wait for the connection to a
+	// daemon.
+	queueLen = 64
+	// redialDelay is the delay after a failed dial.
+	redialDelay = 500 * time.Millisecond
 )
 
-// Incoming is a message with the id that its sender's certificate names.
+// Incoming is a received message with the id from its sender's certificate.
 type Incoming struct {
 	From    string
 	Message Message
 }
 
-// Transport carries messages. Set the exported fields before Run.
+// Transport sends and receives messages. Set the exported fields before Run.
 type Transport struct {
 	// Addr is the UDP address to listen on.
 	Addr string
-	// Keys are what this daemon shows and checks others by.
+	// Keys authenticates this daemon and verifies others.
 	Keys Identity
-	// Deliver takes each message; it must not block for long.
+	// Deliver is called with each received message; it must not block for long.
 	Deliver func(Incoming)
 	Log     log.Logger
 
 	// Dropped counts messages that were not sent, BadMessages those that could
-	// not be read.
+	// not be decoded.
 	Dropped     atomic.Int64
 	BadMessages atomic.Int64
-	// Sent and Received count messages; the bytes are in Bytes.
+	// Sent and Received count messages; Usage has the bytes.
 	Sent     atomic.Int64
 	Received atomic.Int64
 
-	mu     sync.Mutex
-	quic   *quic.Transport
-	links  map[string]*link
-	closed traffic
-	ctx    context.Context
+	mu            sync.Mutex
+	quic          *quic.Transport
+	links         map[string]*link
+	closedTraffic traffic
+	ctx           context.Context
 }
 
-// traffic is what connections have carried: QUIC packets with their bytes,
-// without UDP and IP headers.
+// traffic counts the QUIC packets of connections and their bytes, without UDP
+// and IP headers.
 type traffic struct {
 	sentBytes       uint64
 	receivedBytes   uint64
@@ -82,7 +83,7 @@
 	}
 }
 
-// link is the way to one daemon.
+// link holds the connections to one daemon and the queue of messages to it.
 type link struct {
 	id    string
 	queue chan outgoing
@@ -90,7 +91,8 @@
 	conns []*quic.Conn
 }
 
-// outgoing is an encoded message with the address to dial if need be.
+// outgoing is an encoded message with the address to dial if there is no
+// connection.
 type outgoing struct {
 	addr string
 	data []byte
@@ -103,7 +105,8 @@
 		HandshakeIdleTimeout:  sendTimeout,
 		MaxIncomingUniStreams: 64,
 		MaxIncomingStreams:    -1,
-		// Windows stay small: a daemon has links to many others.
+		// Receive windows are small because a daemon is connected to many
+		// others.
 		InitialStreamReceiveWindow:     64 << 10,
 		InitialConnectionReceiveWindow: 96 << 10,
 		MaxStreamReceiveWindow:         1 << 20,
@@ -112,7 +115,7 @@
 	}
 }
 
-// Run carries messages until ctx ends.
+// Run listens for connections and carries messages until ctx ends.
 func (t *Transport) Run(ctx context.Context) error {
 	addr, err := net.ResolveUDPAddr("udp", t.Addr)
 	if err != nil {
@@ -123,8 +126,8 @@
 		return &Error{Op: "listen for daemons", Kind: BadAddress, Err: err}
 	}
 	defer func() { _ = conn.Close() }()
-	// A daemon that starts anew tells others at once that their connections
-	// to its earlier process have ended.
+	// The key is the same after a restart: the daemon then tells others at once
+	// that their connections to its previous process have ended.
 	reset, err := t.Keys.resetKey()
 	if err != nil {
 		return err
@@ -144,17 +147,17 @@
 		if err != nil {
 			return ctx.Err()
 		}
-		t.adopt(ctx, c)
+		t.accept(ctx, c)
 	}
 }
 
-// Send sends a message to the daemon of that id without waiting.
+// Send queues a message to the daemon with the given id and does not block.
 func (t *Transport) Send(id, addr string, m Message) {
 	t.SendAll(map[string]string{id: addr}, m)
 }
 
-// SendAll sends a message to several daemons, by id and address, without
-// waiting. It is encoded once.
+// SendAll queues a message to several daemons, given as addresses by id, and
+// does not block. The message is encoded once.
 func (t *Transport) SendAll(to map[string]string, m Message) {
 	data, err := Encode(m)
 	if err != nil {
@@ -179,7 +182,8 @@
 	}
 }
 
-// link returns the link to a daemon, started if need be; nil before Run.
+// link returns the link to a daemon and creates it if needed. It returns nil
+// before Run and after the end of its context.
 func (t *Transport) link(id string) *link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,10 +197,10 @@
 	return l
 }
 
-// newLink starts the goroutine that sends to one daemon. It ends when it has
-// had nothing to do for a while.
+// newLink starts the goroutine that sends to one daemon. The goroutine ends
+// when the link has been idle for idleTimeout and has no connection.
 func (t *Transport) newLink(id string) *link {
-	l := &link{id: id, queue: make(chan outgoing, backlog)}
+	l := &link{id: id, queue: make(chan outgoing, queueLen)}
 	t.links[id] = l
 	ctx := t.ctx
 	go func() {
@@ -208,7 +212,7 @@
 				idle.Reset(idleTimeout)
 				t.transmit(ctx, l, out)
 			case <-idle.C:
-				if t.drop(l) {
+				if t.removeIdle(l) {
 					return
 				}
 				idle.Reset(idleTimeout)
@@ -220,8 +224,9 @@
 	return l
 }
 
-// drop forgets a link that has nothing to do and no connection.
-func (t *Transport) drop(l *link) bool {
+// removeIdle removes a link that has no queued message and no connection, and
+// reports whether it did.
+func (t *Transport) removeIdle(l *link) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(l.queue) > 0 || l.conn() != nil {
@@ -232,9 +237,9 @@
 }
 
 // conn returns the newest open connection of the link, or nil. Older ones may
-// lead to an earlier process of the same daemon.
+// lead to a previous process of the same daemon.
 func (l *link) conn() *quic.Conn {
-	open := l.open()
+	open := l.openConns()
 	if len(open) == 0 {
 		return nil
 	}
@@ -249,8 +254,8 @@
 		var err error
 		if c, err = t.dial(ctx, l, out.addr); err != nil {
 			t.Dropped.Add(1)
-			t.Log.Debug().Str("peer", l.id).Err(err).Msg("peers: a dial failed")
-			clock.Wait(ctx, redialAfter)
+			t.Log.Debug().Str("peer", l.id).Err(err).Msg("peers: dial failed")
+			clock.Wait(ctx, redialDelay)
 			return
 		}
 	}
@@ -274,13 +279,13 @@
 	if err != nil {
 		return nil, err
 	}
-	t.hold(l, c)
+	t.addConn(l, c)
 	t.receive(l, c)
 	return c, nil
 }
 
-// adopt takes a connection that another daemon made.
-func (t *Transport) adopt(ctx context.Context, c *quic.Conn) {
+// accept handles a connection that another daemon opened.
+func (t *Transport) accept(ctx context.Context, c *quic.Conn) {
 	certs := c.ConnectionState().TLS.PeerCertificates
 	if ctx.Err() != nil || len(certs) == 0 {
 		_ = c.CloseWithError(0, "no certificate")
@@ -291,25 +296,25 @@
 		_ = c.CloseWithError(0, "stopping")
 		return
 	}
-	t.hold(l, c)
+	t.addConn(l, c)
 	t.receive(l, c)
 }
 
-// hold adds a connection to a link and forgets the ended ones.
-func (t *Transport) hold(l *link, c *quic.Conn) {
-	open := l.open()
+// addConn adds a connection to a link and removes closed ones.
+func (t *Transport) addConn(l *link, c *quic.Conn) {
+	open := l.openConns()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns = append(open, c)
 }
 
-// receive starts the goroutines that read from a connection until it ends.
+// receive starts the goroutines that read from a connection until it is closed.
 func (t *Transport) receive(l *link, c *quic.Conn) {
 	go func() {
 		for {
 			data, err := c.ReceiveDatagram(c.Context())
 			if err != nil {
-				t.ended(c)
+				t.connClosed(c)
 				return
 			}
 			t.deliver(l.id, data)
@@ -326,11 +331,11 @@
 	}()
 }
 
-func (t *Transport) ended(c *quic.Conn) {
+func (t *Transport) connClosed(c *quic.Conn) {
 	stats := c.ConnectionStats()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.closed = t.closed.with(stats)
+	t.closedTraffic = t.closedTraffic.with(stats)
 }
 
 func (t *Transport) readStream(from string, s *quic.ReceiveStream) {
@@ -375,8 +380,8 @@
 // headerBytes is the size of the IPv4 and UDP headers of a packet.
 const headerBytes = 28
 
-// Forget closes the connections to a daemon, whose process may no longer know
-// them. The next message to it makes a new one.
+// Forget closes the connections to a daemon whose process may have lost their
+// state. The next message to it opens a new one.
 func (t *Transport) Forget(id string) {
 	t.mu.Lock()
 	l := t.links[id]
@@ -384,12 +389,13 @@
 	if l == nil {
 		return
 	}
-	for _, c := range l.open() {
+	for _, c := range l.openConns() {
 		_ = c.CloseWithError(0, "forgotten")
 	}
 }
 
-// Usage is what the transport has used since it started.
+// Usage has the traffic since the transport started, and the present number of
+// links and connections.
 type Usage struct {
 	// SentBytes and ReceivedBytes include the UDP and IP headers.
 	SentBytes     uint64 `json:"sent_bytes"`
@@ -402,13 +408,13 @@
 	BadMessages   int64  `json:"bad_messages"`
 }
 
-// Usage adds up what all connections, open and ended, have used.
+// Usage sums the traffic of all connections, open and closed.
 func (t *Transport) Usage() Usage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sum, open := t.closed, 0
+	sum, open := t.closedTraffic, 0
 	for _, l := range t.links {
-		for _, c := range l.open() {
+		for _, c := range l.openConns() {
 			sum = sum.with(c.ConnectionStats())
 			open++
 		}
@@ -421,8 +427,8 @@
 	}
 }
 
-// open returns the link's open connections.
-func (l *link) open() []*quic.Conn {
+// openConns returns the open connections of the link.
+func (l *link) openConns() []*quic.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []*quic.Conn
--- a/daemon/peer/transport_test.go
+++ b/daemon/peer/transport_test.go
@@ -17,10 +17,10 @@
 	"ladderridge.example/daemon/peer"
 )
 
-// end is one daemon's transport.
-type end struct {
+// endpoint is the transport of one daemon.
+type endpoint struct {
 	*peer.Transport
-	got chan peer.Incoming
+	received chan peer.Incoming
 }
 
 func freeUDP(t *testing.T) string {
@@ -32,13 +32,13 @@
 	return c.LocalAddr().String()
 }
 
-func newEnd(t *testing.T, dir, id string) *end {
+func newEndpoint(t *testing.T, dir, id string) *endpoint {
 	t.Helper()
-	e := &end{got: make(chan peer.Incoming, 100)}
+	e := &endpoint{received: make(chan peer.Incoming, 100)}
 	e.Transport = &peer.Transport{
 		Addr: freeUDP(t), Log: log.Logger{Level: log.ErrorLevel},
 		Keys:    &peer.Keys{Certificate: filepath.Join(dir, id+".pem"), Key: filepath.Join(dir, id+".key"), Authority: filepath.Join(dir, keys.AuthorityFile)},
-		Deliver: func(in peer.Incoming) { e.got <- in },
+		Deliver: func(in peer.Incoming) { e.received <- in },
 	}
 	if err := e.Keys.(*peer.Keys).Load(); err != nil {
 		t.Fatal(err)
@@ -69,8 +69,9 @@
 	return dir
 }
 
-// sendUntil sends a message until it arrives: datagrams may be lost.
-func sendUntil(t *testing.T, from *end, id string, to *end, m node.Message) peer.Incoming {
+// sendUntil sends a message repeatedly until it arrives, because datagrams may
+// be lost.
+func sendUntil(t *testing.T, from *endpoint, id string, to *endpoint, m node.Message) peer.Incoming {
 	t.Helper()
 	again := clock.NewTicker(20 * time.Millisecond)
 	defer again.Stop()
@@ -78,7 +79,7 @@
 	for {
 		from.Send(id, to.Addr, m)
 		select {
-		case in := <-to.got:
+		case in := <-to.received:
 			return in
 		case <-again.C:
 		case <-end:
@@ -87,9 +88,9 @@
 	}
 }
 
-func TestMessagesNameTheirSender(t *testing.T) {
+func TestMessagesCarryTheirSender(t *testing.T) {
 	dir := authority(t, "a", "b")
-	a, b := newEnd(t, dir, "a"), newEnd(t, dir, "b")
+	a, b := newEndpoint(t, dir, "a"), newEndpoint(t, dir, "b")
 	if in := sendUntil(t, a, "b", b, node.Fetch{Topic: 1}); in.From != "a" {
 		t.Errorf("from %q", in.From)
 	}
@@ -102,27 +103,28 @@
 	}
 }
 
-// TestStrangerIsRefused lets a daemon of another authority try to send.
-func TestStrangerIsRefused(t *testing.T) {
-	a := newEnd(t, authority(t, "a"), "a")
-	stranger := newEnd(t, authority(t, "b"), "b")
+// TestCertificateOfAnotherAuthorityIsRefused has a daemon with a certificate of
+// another authority try to send.
+func TestCertificateOfAnotherAuthorityIsRefused(t *testing.T) {
+	a := newEndpoint(t, authority(t, "a"), "a")
+	stranger := newEndpoint(t, authority(t, "b"), "b")
 	for stranger.Dropped.Load() < 3 {
 		stranger.Send("a", a.Addr, node.Fetch{})
 		pause := time.NewTimer(20 * time.Millisecond)
 		select {
-		case in := <-a.got:
-			t.Fatalf("took %+v from a stranger", in)
+		case in := <-a.received:
+			t.Fatalf("accepted %+v from a daemon of another authority", in)
 		case <-pause.C:
 		}
 	}
 }
 
 // TestKeysAreReloaded replaces a daemon's keys and authority while it runs. It
-// looks at them after each file, as a connection may that comes in between: keys
-// that did not fit together were once kept for good.
+// loads them after each replaced file, as a connection that arrives in between
+// does: keys that did not match were once kept for good.
 func TestKeysAreReloaded(t *testing.T) {
 	old, fresh := authority(t, "a"), authority(t, "a", "b")
-	a := newEnd(t, old, "a")
+	a := newEndpoint(t, old, "a")
 	later := time.Now().Add(time.Hour)
 	for _, name := range []string{"a.pem", "a.key", keys.AuthorityFile} {
 		if err := a.Keys.(*peer.Keys).Load(); err != nil {
@@ -140,7 +142,7 @@
 			t.Fatal(err)
 		}
 	}
-	b := newEnd(t, fresh, "b")
+	b := newEndpoint(t, fresh, "b")
 	if in := sendUntil(t, b, "a", a, node.Fetch{}); in.From != "b" {
 		t.Errorf("from %q", in.From)
 	}
