--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -94,7 +94,7 @@
 	Busy atomic.Int64
 
 	events   chan event
-	facts    chan Fact
+	facts    chan Observation
 	stopped  chan struct{}
 	snapshot atomic.Pointer[Snapshot]
 }
@@ -103,7 +103,7 @@
 func New() *Control {
 	c := &Control{
 		events:  make(chan event, eventBacklog),
-		facts:   make(chan Fact, observationBacklog),
+		facts:   make(chan Observation, observationBacklog),
 		stopped: make(chan struct{}),
 	}
 	c.snapshot.Store(&Snapshot{View: &route.View{Table: table.New(table.Table{})}, Seen: func(aggregation.Key) aggregation.Evidence { return aggregation.Evidence{} }})
@@ -131,7 +131,7 @@
 }
 
 // Tell passes on a fact without blocking. It drops the fact if the channel is full.
-func (c *Control) Tell(f Fact) {
+func (c *Control) Tell(f Observation) {
 	select {
 	case c.facts <- f:
 	default:
@@ -322,7 +322,7 @@
 	}
 }
 
-func (l *loop) handleObservation(f Fact, now time.Time) {
+func (l *loop) handleObservation(f Observation, now time.Time) {
 	switch f := f.(type) {
 	case Answered:
 		l.servers.recordAnswer(f.Server, f.InFlight, now)
--- a/daemon/control/event.go
+++ b/daemon/control/event.go
@@ -9,8 +9,8 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// Fact is an observation made while a request is processed. Facts may be dropped.
-type Fact interface{ observation() }
+// Observation is an observation made while a request is processed. Facts may be dropped.
+type Observation interface{ observation() }
 
 // Answered is an answer of a backend server.
 type Answered struct {
