--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -88,8 +88,8 @@
 	// Incarnation is the daemon's start time in milliseconds.
 	Incarnation uint64
 
-	// DroppedFacts counts the facts dropped because their channel was full.
-	DroppedFacts atomic.Int64
+	// DroppedObservations counts the facts dropped because their channel was full.
+	DroppedObservations atomic.Int64
 	// Busy is the working time of the control goroutine in nanoseconds.
 	Busy atomic.Int64
 
@@ -135,7 +135,7 @@
 	select {
 	case c.facts <- f:
 	default:
-		c.DroppedFacts.Add(1)
+		c.DroppedObservations.Add(1)
 	}
 }
 
--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -131,7 +131,7 @@
 		Halls: l.dumpHalls(now), Shares: l.Snapshot().Shares,
 		PendingBills: l.node.Pending.Len(), CopiesHeld: l.node.Copies.Held(),
 		BillsWritten: l.node.Pending.Written, BillsFound: l.node.Pending.Found,
-		DroppedFacts: l.DroppedFacts.Load(), BusyMS: float64(l.Busy.Load()) / float64(time.Millisecond),
+		DroppedFacts: l.DroppedObservations.Load(), BusyMS: float64(l.Busy.Load()) / float64(time.Millisecond),
 		PlatformCall: l.Platform.Calls.Load(), PlatformByte: l.Platform.Bytes.Load(),
 		Guarded: map[string]string{},
 	}
