--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -84,16 +84,16 @@
 	Guarded    map[string]string `json:"guarded,omitempty"`
 	// Seen are the counts of all daemons, of answers by version and of server crashes by
 	// request content.
-	Seen         []aggregation.Evidence `json:"seen"`
-	Shares       map[string]Share       `json:"shares"`
-	PendingBills int                    `json:"pending_bills"`
-	CopiesHeld   int                    `json:"copies_held"`
-	BillsWritten int64                  `json:"bills_written"`
-	BillsFound   int64                  `json:"bills_found"`
-	DroppedFacts int64                  `json:"dropped_facts"`
-	BusyMS       float64                `json:"control_busy_ms"`
-	PlatformCall int64                  `json:"platform_calls"`
-	PlatformByte int64                  `json:"platform_bytes"`
+	Seen                []aggregation.Evidence `json:"seen"`
+	Shares              map[string]Share       `json:"shares"`
+	PendingBills        int                    `json:"pending_bills"`
+	CopiesHeld          int                    `json:"copies_held"`
+	BillsWritten        int64                  `json:"bills_written"`
+	BillsFound          int64                  `json:"bills_found"`
+	DroppedObservations int64                  `json:"dropped_facts"`
+	BusyMS              float64                `json:"control_busy_ms"`
+	PlatformCall        int64                  `json:"platform_calls"`
+	PlatformByte        int64                  `json:"platform_bytes"`
 }
 
 // Dump returns the complete control state. It publishes pending changes first, so that
@@ -131,7 +131,7 @@
 		Halls: l.dumpHalls(now), Shares: l.Snapshot().Shares,
 		PendingBills: l.node.Pending.Len(), CopiesHeld: l.node.Copies.Held(),
 		BillsWritten: l.node.Pending.Written, BillsFound: l.node.Pending.Found,
-		DroppedFacts: l.DroppedObservations.Load(), BusyMS: float64(l.Busy.Load()) / float64(time.Millisecond),
+		DroppedObservations: l.DroppedObservations.Load(), BusyMS: float64(l.Busy.Load()) / float64(time.Millisecond),
 		PlatformCall: l.Platform.Calls.Load(), PlatformByte: l.Platform.Bytes.Load(),
 		Guarded: map[string]string{},
 	}
