--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -338,7 +338,7 @@
 		if f.NotLoaded != (table.Ref{}) {
 			l.publish(now)
 		}
-	case SaysLeaving:
+	case ServerLeaving:
 		l.Log.Info().Str("server", f.Server).Msg("control: server announced that it is leaving")
 		l.feed(node.ServerLeaving{ID: f.Server}, now)
 		l.publish(now)
--- a/daemon/control/event.go
+++ b/daemon/control/event.go
@@ -39,13 +39,13 @@
 	NotLoaded table.Ref
 }
 
-// SaysLeaving is a server that announced that it accepts no new requests.
-type SaysLeaving struct{ Server string }
+// ServerLeaving is a server that announced that it accepts no new requests.
+type ServerLeaving struct{ Server string }
 
-func (Answered) observation()    {}
-func (Failed) observation()      {}
-func (Declined) observation()    {}
-func (SaysLeaving) observation() {}
+func (Answered) observation()      {}
+func (Failed) observation()        {}
+func (Declined) observation()      {}
+func (ServerLeaving) observation() {}
 
 // event is an event other than a fact that the control goroutine handles.
 type event interface{ event() }
--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -67,7 +67,7 @@
 func (j *job) handleNotice(server string, n notice.Notice) {
 	j.front.Log.Info().Str("server", server).Stringer("notice", n).Msg("server: received a notice in an answer's headers")
 	if n.Leaving {
-		j.front.Control.Tell(control.SaysLeaving{Server: server})
+		j.front.Control.Tell(control.ServerLeaving{Server: server})
 	}
 }
 
