--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -82,9 +82,9 @@
 	Crashes func() []aggregation.Evidence
 	// Published, if set, is called after each new snapshot.
 	Published func()
-	// StoodStill returns the total suspension of the VM; nil means that the VM is
+	// SuspendClock returns the total suspension of the VM; nil means that the VM is
 	// never suspended.
-	StoodStill suspend.Clock
+	SuspendClock suspend.Clock
 	// Incarnation is the daemon's start time in milliseconds.
 	Incarnation uint64
 
@@ -114,7 +114,7 @@
 // marked as unconfirmed: the clock does not advance during a suspension, so its age is wrong.
 func (c *Control) Snapshot() *Snapshot {
 	s := c.snapshot.Load()
-	if c.StoodStill.Now()-s.suspendedTotal < suspend.MinSuspension {
+	if c.SuspendClock.Now()-s.suspendedTotal < suspend.MinSuspension {
 		return s
 	}
 	out, view := *s, *s.View
@@ -217,7 +217,7 @@
 		table:          table.New(table.Table{}),
 		billWaiters:    map[string]chan bool{},
 		pollers:        newPollers(c.post),
-		suspendedTotal: c.StoodStill.Now(),
+		suspendedTotal: c.SuspendClock.Now(),
 	}
 	for _, seed := range c.Settings.Seeds {
 		l.node.Seeds = append(l.node.Seeds, member.Listed{ID: seed.ID, Addr: seed.Addr})
@@ -275,7 +275,7 @@
 // handleSuspension checks whether the VM was suspended. After a suspension the table is
 // unconfirmed until it is read again, as after a pause of the process.
 func (l *loop) handleSuspension(now time.Time) {
-	d := l.StoodStill.Now() - l.suspendedTotal
+	d := l.SuspendClock.Now() - l.suspendedTotal
 	if d < suspend.MinSuspension {
 		return
 	}
--- a/daemon/control/control_io.go
+++ b/daemon/control/control_io.go
@@ -27,7 +27,7 @@
 func (l *loop) read(o node.Read) {
 	heldData := l.node.Store.Get(o.Topic).Data
 	go func() {
-		done, suspendedBefore := node.ReadDone{Topic: o.Topic, SentAt: time.Now()}, l.StoodStill.Now()
+		done, suspendedBefore := node.ReadDone{Topic: o.Topic, SentAt: time.Now()}, l.SuspendClock.Now()
 		var err error
 		switch o.Topic {
 		case replication.Config:
@@ -44,7 +44,7 @@
 		}
 		// The data may be as old as the request. A suspension of the VM in between
 		// adds to its age.
-		done.SentAt = done.SentAt.Add(suspendedBefore - l.StoodStill.Now())
+		done.SentAt = done.SentAt.Add(suspendedBefore - l.SuspendClock.Now())
 		l.post(nodeEvent{done})
 	}()
 }
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -95,7 +95,7 @@
 	p.control.Settings, p.control.Platform, p.control.Peers = s, client, sender{p.peers}
 	p.control.Log = p.log
 	p.control.Demands = p.front.Demands
-	p.control.StoodStill = suspend.TotalSuspended
+	p.control.SuspendClock = suspend.TotalSuspended
 	p.control.Crashes = p.front.Crashes
 	p.control.Published = p.front.Wake
 	p.control.Incarnation = uint64(time.Now().UnixMilli())
