--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -80,8 +80,8 @@
 	// Crashes returns how many servers have crashed while they processed a
 	// request, by request content and sorted by key.
 	Crashes func() []aggregation.Evidence
-	// Published, if set, is called after each new snapshot.
-	Published func()
+	// OnPublish, if set, is called after each new snapshot.
+	OnPublish func()
 	// SuspendClock returns the total suspension of the VM; nil means that the VM is
 	// never suspended.
 	SuspendClock suspend.Clock
@@ -479,8 +479,8 @@
 	}
 	l.servers.fillView(v, l.node.Leaving)
 	l.snapshot.Store(&Snapshot{View: v, Shares: l.shares(now), ServersPolled: l.servers.allPolled(), BillsFull: l.node.Pending.Full(), Seen: l.pooledEvidence(now), suspendedTotal: l.suspendedTotal})
-	if l.Published != nil {
-		l.Published()
+	if l.OnPublish != nil {
+		l.OnPublish()
 	}
 }
 
