--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -46,8 +46,8 @@
 	// ServersPolled is set once each backend server of the own data hall has
 	// been polled.
 	ServersPolled bool
-	// Seen returns the counts of all daemons under a key.
-	Seen func(aggregation.Key) aggregation.Evidence
+	// Evidence returns the counts of all daemons under a key.
+	Evidence func(aggregation.Key) aggregation.Evidence
 	// BillsFull is set while the queue of unwritten bills is full, because the
 	// platform has been unavailable for too long. No new requests are accepted
 	// meanwhile.
@@ -106,7 +106,7 @@
 		facts:   make(chan Observation, observationBacklog),
 		stopped: make(chan struct{}),
 	}
-	c.snapshot.Store(&Snapshot{View: &route.View{Table: table.New(table.Table{})}, Seen: func(aggregation.Key) aggregation.Evidence { return aggregation.Evidence{} }})
+	c.snapshot.Store(&Snapshot{View: &route.View{Table: table.New(table.Table{})}, Evidence: func(aggregation.Key) aggregation.Evidence { return aggregation.Evidence{} }})
 	return c
 }
 
@@ -478,7 +478,7 @@
 		BadFor:      l.guard.badFor,
 	}
 	l.servers.fillView(v, l.node.Leaving)
-	l.snapshot.Store(&Snapshot{View: v, Shares: l.shares(now), ServersPolled: l.servers.allPolled(), BillsFull: l.node.Pending.Full(), Seen: l.pooledEvidence(now), suspendedTotal: l.suspendedTotal})
+	l.snapshot.Store(&Snapshot{View: v, Shares: l.shares(now), ServersPolled: l.servers.allPolled(), BillsFull: l.node.Pending.Full(), Evidence: l.pooledEvidence(now), suspendedTotal: l.suspendedTotal})
 	if l.OnPublish != nil {
 		l.OnPublish()
 	}
--- a/daemon/front/quarantine.go
+++ b/daemon/front/quarantine.go
@@ -60,7 +60,7 @@
 	end, quarantined := j.front.quarantineState.registry.Quarantined(j.fingerprint, now)
 	left := end.Sub(now)
 	if !quarantined {
-		if j.front.Control.Snapshot().Seen(crashKey(j.fingerprint)).Bad < quarantine.CrashThreshold {
+		if j.front.Control.Snapshot().Evidence(crashKey(j.fingerprint)).Bad < quarantine.CrashThreshold {
 			return nil
 		}
 		left = quarantine.Duration
