--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -82,9 +82,9 @@
 	Halls      []HallDump        `json:"halls"`
 	Servers    []ServerDump      `json:"servers"`
 	Guarded    map[string]string `json:"guarded,omitempty"`
-	// Seen are the counts of all daemons, of answers by version and of server crashes by
+	// Evidence are the counts of all daemons, of answers by version and of server crashes by
 	// request content.
-	Seen                []aggregation.Evidence `json:"seen"`
+	Evidence            []aggregation.Evidence `json:"seen"`
 	Shares              map[string]Share       `json:"shares"`
 	PendingBills        int                    `json:"pending_bills"`
 	CopiesHeld          int                    `json:"copies_held"`
@@ -136,7 +136,7 @@
 		Guarded: map[string]string{},
 	}
 	totals, _ := l.node.Tree.Totals(now)
-	d.Seen = totals.AllEvidence
+	d.Evidence = totals.AllEvidence
 	for topic := range replication.TopicCount {
 		doc := l.node.Store.Get(topic)
 		age := now.Sub(l.node.Store.ConfirmedAt(topic)).Milliseconds()
--- a/daemon/scenario/deadly_test.go
+++ b/daemon/scenario/deadly_test.go
@@ -34,7 +34,7 @@
 		if err != nil {
 			return false
 		}
-		for _, e := range d.Control.Seen {
+		for _, e := range d.Control.Evidence {
 			if e.Bad >= 3 && e.Answers == e.Bad {
 				return true
 			}
