--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -110,8 +110,8 @@
 	return d, err
 }
 
-// Pending returns how many bills the platform has not acknowledged.
-func (c *Control) Pending() (int, error) {
+// PendingBills returns how many bills the platform has not acknowledged.
+func (c *Control) PendingBills() (int, error) {
 	n := 0
 	err := c.runOnLoop(func(l *loop) { n = l.node.Pending.Len() })
 	return n, err
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -192,7 +192,7 @@
 			return
 		}
 	}
-	n, _ := p.control.Pending()
+	n, _ := p.control.PendingBills()
 	p.log.Error().Int("bills", n).Msg("process: stopping with bills neither written nor handed over")
 }
 
@@ -200,7 +200,7 @@
 // whether none is pending. It also returns true if the control loop has stopped.
 func (p *Process) waitForBills(timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(pendingCheckInterval) {
-		n, err := p.control.Pending()
+		n, err := p.control.PendingBills()
 		if err != nil || n == 0 {
 			return true
 		}
