--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -92,7 +92,7 @@
 	BillsFound          int64                  `json:"bills_found"`
 	DroppedObservations int64                  `json:"dropped_facts"`
 	BusyMS              float64                `json:"control_busy_ms"`
-	PlatformCall        int64                  `json:"platform_calls"`
+	PlatformCalls       int64                  `json:"platform_calls"`
 	PlatformByte        int64                  `json:"platform_bytes"`
 }
 
@@ -132,7 +132,7 @@
 		PendingBills: l.node.Pending.Len(), CopiesHeld: l.node.Copies.Held(),
 		BillsWritten: l.node.Pending.Written, BillsFound: l.node.Pending.Found,
 		DroppedObservations: l.DroppedObservations.Load(), BusyMS: float64(l.Busy.Load()) / float64(time.Millisecond),
-		PlatformCall: l.Platform.Calls.Load(), PlatformByte: l.Platform.Bytes.Load(),
+		PlatformCalls: l.Platform.Calls.Load(), PlatformByte: l.Platform.Bytes.Load(),
 		Guarded: map[string]string{},
 	}
 	totals, _ := l.node.Tree.Totals(now)
