--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -93,7 +93,7 @@
 	DroppedObservations int64                  `json:"dropped_facts"`
 	BusyMS              float64                `json:"control_busy_ms"`
 	PlatformCalls       int64                  `json:"platform_calls"`
-	PlatformByte        int64                  `json:"platform_bytes"`
+	PlatformBytes       int64                  `json:"platform_bytes"`
 }
 
 // Dump returns the complete control state. It publishes pending changes first, so that
@@ -132,7 +132,7 @@
 		PendingBills: l.node.Pending.Len(), CopiesHeld: l.node.Copies.Held(),
 		BillsWritten: l.node.Pending.Written, BillsFound: l.node.Pending.Found,
 		DroppedObservations: l.DroppedObservations.Load(), BusyMS: float64(l.Busy.Load()) / float64(time.Millisecond),
-		PlatformCalls: l.Platform.Calls.Load(), PlatformByte: l.Platform.Bytes.Load(),
+		PlatformCalls: l.Platform.Calls.Load(), PlatformBytes: l.Platform.Bytes.Load(),
 		Guarded: map[string]string{},
 	}
 	totals, _ := l.node.Tree.Totals(now)
--- a/daemon/scenario/capacity_measure_test.go
+++ b/daemon/scenario/capacity_measure_test.go
@@ -67,7 +67,7 @@
 	}
 	return sample{
 		cpu: c.daemons[id].cpu(c.t), peers: float64(dump.Peers.SentBytes + dump.Peers.ReceivedBytes),
-		platform: float64(dump.Control.PlatformByte), calls: float64(dump.Control.PlatformCalls),
+		platform: float64(dump.Control.PlatformBytes), calls: float64(dump.Control.PlatformCalls),
 	}
 }
 
