--- a/daemon/cmd/ladderridge/cmd_halls.go
+++ b/daemon/cmd/ladderridge/cmd_halls.go
@@ -24,7 +24,7 @@
 			return err
 		}
 		for _, h := range halls {
-			fmt.Println(showHall(h, h.Oldest))
+			fmt.Println(showHall(h, h.OldestGeneration))
 		}
 		return nil
 	}
@@ -33,7 +33,7 @@
 
 // inForce reports whether every daemon of a hall has a generation in force.
 func inForce(h control.HallDump, number uint64) bool {
-	return !h.Stale && h.Members > 0 && h.Complete && h.Oldest >= number
+	return !h.Stale && h.Members > 0 && h.Complete && h.OldestGeneration >= number
 }
 
 func showHall(h control.HallDump, number uint64) string {
@@ -43,11 +43,11 @@
 	case h.Stale:
 		return fmt.Sprintf("  %-16s unconfirmed: the data hall is silent", h.Name)
 	case inForce(h, number) && h.Down > 0:
-		return fmt.Sprintf("  %-16s in force on %d daemons (generation %d); %d listed ones do not answer and get it before they serve", h.Name, h.Members, h.Oldest, h.Down)
+		return fmt.Sprintf("  %-16s in force on %d daemons (generation %d); %d listed ones do not answer and get it before they serve", h.Name, h.Members, h.OldestGeneration, h.Down)
 	case inForce(h, number):
-		return fmt.Sprintf("  %-16s in force on all %d daemons (generation %d)", h.Name, h.Members, h.Oldest)
+		return fmt.Sprintf("  %-16s in force on all %d daemons (generation %d)", h.Name, h.Members, h.OldestGeneration)
 	default:
-		return fmt.Sprintf("  %-16s unconfirmed: %d of %d daemons report, the oldest has generation %d", h.Name, h.Daemons, h.Members, h.Oldest)
+		return fmt.Sprintf("  %-16s unconfirmed: %d of %d daemons report, the oldest has generation %d", h.Name, h.Daemons, h.Members, h.OldestGeneration)
 	}
 }
 
--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -48,10 +48,10 @@
 	Down    uint32 `json:"down"`
 	Daemons uint32 `json:"daemons"`
 	// Complete is set if exactly the members have reported, each once.
-	Complete bool   `json:"complete"`
-	Oldest   uint64 `json:"oldest_generation"`
-	AgeMS    uint64 `json:"age_ms"`
-	Stale    bool   `json:"stale"`
+	Complete         bool   `json:"complete"`
+	OldestGeneration uint64 `json:"oldest_generation"`
+	AgeMS            uint64 `json:"age_ms"`
+	Stale            bool   `json:"stale"`
 	// Servers is the state of the hall's servers. Only a gateway sets it, not a daemon
 	// that serves from a table.
 	Servers *HallServers `json:"servers,omitempty"`
@@ -180,7 +180,7 @@
 		seen[h.Name] = true
 		out = append(out, HallDump{
 			Name: h.Name, Members: h.Members, Down: h.Down, Daemons: h.Daemons, Complete: h.Complete,
-			Oldest: h.OldestGeneration, AgeMS: h.AgeMS, Stale: h.Stale(),
+			OldestGeneration: h.OldestGeneration, AgeMS: h.AgeMS, Stale: h.Stale(),
 		})
 	}
 	for _, name := range append(l.otherHalls(), l.Settings.Hall) {
