--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -20,16 +20,16 @@
 
 // ServerDump is the state of a backend server as this daemon knows it.
 type ServerDump struct {
-	ID       string   `json:"id"`
-	Hall     string   `json:"hall"`
-	Role     string   `json:"role"`
-	Leaving  bool     `json:"leaving"`
-	Loaded   []string `json:"loaded,omitempty"`
-	InFlight int64    `json:"in_flight"`
-	Reported int      `json:"reported"`
-	Failures int      `json:"failures,omitempty"`
-	Ejected  bool     `json:"ejected,omitempty"`
-	HeardMS  int64    `json:"heard_ms_ago"`
+	ID             string   `json:"id"`
+	Hall           string   `json:"hall"`
+	Role           string   `json:"role"`
+	Leaving        bool     `json:"leaving"`
+	Loaded         []string `json:"loaded,omitempty"`
+	InFlight       int64    `json:"in_flight"`
+	Reported       int      `json:"reported"`
+	Failures       int      `json:"failures,omitempty"`
+	Ejected        bool     `json:"ejected,omitempty"`
+	LastResponseMS int64    `json:"heard_ms_ago"`
 }
 
 // DocumentDump describes a replicated document that the daemon holds.
@@ -162,7 +162,7 @@
 	d := ServerDump{
 		ID: b.vm.ID, Hall: b.vm.Hall, Role: string(b.vm.Role), Leaving: b.leaving(announced),
 		InFlight: b.state.InFlight.Load(), Reported: b.reportedLoad, Failures: b.failures,
-		Ejected: now.Before(b.ejectedUntil), HeardMS: now.Sub(b.lastResponse).Milliseconds(),
+		Ejected: now.Before(b.ejectedUntil), LastResponseMS: now.Sub(b.lastResponse).Milliseconds(),
 	}
 	for _, ref := range b.loaded {
 		d.Loaded = append(d.Loaded, ref.String())
