--- a/daemon/cmd/ladderridge/cmd_halls.go
+++ b/daemon/cmd/ladderridge/cmd_halls.go
@@ -53,7 +53,7 @@
 
 // showServers says what a gateway knows of a data hall's servers.
 func showServers(name string, s control.HallServers) string {
-	if s.Emptied {
+	if s.Drained {
 		since := time.Duration(s.EmptiedMS) * time.Millisecond
 		return fmt.Sprintf("  %-16s emptied for %v: its %d servers get nothing; %d requests of this daemon are still under way there", name, since.Round(100*time.Millisecond), s.Servers, s.InFlight)
 	}
--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -65,9 +65,9 @@
 	Cold int `json:"cold"`
 	// InFlight is the number of requests of this daemon that the hall's servers process.
 	InFlight int `json:"in_flight"`
-	// Emptied is set if the hall is drained, so that its servers get no requests.
+	// Drained is set if the hall is drained, so that its servers get no requests.
 	// EmptiedMS is how long the daemon has known of it.
-	Emptied   bool  `json:"emptied"`
+	Drained   bool  `json:"emptied"`
 	EmptiedMS int64 `json:"emptied_ms"`
 }
 
