--- a/daemon/cmd/ladderridge/cmd_halls.go
+++ b/daemon/cmd/ladderridge/cmd_halls.go
@@ -54,7 +54,7 @@
 // showServers says what a gateway knows of a data hall's servers.
 func showServers(name string, s control.HallServers) string {
 	if s.Drained {
-		since := time.Duration(s.EmptiedMS) * time.Millisecond
+		since := time.Duration(s.DrainedMS) * time.Millisecond
 		return fmt.Sprintf("  %-16s emptied for %v: its %d servers get nothing; %d requests of this daemon are still under way there", name, since.Round(100*time.Millisecond), s.Servers, s.InFlight)
 	}
 	return fmt.Sprintf("  %-16s in use: %d servers, %d of them cold; %d requests of this daemon are under way there", name, s.Servers, s.Cold, s.InFlight)
--- a/daemon/control/dump.go
+++ b/daemon/control/dump.go
@@ -68,7 +68,7 @@
 	// Drained is set if the hall is drained, so that its servers get no requests.
 	// EmptiedMS is how long the daemon has known of it.
 	Drained   bool  `json:"emptied"`
-	EmptiedMS int64 `json:"emptied_ms"`
+	DrainedMS int64 `json:"emptied_ms"`
 }
 
 // Dump is the complete control state of a daemon.
--- a/daemon/gateway/halls.go
+++ b/daemon/gateway/halls.go
@@ -17,7 +17,7 @@
 	now := time.Now()
 	halls := map[string]*control.HallServers{}
 	for hall, since := range v.Drained {
-		halls[hall] = &control.HallServers{Drained: true, EmptiedMS: now.Sub(since).Milliseconds()}
+		halls[hall] = &control.HallServers{Drained: true, DrainedMS: now.Sub(since).Milliseconds()}
 	}
 	for _, s := range v.Servers.All() {
 		h := halls[s.Hall]
