--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -226,7 +226,7 @@
 	Open               int64 `json:"open"`
 	Waiting            int   `json:"waiting"`
 	BillsNotReplicated int64 `json:"answers_before_bill_was_safe"`
-	Crossed            int64 `json:"crossed_answers"`
+	CrossedAnswers     int64 `json:"crossed_answers"`
 }
 
 // Dump returns the state of the daemon.
@@ -239,7 +239,7 @@
 		Control: c, Peers: p.peers.Usage(), Settling: p.claims.Settling(),
 		Front: FrontDump{
 			Requests: p.front.Requests.Load(), Answered: p.front.Answered.Load(), Refused: p.front.Refused.Load(),
-			Open: p.front.Open.Load(), Waiting: p.front.Waiting(), BillsNotReplicated: p.front.Unsafe.Load(), Crossed: p.backend.CrossedAnswers.Load(),
+			Open: p.front.Open.Load(), Waiting: p.front.Waiting(), BillsNotReplicated: p.front.Unsafe.Load(), CrossedAnswers: p.backend.CrossedAnswers.Load(),
 		},
 	}, nil
 }
--- a/daemon/scenario/scenario_test.go
+++ b/daemon/scenario/scenario_test.go
@@ -248,7 +248,7 @@
 		}
 	}
 	d, err := c.dump("entry-0")
-	if err != nil || d.Front.Crossed == 0 {
+	if err != nil || d.Front.CrossedAnswers == 0 {
 		t.Errorf("no crossed answer was counted: %v", err)
 	}
 }
