--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -212,10 +212,10 @@
 
 // Dump is the state of the daemon.
 type Dump struct {
-	Control  control.Dump `json:"control"`
-	Peers    peer.Usage   `json:"peers"`
-	Front    FrontDump    `json:"front"`
-	Settling int64        `json:"claims_settling"`
+	Control        control.Dump `json:"control"`
+	Peers          peer.Usage   `json:"peers"`
+	Front          FrontDump    `json:"front"`
+	SettlingClaims int64        `json:"claims_settling"`
 }
 
 // FrontDump contains the counters of the front end.
@@ -236,7 +236,7 @@
 		return nil, err
 	}
 	return Dump{
-		Control: c, Peers: p.peers.Usage(), Settling: p.claims.Settling(),
+		Control: c, Peers: p.peers.Usage(), SettlingClaims: p.claims.Settling(),
 		Front: FrontDump{
 			Requests: p.front.Requests.Load(), Answered: p.front.Answered.Load(), Refused: p.front.Refused.Load(),
 			Open: p.front.Open.Load(), Waiting: p.front.Waiting(), BillsNotReplicated: p.front.Unsafe.Load(), CrossedAnswers: p.backend.CrossedAnswers.Load(),
--- a/daemon/scenario/bench_measure_test.go
+++ b/daemon/scenario/bench_measure_test.go
@@ -155,7 +155,7 @@
 		}
 		c.await("all are billed and settled", func() bool {
 			d, err := c.dump("entry-0")
-			return err == nil && d.Settling == 0 && c.bills() == billed+requests
+			return err == nil && d.SettlingClaims == 0 && c.bills() == billed+requests
 		})
 		calls2, ops2 := c.tableCalls()
 		figure("platform transactions, "+k.name, 1000*(calls2-calls)/requests, "transactions per 1000 requests")
