--- a/daemon/scenario/bench_measure_test.go
+++ b/daemon/scenario/bench_measure_test.go
@@ -109,7 +109,7 @@
 	go func() { done <- p.Run(ctx) }()
 	c.await("the streams are open", func() bool {
 		d, err := c.dump("entry-0")
-		return err == nil && d.Front.Open == streams
+		return err == nil && d.Front.InFlight == streams
 	})
 	figure("memory per open stream", 1024*(c.daemons["entry-0"].memory(t)-before)/streams, "KB")
 	e.SetFault(standin.EngineFault{})
@@ -178,7 +178,7 @@
 	}
 	c.await("the streams are open", func() bool {
 		d, err := c.dump("entry-0")
-		return err == nil && d.Front.Open == streams
+		return err == nil && d.Front.InFlight == streams
 	})
 	begun := time.Now()
 	c.signal("entry-0", syscall.SIGTERM)
--- a/daemon/scenario/scenario_test.go
+++ b/daemon/scenario/scenario_test.go
@@ -125,7 +125,7 @@
 	}
 	c.await("the streams are open", func() bool {
 		d, err := c.dump("entry-0")
-		return err == nil && d.Front.Open == streams
+		return err == nil && d.Front.InFlight == streams
 	})
 	c.platform.SetFault(platform.Fault{Service: "table", CutHalls: []string{c.daemons["entry-0"].hall}})
 	c.signal("entry-0", syscall.SIGTERM)
