--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -224,7 +224,7 @@
 	Answered           int64 `json:"answered"`
 	Refused            int64 `json:"refused"`
 	InFlight           int64 `json:"open"`
-	Waiting            int   `json:"waiting"`
+	Queued             int   `json:"waiting"`
 	BillsNotReplicated int64 `json:"answers_before_bill_was_safe"`
 	CrossedAnswers     int64 `json:"crossed_answers"`
 }
@@ -239,7 +239,7 @@
 		Control: c, Peers: p.peers.Usage(), SettlingClaims: p.claims.Settling(),
 		Front: FrontDump{
 			Requests: p.front.Requests.Load(), Answered: p.front.Answered.Load(), Refused: p.front.Refused.Load(),
-			InFlight: p.front.Open.Load(), Waiting: p.front.Waiting(), BillsNotReplicated: p.front.Unsafe.Load(), CrossedAnswers: p.backend.CrossedAnswers.Load(),
+			InFlight: p.front.Open.Load(), Queued: p.front.Waiting(), BillsNotReplicated: p.front.Unsafe.Load(), CrossedAnswers: p.backend.CrossedAnswers.Load(),
 		},
 	}, nil
 }
--- a/daemon/scenario/policy_test.go
+++ b/daemon/scenario/policy_test.go
@@ -199,7 +199,7 @@
 	}
 	c.await("two run and ten wait", func() bool {
 		d, err := c.dump("entry-0")
-		return err == nil && d.Front.Waiting == 10
+		return err == nil && d.Front.Queued == 10
 	})
 	a := c.chat("entry-0", v1.String(), header{wire.HeaderDeadline, "1000"})
 	if a.status != http.StatusServiceUnavailable || a.code() != "overloaded" || a.run() != "not_run" || a.header.Get("Retry-After") == "" {
