--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -130,8 +130,8 @@
 	return s.View.Generation.Number > 0 && s.ServersPolled
 }
 
-// Tell passes on a fact without blocking. It drops the fact if the channel is full.
-func (c *Control) Tell(f Observation) {
+// Observe passes on a fact without blocking. It drops the fact if the channel is full.
+func (c *Control) Observe(f Observation) {
 	select {
 	case c.facts <- f:
 	default:
--- a/daemon/front/call.go
+++ b/daemon/front/call.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.front.Control.Tell(control.Answered{Server: c.server.ID, InFlight: reply.InFlight})
+	c.front.Control.Observe(control.Answered{Server: c.server.ID, InFlight: reply.InFlight})
 	c.answer(reply, data)
 	return nil, nil
 }
--- a/daemon/front/chat.go
+++ b/daemon/front/chat.go
@@ -140,7 +140,7 @@
 
 // reportAnswer reports to the control state how a version answered.
 func (c *chatJob) reportAnswer(reply *backend.Reply, bad bool) {
-	c.front.Control.Tell(control.Answered{Server: c.sent.Server.ID, Ref: c.sent.Ref, Bad: bad, InFlight: reply.InFlight})
+	c.front.Control.Observe(control.Answered{Server: c.sent.Server.ID, Ref: c.sent.Ref, Bad: bad, InFlight: reply.InFlight})
 }
 
 // forwardRefusal refuses a request that the engine rejected as invalid, with the
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -35,7 +35,7 @@
 // Controller is the part of the control state that the front end uses.
 type Controller interface {
 	Snapshot() *control.Snapshot
-	Tell(f control.Observation)
+	Observe(f control.Observation)
 	Bill(b bill.Bill) <-chan bool
 	BillAgain(key string)
 }
--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -67,7 +67,7 @@
 func (j *job) handleNotice(server string, n notice.Notice) {
 	j.front.Log.Info().Str("server", server).Stringer("notice", n).Msg("server: received a notice in an answer's headers")
 	if n.Leaving {
-		j.front.Control.Tell(control.ServerLeaving{Server: server})
+		j.front.Control.Observe(control.ServerLeaving{Server: server})
 	}
 }
 
@@ -77,13 +77,13 @@
 	switch {
 	case fault.Is(err, backend.Gated):
 	case backend.NotLoaded(err):
-		j.front.Control.Tell(control.Declined{Server: server, NotLoaded: ref})
+		j.front.Control.Observe(control.Declined{Server: server, NotLoaded: ref})
 	case backend.Full(err):
-		j.front.Control.Tell(control.Declined{Server: server})
+		j.front.Control.Observe(control.Declined{Server: server})
 	case fault.Is(err, backend.Declined):
 		// The notice in its answer has been handled already.
 	case j.ctx.Err() == nil:
-		j.front.Control.Tell(control.Failed{Server: server})
+		j.front.Control.Observe(control.Failed{Server: server})
 	}
 }
 
--- a/daemon/front/stream.go
+++ b/daemon/front/stream.go
@@ -62,7 +62,7 @@
 // the server, unless the caller or the deadline ended the request.
 func (c *chatJob) reportInterrupted() {
 	if c.ctx.Err() == nil {
-		c.front.Control.Tell(control.Failed{Server: c.sent.Server.ID, Ref: c.sent.Ref})
+		c.front.Control.Observe(control.Failed{Server: c.sent.Server.ID, Ref: c.sent.Ref})
 		c.front.probe(instanceOf(c.sent.Server))
 	}
 }
