--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -152,9 +152,9 @@
 	return durable
 }
 
-// BillAgain requests a copy of a bill from a second daemon, after the first one
+// BillCopyTimedOut requests a copy of a bill from a second daemon, after the first one
 // has not answered.
-func (c *Control) BillAgain(key string) { c.post(nodeEvent{node.BillCopyTimedOut{Key: key}}) }
+func (c *Control) BillCopyTimedOut(key string) { c.post(nodeEvent{node.BillCopyTimedOut{Key: key}}) }
 
 func (c *Control) post(e event) {
 	select {
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -37,7 +37,7 @@
 	Snapshot() *control.Snapshot
 	Observe(f control.Observation)
 	Bill(b bill.Bill) <-chan bool
-	BillAgain(key string)
+	BillCopyTimedOut(key string)
 }
 
 // Front serves callers. Get one from New, set the exported fields, then Run.
@@ -373,7 +373,7 @@
 			if retried {
 				return false
 			}
-			f.Control.BillAgain(b.Key)
+			f.Control.BillCopyTimedOut(b.Key)
 			timer.Reset(billAckTimeout)
 		}
 	}
