--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -88,23 +88,23 @@
 	// Incarnation is the daemon's start time in milliseconds.
 	Incarnation uint64
 
-	// DroppedObservations counts the facts dropped because their channel was full.
+	// DroppedObservations counts the observations dropped because their channel was full.
 	DroppedObservations atomic.Int64
 	// Busy is the working time of the control goroutine in nanoseconds.
 	Busy atomic.Int64
 
-	events   chan event
-	facts    chan Observation
-	stopped  chan struct{}
-	snapshot atomic.Pointer[Snapshot]
+	events       chan event
+	observations chan Observation
+	stopped      chan struct{}
+	snapshot     atomic.Pointer[Snapshot]
 }
 
 // New returns a control that accepts events. They are handled once it runs.
 func New() *Control {
 	c := &Control{
-		events:  make(chan event, eventBacklog),
-		facts:   make(chan Observation, observationBacklog),
-		stopped: make(chan struct{}),
+		events:       make(chan event, eventBacklog),
+		observations: make(chan Observation, observationBacklog),
+		stopped:      make(chan struct{}),
 	}
 	c.snapshot.Store(&Snapshot{View: &route.View{Table: table.New(table.Table{})}, Evidence: func(aggregation.Key) aggregation.Evidence { return aggregation.Evidence{} }})
 	return c
@@ -130,10 +130,11 @@
 	return s.View.Generation.Number > 0 && s.ServersPolled
 }
 
-// Observe passes on a fact without blocking. It drops the fact if the channel is full.
-func (c *Control) Observe(f Observation) {
+// Observe passes on an observation without blocking. It drops the observation if the
+// channel is full.
+func (c *Control) Observe(o Observation) {
 	select {
-	case c.facts <- f:
+	case c.observations <- o:
 	default:
 		c.DroppedObservations.Add(1)
 	}
@@ -152,8 +153,8 @@
 	return durable
 }
 
-// BillCopyTimedOut requests a copy of a bill from a second daemon, after the first one
-// has not answered.
+// BillCopyTimedOut requests another copy of a bill from a second daemon, because the
+// first one has not acknowledged the bill in time.
 func (c *Control) BillCopyTimedOut(key string) { c.post(nodeEvent{node.BillCopyTimedOut{Key: key}}) }
 
 func (c *Control) post(e event) {
@@ -245,9 +246,9 @@
 			started = time.Now()
 			l.handleSuspension(started)
 			l.handle(e, started)
-		case f := <-l.facts:
+		case o := <-l.observations:
 			started = time.Now()
-			l.handleObservation(f, started)
+			l.handleObservation(o, started)
 		case <-tick.C:
 			started = time.Now()
 			l.handleSuspension(started)
@@ -322,25 +323,25 @@
 	}
 }
 
-func (l *loop) handleObservation(f Observation, now time.Time) {
-	switch f := f.(type) {
+func (l *loop) handleObservation(o Observation, now time.Time) {
+	switch o := o.(type) {
 	case Answered:
-		l.servers.recordAnswer(f.Server, f.InFlight, now)
+		l.servers.recordAnswer(o.Server, o.InFlight, now)
 		l.dirty = true
-		l.recordAnswer(f.Ref, f.Bad, now)
+		l.recordAnswer(o.Ref, o.Bad, now)
 	case Failed:
-		l.servers.recordFailure(f.Server, now)
+		l.servers.recordFailure(o.Server, now)
 		l.dirty = true
-		l.recordAnswer(f.Ref, true, now)
+		l.recordAnswer(o.Ref, true, now)
 	case Declined:
-		l.servers.recordDecline(f.Server, f.NotLoaded, now)
+		l.servers.recordDecline(o.Server, o.NotLoaded, now)
 		l.dirty = true
-		if f.NotLoaded != (table.Ref{}) {
+		if o.NotLoaded != (table.Ref{}) {
 			l.publish(now)
 		}
 	case ServerLeaving:
-		l.Log.Info().Str("server", f.Server).Msg("control: server announced that it is leaving")
-		l.feed(node.ServerLeaving{ID: f.Server}, now)
+		l.Log.Info().Str("server", o.Server).Msg("control: server announced that it is leaving")
+		l.feed(node.ServerLeaving{ID: o.Server}, now)
 		l.publish(now)
 	}
 }
--- a/daemon/control/event.go
+++ b/daemon/control/event.go
@@ -9,7 +9,8 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// Observation is an observation made while a request is processed. Facts may be dropped.
+// Observation is what a request shows about a backend server or a version. Observations may
+// be dropped.
 type Observation interface{ observation() }
 
 // Answered is an answer of a backend server.
@@ -47,7 +48,7 @@
 func (Declined) observation()      {}
 func (ServerLeaving) observation() {}
 
-// event is an event other than a fact that the control goroutine handles.
+// event is what the control goroutine handles besides observations.
 type event interface{ event() }
 
 // nodeEvent is passed to the node unchanged.
