--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -50,7 +50,8 @@
 // Time-outs and intervals of a planned stop.
 const (
 	// flushTimeout is how long a stopping daemon waits for the platform to
-	// acknowledge its claims and bills before it hands the bills over.
+	// acknowledge its claims, and after that its bills, before it hands the bills
+	// over.
 	flushTimeout = 3 * time.Second
 	// handOverTimeout is how long it then waits for another daemon to accept them.
 	handOverTimeout       = 5 * time.Second
