--- a/daemon/admin/admin.go
+++ b/daemon/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin serves operators, on an address apart from the callers':
-// health, metrics, dumps and the explanation of decisions.
+// Package admin is the HTTP interface for operators, on an address separate from
+// the callers': health, metrics, state dumps, records, traces and the explanation
+// of routing decisions.
 package admin
 
 import (
@@ -20,7 +21,7 @@
 	"ladderridge.example/daemon/record"
 )
 
-// Paths of the operators' interface.
+// Paths of the interface for operators.
 const (
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
@@ -32,28 +33,28 @@
 	PathTrace   = "/trace"
 )
 
-// headerTimeout bounds how long a request's head may take.
+// headerTimeout bounds the time to read a request's headers.
 const headerTimeout = 10 * time.Second
 
-// Admin serves operators. Set the exported fields before Run.
+// Admin serves the interface for operators. Set the exported fields before Run.
 type Admin struct {
 	Addr string
-	// Listener takes operators' connections; nil listens at Addr.
+	// Listener accepts operators' connections; if nil, Run listens at Addr.
 	Listener net.Listener
 	Control  *control.Control
 	Records  *record.Log
 	Tracer   *record.Tracer
 	Registry *prometheus.Registry
-	// Dump returns the whole state of the process, to be written as JSON.
+	// Dump returns the state of the process, to be written as JSON.
 	Dump func() (any, error)
 
 	stopping atomic.Bool
 }
 
-// Stopping makes the daemon say that it is not ready.
+// Stopping makes the readiness check fail, because the daemon is shutting down.
 func (a *Admin) Stopping() { a.stopping.Store(true) }
 
-// Run serves operators until ctx ends.
+// Run serves the interface for operators until ctx ends.
 func (a *Admin) Run(ctx context.Context) error {
 	l := a.Listener
 	a.Listener = nil
@@ -74,7 +75,7 @@
 	return ctx.Err()
 }
 
-// Handler serves the operators' interface.
+// Handler returns the HTTP handler of the interface for operators.
 func (a *Admin) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathHealth, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
@@ -103,12 +104,12 @@
 
 func (a *Admin) dump(w http.ResponseWriter, _ *http.Request) {
 	d, err := a.Dump()
-	reply(w, d, err)
+	writeJSON(w, d, err)
 }
 
 func (a *Admin) halls(w http.ResponseWriter, _ *http.Request) {
 	halls, err := a.Control.Halls()
-	reply(w, halls, err)
+	writeJSON(w, halls, err)
 }
 
 func (a *Admin) explain(w http.ResponseWriter, r *http.Request) {
@@ -117,10 +118,10 @@
 		http.Error(w, "this daemon no longer knows the request", http.StatusNotFound)
 		return
 	}
-	reply(w, rec, nil)
+	writeJSON(w, rec, nil)
 }
 
-func reply(w http.ResponseWriter, v any, err error) {
+func writeJSON(w http.ResponseWriter, v any, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -131,26 +132,27 @@
 	_ = e.Encode(v)
 }
 
-// watch streams records, one JSON object a line, filtered by organisation,
+// watch streams the records of requests as JSON lines, filtered by organisation,
 // version and outcome.
 func (a *Admin) watch(w http.ResponseWriter, r *http.Request) {
-	records, end := a.Records.Watch()
-	defer end()
+	records, stop := a.Records.Watch()
+	defer stop()
 	q := r.URL.Query()
 	stream(w, r, records, func(rec record.Record) bool {
 		return matches(q.Get("organisation"), rec.Organisation) && matches(q.Get("version"), rec.Version) && matches(q.Get("run"), rec.Run)
 	})
 }
 
-// trace streams decisions with the views that they are made by.
+// trace streams routing decisions as JSON lines, with the views that they were made
+// from.
 func (a *Admin) trace(w http.ResponseWriter, r *http.Request) {
-	lines, end := a.Tracer.Listen()
-	defer end()
+	lines, stop := a.Tracer.Listen()
+	defer stop()
 	stream(w, r, lines, func(trace.Line) bool { return true })
 }
 
-// stream sends what comes, one JSON object a line, until the caller goes away.
-func stream[T any](w http.ResponseWriter, r *http.Request, items <-chan T, wanted func(T) bool) {
+// stream writes matching items as JSON lines until the client disconnects.
+func stream[T any](w http.ResponseWriter, r *http.Request, items <-chan T, match func(T) bool) {
 	flush := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
@@ -161,7 +163,7 @@
 		case <-r.Context().Done():
 			return
 		case item := <-items:
-			if !wanted(item) {
+			if !match(item) {
 				continue
 			}
 			if e.Encode(item) != nil {
@@ -172,4 +174,4 @@
 	}
 }
 
-func matches(want, have string) bool { return want == "" || want == have }
+func matches(filter, value string) bool { return filter == "" || filter == value }
