--- a/daemon/keys/keys.go
+++ b/daemon/keys/keys.go
@@ -1,4 +1,5 @@
-// Package keys makes the keys by which daemons know each other.
+// Package keys creates the certificate authority, and the keys and certificates
+// by which daemons authenticate each other.
 package keys
 
 import (
@@ -16,71 +17,74 @@
 	"ladderridge.example/core/fault"
 )
 
-// The names of the files.
+// Names of the authority's files.
 const (
 	AuthorityFile    = "authority.pem"
 	authorityKeyFile = "authority.key"
 )
 
-// How long the certificates hold.
+// Validity periods of the certificates.
 const (
-	authorityFor = 10 * 365 * 24 * time.Hour
-	daemonFor    = 365 * 24 * time.Hour
-	// skew allows for clocks that are behind.
-	skew = time.Hour
+	authorityValidity = 10 * 365 * 24 * time.Hour
+	daemonValidity    = 365 * 24 * time.Hour
+	// clockSkew is how far a certificate's start is set back, for hosts whose clocks
+	// are behind.
+	clockSkew = time.Hour
 )
 
-// Kind says what sort of error the package met.
+// Kind is the kind of an error of this package.
 type Kind string
 
 // The kinds of error.
 const (
-	// Exists is a file that would be overwritten.
+	// Exists means that a file to be written exists already.
 	Exists Kind = "file exists"
-	// Unusable is a file that cannot be read or written.
+	// Unusable means that a file cannot be read or written, or that a key or
+	// certificate cannot be created.
 	Unusable Kind = "unusable file"
 )
 
-// String names the kind.
+// String returns the text of the kind.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
 
-// MakeAuthority writes a new authority into a folder.
+// MakeAuthority creates a certificate authority and writes its certificate and key
+// to a directory.
 func MakeAuthority(dir string) error {
-	template := certificate("ladderridge authority", authorityFor)
+	template := newTemplate("ladderridge authority", authorityValidity)
 	template.IsCA, template.BasicConstraintsValid = true, true
 	template.KeyUsage = x509.KeyUsageCertSign
 	return writePair(dir, "authority", template, nil, nil)
 }
 
-// MakeDaemon writes the certificate of a daemon, signed by the authority of
-// the same folder, as ID.pem and ID.key.
+// MakeDaemon creates the key and certificate of a daemon and writes them to ID.key
+// and ID.pem. The certificate is signed by the authority in the same directory.
 func MakeDaemon(dir, id string) error {
 	parent, key, err := readAuthority(dir)
 	if err != nil {
 		return &Error{Op: "make daemon keys", Kind: Unusable, Err: err}
 	}
-	template := certificate(id, daemonFor)
+	template := newTemplate(id, daemonValidity)
 	template.DNSNames = []string{id}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	return writePair(dir, id, template, parent, key)
 }
 
-func certificate(name string, holds time.Duration) *x509.Certificate {
+func newTemplate(name string, validity time.Duration) *x509.Certificate {
 	now := time.Now()
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(now.UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    now.Add(-skew),
-		NotAfter:     now.Add(holds),
+		NotBefore:    now.Add(-clockSkew),
+		NotAfter:     now.Add(validity),
 	}
 }
 
-// writePair makes a key and a certificate and writes both. Without a parent the
-// certificate signs itself.
+// writePair creates a key and a certificate and writes both. If parent is nil, the
+// certificate is self-signed.
 func writePair(dir, name string, template, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) error {
 	const op = "make keys"
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -104,8 +108,8 @@
 	return writeNew(filepath.Join(dir, name+".pem"), "CERTIFICATE", der)
 }
 
-// writeNew writes a PEM file that must not be there yet.
-func writeNew(path, kind string, der []byte) error {
+// writeNew writes a PEM file, and fails if the file exists.
+func writeNew(path, blockType string, der []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if os.IsExist(err) {
 		return &Error{Op: "write keys", Kind: Exists, Err: err}
@@ -114,7 +118,7 @@
 		return &Error{Op: "write keys", Kind: Unusable, Err: err}
 	}
 	defer f.Close()
-	if err := pem.Encode(f, &pem.Block{Type: kind, Bytes: der}); err != nil {
+	if err := pem.Encode(f, &pem.Block{Type: blockType, Bytes: der}); err != nil {
 		return &Error{Op: "write keys", Kind: Unusable, Err: err}
 	}
 	return nil
