--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -64,8 +64,8 @@
 	Requests atomic.Int64
 	Refused  atomic.Int64
 	Answered atomic.Int64
-	// Open is the number of requests in progress.
-	Open atomic.Int64
+	// InFlight is the number of requests in progress.
+	InFlight atomic.Int64
 	// Unsafe counts answers that ended before another daemon or the platform had
 	// confirmed their bill.
 	Unsafe atomic.Int64
@@ -181,8 +181,8 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		start := time.Now()
 		f.Requests.Add(1)
-		f.Open.Add(1)
-		defer f.Open.Add(-1)
+		f.InFlight.Add(1)
+		defer f.InFlight.Add(-1)
 		if f.stopping.Load() {
 			w.Header().Set("Connection", "close")
 		}
--- a/daemon/process/metrics.go
+++ b/daemon/process/metrics.go
@@ -33,7 +33,7 @@
 	counter("control_dropped_facts_total", "Facts from traffic that found the inbox full.", func() float64 { return float64(p.control.DroppedObservations.Load()) })
 	counter("crossed_answers_total", "Answers dropped because they belonged to another request.", func() float64 { return float64(p.backend.CrossedAnswers.Load()) })
 	counter("claims_unrecorded_total", "Outcomes of claims that were given up.", func() float64 { return float64(p.claims.Unrecorded.Load()) })
-	gauge("requests_open", "Requests under way.", func() float64 { return float64(p.front.Open.Load()) })
+	gauge("requests_open", "Requests under way.", func() float64 { return float64(p.front.InFlight.Load()) })
 	gauge("table_generation", "The table generation in force.", func() float64 { return float64(p.control.Snapshot().View.Generation.Number) })
 	gauge("table_age_seconds", "How long ago the generation was known to be the newest.", func() float64 {
 		return p.control.Snapshot().View.Age(time.Now()).Seconds()
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -172,7 +172,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), p.Settings.StopGrace)
 	defer cancel()
 	if err := p.front.Stop(ctx); err != nil {
-		p.log.Warn().Err(err).Int64("open", p.front.Open.Load()).Msg("process: stopping with requests still in flight after the grace period")
+		p.log.Warn().Err(err).Int64("open", p.front.InFlight.Load()).Msg("process: stopping with requests still in flight after the grace period")
 	}
 	p.flushOrHandOver()
 	p.log.Info().Msg("process: stopped")
@@ -240,7 +240,7 @@
 		Control: c, Peers: p.peers.Usage(), SettlingClaims: p.claims.Settling(),
 		Front: FrontDump{
 			Requests: p.front.Requests.Load(), Answered: p.front.Answered.Load(), Refused: p.front.Refused.Load(),
-			InFlight: p.front.Open.Load(), Queued: p.front.Waiting(), BillsNotReplicated: p.front.Unsafe.Load(), CrossedAnswers: p.backend.CrossedAnswers.Load(),
+			InFlight: p.front.InFlight.Load(), Queued: p.front.Waiting(), BillsNotReplicated: p.front.Unsafe.Load(), CrossedAnswers: p.backend.CrossedAnswers.Load(),
 		},
 	}, nil
 }
