--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -66,9 +66,9 @@
 	Answered atomic.Int64
 	// InFlight is the number of requests in progress.
 	InFlight atomic.Int64
-	// Unsafe counts answers that ended before another daemon or the platform had
+	// BillsNotReplicated counts answers that ended before another daemon or the platform had
 	// confirmed their bill.
-	Unsafe atomic.Int64
+	BillsNotReplicated atomic.Int64
 
 	quarantineState *quarantineState
 
@@ -353,7 +353,7 @@
 	}
 	s := route.Step{Kind: route.StepBill, Model: ref.Model, Version: ref.Version, Value: float64(cost), Text: "another daemon or the platform has the bill"}
 	if !j.front.replicateBill(b) {
-		j.front.Unsafe.Add(1)
+		j.front.BillsNotReplicated.Add(1)
 		s.Text = "this daemon alone has the bill"
 	}
 	j.addStep(s)
