--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -56,9 +56,9 @@
 	// slowReader disconnects callers that do not read their answers.
 	slowReader *slowreader.Guard
 
-	// Observe, if set, is called with the record of every completed request whose
+	// OnComplete, if set, is called with the record of every completed request whose
 	// organisation is known.
-	Observe func(record.Record)
+	OnComplete func(record.Record)
 
 	// Requests, Refused and Answered count requests.
 	Requests atomic.Int64
@@ -199,8 +199,8 @@
 		j.rec.DurationMS = float64(time.Since(start)) / float64(time.Millisecond)
 		if j.tenant != nil {
 			f.Records.Add(j.rec)
-			if f.Observe != nil {
-				f.Observe(j.rec)
+			if f.OnComplete != nil {
+				f.OnComplete(j.rec)
 			}
 		}
 	}
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -104,7 +104,7 @@
 	p.front.Claims, p.front.Pins, p.front.Records = p.claims, pins.New(client), p.records
 	p.front.Log, p.front.Tracer = p.log, tracer
 	registry, observe := p.metrics()
-	p.front.Observe = observe
+	p.front.OnComplete = observe
 	p.admin = &admin.Admin{Addr: s.Admin, Control: p.control, Records: p.records, Tracer: tracer, Registry: registry, Dump: p.Dump}
 	return nil
 }
