--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -44,7 +44,7 @@
 			j.exclude = append(j.exclude, x.Server.ID)
 		} else {
 			x.Server.State.MarkFull(time.Now())
-			time.AfterFunc(route.FullBackoff, j.front.Wake)
+			time.AfterFunc(route.FullBackoff, j.front.DispatchQueued)
 		}
 		j.reportFailure(x.Server.ID, ref, err)
 		j.front.checkServer(x.Server, err)
--- a/daemon/front/waiting.go
+++ b/daemon/front/waiting.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Wake dispatches queued requests to free slots; called after a new snapshot.
-func (f *Front) Wake() { f.waitQueues.dispatchAll(f.Control.Snapshot().View, time.Now()) }
+// DispatchQueued dispatches queued requests to free slots; called after a new snapshot.
+func (f *Front) DispatchQueued() { f.waitQueues.dispatchAll(f.Control.Snapshot().View, time.Now()) }
 
 // Queued returns the number of requests that wait for a free slot.
 func (f *Front) Queued() int {
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -98,7 +98,7 @@
 	p.control.Demands = p.front.Demands
 	p.control.SuspendClock = suspend.TotalSuspended
 	p.control.Crashes = p.front.Crashes
-	p.control.OnPublish = p.front.Wake
+	p.control.OnPublish = p.front.DispatchQueued
 	p.control.Incarnation = uint64(time.Now().UnixMilli())
 	p.front.Settings, p.front.Control, p.front.Backend = s, p.control, p.backend
 	p.front.Claims, p.front.Pins, p.front.Records = p.claims, pins.New(client), p.records
