--- a/daemon/admin/admin.go
+++ b/daemon/admin/admin.go
@@ -51,8 +51,8 @@
 	stopping atomic.Bool
 }
 
-// Stopping makes the readiness check fail, because the daemon is shutting down.
-func (a *Admin) Stopping() { a.stopping.Store(true) }
+// BeginShutdown makes the readiness check fail, because the daemon is shutting down.
+func (a *Admin) BeginShutdown() { a.stopping.Store(true) }
 
 // Run serves the interface for operators until ctx ends.
 func (a *Admin) Run(ctx context.Context) error {
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -123,9 +123,9 @@
 	return nil
 }
 
-// Stopping closes each caller's connection after its next answer, so that later
+// BeginShutdown closes each caller's connection after its next answer, so that later
 // requests go to another daemon.
-func (f *Front) Stopping() { f.stopping.Store(true) }
+func (f *Front) BeginShutdown() { f.stopping.Store(true) }
 
 // Stop closes the listener and waits for the requests in progress, until ctx
 // ends.
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -166,8 +166,8 @@
 // that the platform has not acknowledged.
 func (p *Process) stop() {
 	p.log.Info().Msg("process: stopping, reporting not ready")
-	p.admin.Stopping()
-	p.front.Stopping()
+	p.admin.BeginShutdown()
+	p.front.BeginShutdown()
 	time.Sleep(p.Settings.StopNotice)
 	ctx, cancel := context.WithTimeout(context.Background(), p.Settings.StopGrace)
 	defer cancel()
