--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -56,8 +56,8 @@
 	// slowReader disconnects callers that do not read their answers.
 	slowReader *slowreader.Guard
 
-	// OnComplete, if set, is called with the record of every completed request whose
-	// organisation is known.
+	// OnComplete, if set, is called with the record of each request of a known
+	// organisation when it ends.
 	OnComplete func(record.Record)
 
 	// Requests, Refused and Answered count requests.
@@ -66,8 +66,8 @@
 	Answered atomic.Int64
 	// InFlight is the number of requests in progress.
 	InFlight atomic.Int64
-	// BillsNotReplicated counts answers that ended before another daemon or the platform had
-	// confirmed their bill.
+	// BillsNotReplicated counts answers that ended before another daemon or the
+	// platform had confirmed their bill.
 	BillsNotReplicated atomic.Int64
 
 	quarantineState *quarantineState
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// BeginShutdown closes each caller's connection after its next answer, so that later
-// requests go to another daemon.
+// BeginShutdown closes each caller's connection after its next answer, so that
+// later requests go to another daemon.
 func (f *Front) BeginShutdown() { f.stopping.Store(true) }
 
 // Stop closes the listener and waits for the requests in progress, until ctx
--- a/daemon/front/read.go
+++ b/daemon/front/read.go
@@ -107,8 +107,8 @@
 	return "the field " + typeErr.Field + " must be " + want + ", not " + typeErr.Value
 }
 
-// prefixBytes is the length of a prompt's prefix that identifies its cache entry
-// on a server.
+// prefixBytes is the length of the prompt's prefix by which a server is chosen
+// that probably has it cached.
 const prefixBytes = 1024
 
 // hashPrefix hashes the first prefixBytes of the prompt.
--- a/daemon/front/waiting.go
+++ b/daemon/front/waiting.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// DispatchQueued dispatches queued requests to free slots; called after a new snapshot.
+// DispatchQueued dispatches queued requests to free slots. It is called after each new
+// snapshot, and when the back-off of a full server ends.
 func (f *Front) DispatchQueued() { f.waitQueues.dispatchAll(f.Control.Snapshot().View, time.Now()) }
 
 // Queued returns the number of requests that wait for a free slot.
