--- a/daemon/settings/error.go
+++ b/daemon/settings/error.go
@@ -6,29 +6,28 @@
 	"ladderridge.example/core/fault"
 )
 
-// Kind says what sort of error the package met.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of error.
 const (
-	// Unreadable is a file that cannot be read or is not INI.
+	// Unreadable means that the file cannot be read or is not valid INI.
 	Unreadable Kind = "unreadable settings"
-	// Invalid is a file with wrong settings; the cause lists all of them.
+	// Invalid means that the file has invalid settings; the wrapped error lists all of them.
 	Invalid Kind = "invalid settings"
 )
 
-// String names the kind.
+// String implements fmt.Stringer.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
 
-// KeyError is one wrong setting.
+// KeyError describes one invalid setting.
 type KeyError struct {
 	File    string
 	Section string
 	Key     string
-	// Text says what was wrong and what would be right.
+	// Text says what is wrong and how to correct it.
 	Text string
 }
 
--- a/daemon/settings/gateway.go
+++ b/daemon/settings/gateway.go
@@ -8,102 +8,110 @@
 	"time"
 )
 
-// Gateway are the settings of a daemon that serves routed services on a
-// platform that hands out its configuration.
+// Gateway holds the settings of a daemon that serves routed services on a
+// platform that distributes its configuration.
 type Gateway struct {
-	// ID and Hall name this VM and its data hall.
+	// ID and Hall are the names of this VM and of its data hall.
 	ID   string
 	Hall string
-	// Callers, Readiness and Admin are addresses for HTTP: callers' requests,
-	// the balancer's questions, operators' metrics and dump. Peers is for other
-	// daemons, over QUIC (UDP).
+	// Callers, Readiness and Admin are HTTP listen addresses: for callers'
+	// requests, for the load balancer's readiness checks, and for operators'
+	// metrics and state dumps. Peers is the QUIC (UDP) listen address for other
+	// daemons.
 	Callers   string
 	Readiness string
 	Admin     string
 	Peers     string
-	// PeersReachedAt is where other daemons reach Peers, if something stands in
-	// between that forwards; "" is Peers itself.
+	// PeersReachedAt is the address at which other daemons reach Peers if a
+	// forwarder is between them; "" means Peers itself.
 	PeersReachedAt string
 
-	// StoreURL is where the platform's store is.
+	// StoreURL is the URL of the platform's store.
 	StoreURL string
 
-	// KeyAge is how long a key may be used after the configuration that allows
-	// it was last confirmed, and a key that is not known refused as wrong.
+	// KeyAge is how long after the configuration was last confirmed a key in it
+	// is accepted and a key not in it is rejected as invalid.
 	KeyAge time.Duration
 
-	// KeyAgeCut is how long known keys may be used if neither the store nor a
-	// daemon that reaches it answers; a shorter time than KeyAge means no longer. A key that was
-	// withdrawn meanwhile passes for that long.
+	// KeyAgeCut is how long known keys are accepted while neither the store nor
+	// a daemon that can reach it answers; a value below KeyAge has no effect. A
+	// key that is revoked during such an outage is accepted for that long.
 	KeyAgeCut time.Duration
 
-	// InForceWithin is how soon a changed configuration must be in force.
+	// InForceWithin is the time within which a changed configuration must take effect.
 	InForceWithin time.Duration
 
-	// SessionPause is how long a session rests before it may move to a version
-	// in roll-out.
+	// SessionPause is how long a session must be idle before it may move to a
+	// version in roll-out.
 	SessionPause time.Duration
 
-	// RepeatRatio and RepeatSlack bound the repeats that all daemons together
-	// send to a service within RepeatWindow.
+	// RepeatRatio and RepeatSlack set the budget of repeats of a service within
+	// RepeatWindow, for all daemons together: a ratio of its requests, plus a
+	// fixed number. A repeat is a retry or an escalation to a larger model.
 	RepeatRatio  float64
 	RepeatSlack  float64
 	RepeatWindow time.Duration
 
-	// ExposureShare and ExposureSlack bound the requests that a new version may
-	// get before it is known to be good: a share of its service's, and some more.
+	// ExposureShare and ExposureSlack limit the requests that a new version gets
+	// before it is known to be healthy: a share of the service's requests, plus
+	// a fixed number.
 	ExposureShare float64
 	ExposureSlack float64
 
-	// Regions are the regions of the data halls.
+	// Regions lists the region of each data hall.
 	Regions Regions
 
-	// ColdOverage and ColdSlack are what a server that has just started bears beyond
-	// the rate that its service names: a factor, and some requests more.
+	// ColdOverage and ColdSlack define how many requests a cold (recently
+	// started) server tolerates: the rate set for its service times ColdOverage,
+	// plus ColdSlack requests.
 	ColdOverage float64
 	ColdSlack   float64
 
-	// DutiesURL is where the platform takes what one daemon does for all, "" if it takes
-	// nothing; Duties are its names of what that is, with commas between them.
+	// DutiesURL is the URL of the platform's interface for duties, which one
+	// daemon at a time carries out for all; "" if there is none. Duties are the
+	// platform's names of them, separated by commas.
 	DutiesURL string
 	Duties    string
-	// DutyLease is how long a daemon holds a duty after it last said so, DutyRate how many
-	// calls the platform takes a second from all daemons.
+	// DutyLease is how long a daemon holds a duty after it last renewed its
+	// lease. DutyRate is the number of calls per second that the platform accepts
+	// from all daemons together.
 	DutyLease time.Duration
 	DutyRate  float64
-	// UsageWindow is the length of a window of usage, UsageLate how long after its end it is
-	// reported at the latest.
+	// UsageWindow is the length of a usage window. UsageLate is the deadline for
+	// its report, counted from the end of the window.
 	UsageWindow time.Duration
 	UsageLate   time.Duration
 
-	// Grace is how long a stopping daemon has until it is killed.
+	// Grace is the time from the stop signal until the daemon is killed.
 	Grace time.Duration
 
-	// FirstStart tells that all daemons start for the first time, and nobody calls yet.
+	// FirstStart says that all daemons start for the first time and that there
+	// are no callers yet.
 	FirstStart bool
 
-	// Processor is the share of a core that this VM has, Link its bandwidth in
-	// Mbit/s.
+	// Processor is the number of processor cores of this VM, which may be a
+	// fraction. Link is its bandwidth in Mbit/s.
 	Processor float64
 	Link      float64
 
 	LogLevel string
 }
 
-// Capacity is a rough measure of what the VM can carry, which doubles its
-// processor and bandwidth at each step: small differences do not count.
+// Capacity returns a coarse, logarithmic measure of the VM's processor and
+// bandwidth, which grows by one as either doubles, so that small differences do
+// not count.
 func (s *Gateway) Capacity() int {
 	return int(math.Log2(max(1, s.Processor*100)) + math.Log2(max(1, s.Link)))
 }
 
-// LongestKeyAge is how old the configuration may be at all for known keys to pass.
+// LongestKeyAge returns the age of the configuration up to which known keys are
+// accepted under any condition.
 func (s *Gateway) LongestKeyAge() time.Duration { return max(s.KeyAge, s.KeyAgeCut) }
 
-// keyAgeMargin is taken off the age that the platform allows: a request that
-// passed the check a moment ago must not leave after the time is over.
+// keyAgeMargin is subtracted from the age that the platform allows, so that a
+// request that has just passed the check is not forwarded after that age.
 const keyAgeMargin = 250 * time.Millisecond
 
-// sectionDuties has the settings of what one daemon does for all.
 const sectionDuties = "duties"
 
 var gatewayOptions = []option[Gateway]{
@@ -140,7 +148,7 @@
 	{"log", "level", "info", false, func(s *Gateway, v string) error { return setLevelTo(&s.LogLevel, v) }},
 }
 
-// LoadGateway reads a gateway's settings file and reports all of its faults at
+// LoadGateway reads a gateway's settings file and reports all of its errors at
 // once.
 func LoadGateway(path string) (*Gateway, error) {
 	data, err := os.ReadFile(path)
@@ -150,12 +158,12 @@
 	return ParseGateway(path, data)
 }
 
-// ParseGateway reads a gateway's settings from the contents of a file of that
-// name.
+// ParseGateway parses the contents of a gateway's settings file; name is used
+// in error messages.
 func ParseGateway(name string, data []byte) (*Gateway, error) {
 	return parse(name, data, gatewayOptions, func(s *Gateway) []error {
 		if s.KeyAge > 0 && s.KeyAge <= keyAgeMargin {
-			return []error{&KeyError{File: name, Section: "keys", Key: "usable_for", Text: fmt.Sprintf("it must be longer than %v", keyAgeMargin)}}
+			return []error{&KeyError{File: name, Section: "keys", Key: "usable_for", Text: fmt.Sprintf("must be longer than %v", keyAgeMargin)}}
 		}
 		if err := checkDuties(name, s); err != nil {
 			return []error{err}
@@ -163,29 +171,29 @@
 		s.KeyAge -= keyAgeMargin
 		s.KeyAgeCut = max(0, s.KeyAgeCut-keyAgeMargin)
 		if _, ok := s.Regions.ByHall()[s.Hall]; s.Regions != "" && !ok {
-			return []error{&KeyError{File: name, Section: "halls", Key: "regions", Text: fmt.Sprintf("this daemon's own data hall %q is not there: add it", s.Hall)}}
+			return []error{&KeyError{File: name, Section: "halls", Key: "regions", Text: fmt.Sprintf("the entry of this daemon's own data hall %q is missing: add it", s.Hall)}}
 		}
 		return nil
 	})
 }
 
-// leastLease is the shortest lease that can be renewed in time.
-const leastLease = time.Second
+// minLease is the shortest lease that can be renewed before it expires.
+const minLease = time.Second
 
-// checkDuties reports settings of duties that do not go together.
+// checkDuties checks the settings of duties and of usage reports.
 func checkDuties(file string, s *Gateway) error {
 	switch {
 	case s.DutiesURL != "" && s.Duties == "":
-		return &KeyError{File: file, Section: sectionDuties, Key: "names", Text: "it is missing: name the duties that the platform takes at the url"}
-	case s.DutyLease < leastLease:
-		return &KeyError{File: file, Section: sectionDuties, Key: "lease", Text: fmt.Sprintf("it must be %v or longer: a shorter one cannot be renewed in time", leastLease)}
+		return &KeyError{File: file, Section: sectionDuties, Key: "names", Text: "missing: list the duties that the platform accepts at the url"}
+	case s.DutyLease < minLease:
+		return &KeyError{File: file, Section: sectionDuties, Key: "lease", Text: fmt.Sprintf("must be %v or longer: a shorter lease expires before it is renewed", minLease)}
 	case s.UsageLate < s.UsageWindow/2:
-		return &KeyError{File: file, Section: "usage", Key: "late", Text: "it must be half of a window or longer: daemons that have ended are waited for"}
+		return &KeyError{File: file, Section: "usage", Key: "late", Text: "must be half of the usage window or longer, to wait for the counts of daemons that have stopped"}
 	}
 	return nil
 }
 
-// Place is what a running process cannot change about itself.
+// Place holds the settings that take effect only after a restart.
 type Place struct {
 	ID, Hall, Callers, Readiness, Admin, Peers, PeersReachedAt, StoreURL, LogLevel string
 
@@ -205,7 +213,7 @@
 	UsageLate         time.Duration
 }
 
-// Places returns what a running process cannot change about itself.
+// Places returns the settings that take effect only after a restart.
 func Places(s *Gateway) Place {
 	return Place{
 		ID: s.ID, Hall: s.Hall, Callers: s.Callers, Readiness: s.Readiness, Admin: s.Admin, Peers: s.Peers, PeersReachedAt: s.PeersReachedAt, StoreURL: s.StoreURL, LogLevel: s.LogLevel,
@@ -216,7 +224,7 @@
 	}
 }
 
-// PeerAddr is where other daemons reach this one.
+// PeerAddr returns the address at which other daemons reach this one.
 func (s *Gateway) PeerAddr() string {
 	if s.PeersReachedAt != "" {
 		return s.PeersReachedAt
@@ -250,7 +258,7 @@
 func setRatio(to *float64, v string) error {
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || n < 0 || n > 1e6 {
-		return fmt.Errorf("%q is not a number from 0 up", v)
+		return fmt.Errorf("%q is not a number from 0 to 1000000", v)
 	}
 	*to = n
 	return nil
--- a/daemon/settings/gateway_test.go
+++ b/daemon/settings/gateway_test.go
@@ -24,7 +24,7 @@
 link = 1000.0
 `
 
-func TestGatewaySettingsAreRead(t *testing.T) {
+func TestParseGateway(t *testing.T) {
 	s, err := settings.ParseGateway("f", []byte(gatewayFile))
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 		t.Errorf("%+v", s)
 	}
 	if s.LongestKeyAge() != s.KeyAge {
-		t.Errorf("keys pass for %v in a cut, %v else", s.LongestKeyAge(), s.KeyAge)
+		t.Errorf("keys are accepted for %v during an outage, %v otherwise", s.LongestKeyAge(), s.KeyAge)
 	}
 	cut, err := settings.ParseGateway("f", []byte(strings.Replace(gatewayFile, "[vm]", "usable_when_cut = 30s\n[vm]", 1)))
 	if err != nil || cut.KeyAge != s.KeyAge || cut.LongestKeyAge() < 29*time.Second || cut.LongestKeyAge() >= 30*time.Second {
@@ -46,24 +46,24 @@
 	strong := *s
 	strong.Link, strong.Processor = 10000, 4
 	if strong.Capacity() <= s.Capacity() {
-		t.Error("a stronger VM has no more capacity")
+		t.Error("a larger VM has no higher capacity")
 	}
 }
 
-func TestAllFaultsOfGatewaySettingsAreToldAtOnce(t *testing.T) {
+func TestParseGatewayReportsAllErrors(t *testing.T) {
 	bad := strings.NewReplacer("10.0.0.1:1", "nowhere", "5000ms", "soon", "[vm]", "[start]\nfirst = perhaps\n[vm]\nspeed = 1", "id = entry-1\n", "").Replace(gatewayFile)
 	_, err := settings.ParseGateway("f", []byte(bad))
 	if err == nil {
-		t.Fatal("no fault was found")
+		t.Fatal("no error was reported")
 	}
 	for _, want := range []string{"callers", "usable_for", "first", "speed", "id"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not told: %v", want, err)
+			t.Errorf("%q is not reported: %v", want, err)
 		}
 	}
 }
 
-func TestRegionsOfHallsAreRead(t *testing.T) {
+func TestParseGatewayRegions(t *testing.T) {
 	with := func(regions string) (*settings.Gateway, error) {
 		return settings.ParseGateway("f", []byte(strings.Replace(gatewayFile, "[vm]", "[halls]\nregions = "+regions+"\n[cold]\noverage = 1.5\nslack = 5\n[vm]", 1)))
 	}
@@ -88,7 +88,7 @@
 late = 10s
 [vm]`
 
-func TestSettingsOfDutiesAreRead(t *testing.T) {
+func TestParseGatewayDuties(t *testing.T) {
 	s, err := settings.ParseGateway("f", []byte(strings.Replace(gatewayFile, "[vm]", dutySettings, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -98,11 +98,11 @@
 	}
 	none, err := settings.ParseGateway("f", []byte(strings.Replace(gatewayFile, "[vm]", "[duties]\n\n[usage]\n[vm]", 1)))
 	if err != nil || none.DutiesURL != "" {
-		t.Errorf("a platform without duties: %v, %q", err, none.DutiesURL)
+		t.Errorf("platform without duties: %v, %q", err, none.DutiesURL)
 	}
 }
 
-func TestSettingsOfDutiesThatCannotBeMeantAreFaults(t *testing.T) {
+func TestParseGatewayRejectsInvalidDuties(t *testing.T) {
 	for was, want := range map[string]string{
 		"names = usage_report,autoscale": "names", "lease = 3000ms": "lease", "rate = 50": "rate", "window = 5s": "window", "late = 10s": "late",
 	} {
--- a/daemon/settings/regions.go
+++ b/daemon/settings/regions.go
@@ -5,10 +5,11 @@
 	"strings"
 )
 
-// Regions are the regions of data halls, as HALL:REGION separated by commas.
+// Regions lists the region of each data hall, as HALL:REGION separated by commas.
+// It is kept as text so that settings stay comparable.
 type Regions string
 
-// ByHall returns the region of each data hall.
+// ByHall returns a map from data hall to region.
 func (r Regions) ByHall() map[string]string {
 	out := map[string]string{}
 	for field := range strings.SplitSeq(string(r), ",") {
@@ -30,7 +31,7 @@
 			return fmt.Errorf("%q is not a data hall's region: write HALL:REGION, separated by commas, such as vad-a:west,vad-b:west", field)
 		}
 		if seen[hall] {
-			return fmt.Errorf("the data hall %q stands twice: keep one", hall)
+			return fmt.Errorf("the data hall %q is listed twice: keep one", hall)
 		}
 		seen[hall] = true
 	}
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks a daemon's INI file. docs/OPERATIONS.md
+// Package settings loads and validates a daemon's INI file. docs/OPERATIONS.md
 // lists every key.
 package settings
 
@@ -17,72 +17,75 @@
 	"gopkg.in/ini.v1"
 )
 
-// Settings are what one daemon is told before it starts.
+// Settings holds the settings of one daemon, read at start.
 type Settings struct {
-	// ID and Hall name this VM and its data hall.
+	// ID and Hall are the names of this VM and of its data hall.
 	ID   string
 	Hall string
-	// Callers, Admin and Peers are addresses, an IP number and a port: HTTP
-	// for callers, HTTP for operators, QUIC (UDP) for other daemons.
+	// Callers, Admin and Peers are listen addresses, an IP address and a port:
+	// HTTP for callers, HTTP for operators, QUIC (UDP) for other daemons.
 	Callers string
 	Admin   string
 	Peers   string
 
-	// Seeds are daemons, as id@address, to ask when the platform is down.
+	// Seeds are the daemons to contact when the platform is unavailable. The
+	// file lists them as id@address.
 	Seeds []Seed
 
 	PlatformURL     string
 	PlatformTimeout time.Duration
 
-	// Certificate, Key and Authority are PEM files for talking to other
-	// daemons; they are read again when they change.
+	// Certificate, Key and Authority are the PEM files for connections to other
+	// daemons; they are reloaded when they change.
 	Certificate string
 	Key         string
 	Authority   string
 
-	// PinKeys seal session tokens; the first one seals, all of them open.
+	// PinKeys are the keys of session tokens: the first one seals new tokens, and
+	// any of them opens a token.
 	PinKeys [][]byte
 
 	LogLevel string
-	// LogJSON writes JSON instead of text.
+	// LogJSON selects JSON instead of text as log format.
 	LogJSON bool
 
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody is the maximum size of a request's body, in bytes.
 	MaxBody int64
-	// DefaultDeadline and MaxDeadline bound how long a request may take.
+	// DefaultDeadline applies to requests without a deadline; MaxDeadline is the
+	// longest deadline allowed.
 	DefaultDeadline time.Duration
 	MaxDeadline     time.Duration
 
-	// RollingOutAge and SteadyAge are how old the table may be for a version
-	// of that status to be served; 0 is any age.
+	// RollingOutAge and SteadyAge are the maximum age of the table at which a
+	// version of that status is served; 0 means no limit.
 	RollingOutAge time.Duration
 	SteadyAge     time.Duration
 
 	// StopNotice is how long a stopping daemon still accepts requests while it
-	// says that it is not ready; StopGrace is how long it then waits for
-	// requests that are under way.
+	// reports that it is not ready. StopGrace is how long it then waits for
+	// requests in flight.
 	StopNotice time.Duration
 	StopGrace  time.Duration
 }
 
-// Seed is another daemon that the settings name.
+// Seed is the ID and peer address of another daemon.
 type Seed struct {
 	ID   string
 	Addr string
 }
 
-// option is one key of a file that fills an S.
+// option describes one key of a settings file; set stores its value in an S.
 type option[S any] struct {
-	section  string
-	key      string
-	standard string
-	required bool
-	set      func(s *S, value string) error
+	section      string
+	key          string
+	defaultValue string
+	required     bool
+	set          func(s *S, value string) error
 }
 
 const sectionDaemon = "daemon"
 
-// options are every key there is, with its standard value.
+// options lists all keys with their default values.
 var options = []option[Settings]{
 	{sectionDaemon, "id", "", true, func(s *Settings, v string) error { return setName(&s.ID, v) }},
 	{sectionDaemon, "hall", "", true, func(s *Settings, v string) error { return setName(&s.Hall, v) }},
@@ -107,7 +110,7 @@
 	{"stop", "grace", "10m", false, func(s *Settings, v string) error { return setDuration(&s.StopGrace, v, false) }},
 }
 
-// Load reads a settings file and reports all of its faults at once.
+// Load reads a settings file and reports all of its errors at once.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -116,17 +119,18 @@
 	return Parse(path, data)
 }
 
-// Parse reads settings from the contents of a file of that name.
+// Parse parses the contents of a settings file; name is used in error messages.
 func Parse(name string, data []byte) (*Settings, error) {
 	return parse(name, data, options, func(s *Settings) []error {
 		if s.DefaultDeadline > s.MaxDeadline {
-			return []error{&KeyError{File: name, Section: "requests", Key: "default_deadline", Text: "it is longer than max_deadline: shorten it"}}
+			return []error{&KeyError{File: name, Section: "requests", Key: "default_deadline", Text: "must not be longer than max_deadline"}}
 		}
 		return nil
 	})
 }
 
-// parse reads a file by its options and then checks what they are together.
+// parse parses a file according to options, then runs check on the result for
+// conditions that involve several keys.
 func parse[S any](name string, data []byte, options []option[S], check func(*S) []error) (*S, error) {
 	const op = "load settings"
 	file, err := ini.LoadSources(ini.LoadOptions{SpaceBeforeInlineComment: true, AllowShadows: true, AllowDuplicateShadowValues: true}, data)
@@ -148,21 +152,21 @@
 }
 
 func (o option[S]) read(s *S, file *ini.File) error {
-	value := o.standard
+	value := o.defaultValue
 	if section, err := file.GetSection(o.section); err == nil && section.HasKey(o.key) {
 		values := section.Key(o.key).ValueWithShadows()
 		if len(values) > 1 {
-			return fmt.Errorf("the key stands %d times: keep one", len(values))
+			return fmt.Errorf("the key is set %d times: keep one", len(values))
 		}
 		value = strings.TrimSpace(section.Key(o.key).Value())
 	}
 	if value == "" && o.required {
-		return errors.New("it is missing: the daemon needs it")
+		return errors.New("missing: the key is required")
 	}
 	return o.set(s, value)
 }
 
-// unknownKeys reports sections and keys that mean nothing.
+// unknownKeys reports the sections and keys that are not in options.
 func unknownKeys[S any](name string, file *ini.File, options []option[S]) []error {
 	var errs []error
 	for _, section := range file.Sections() {
@@ -173,12 +177,12 @@
 			}
 		}
 		if len(known) == 0 && (section.Name() != ini.DefaultSection || len(section.Keys()) > 0) {
-			errs = append(errs, &KeyError{File: name, Section: section.Name(), Text: "there is no such section: the sections are " + strings.Join(sections(options), ", ")})
+			errs = append(errs, &KeyError{File: name, Section: section.Name(), Text: "unknown section: the sections are " + strings.Join(sections(options), ", ")})
 			continue
 		}
 		for _, key := range section.Keys() {
 			if !slices.Contains(known, key.Name()) {
-				errs = append(errs, &KeyError{File: name, Section: section.Name(), Key: key.Name(), Text: "there is no such key: the keys are " + strings.Join(known, ", ")})
+				errs = append(errs, &KeyError{File: name, Section: section.Name(), Key: key.Name(), Text: "unknown key: the keys are " + strings.Join(known, ", ")})
 			}
 		}
 	}
@@ -205,7 +209,7 @@
 
 func setAddr(to *string, v string) error {
 	if _, err := netip.ParseAddrPort(v); err != nil {
-		return fmt.Errorf("%q is not an address: write an IP number and a port, such as 10.0.0.7:8443", v)
+		return fmt.Errorf("%q is not an address: write an IP address and a port, such as 10.0.0.7:8443", v)
 	}
 	*to = v
 	return nil
@@ -233,7 +237,7 @@
 
 func setFile(to *string, v string) error {
 	if _, err := os.Stat(v); err != nil {
-		return fmt.Errorf("%q cannot be read: make the files with `ladderridge keys`", v)
+		return fmt.Errorf("%q cannot be read: create the files with `ladderridge keys`", v)
 	}
 	*to = v
 	return nil
@@ -257,14 +261,14 @@
 	return nil
 }
 
-// minPinKey is the least length of a pin key, in bytes.
+// minPinKey is the minimum length of a pin key, in bytes.
 const minPinKey = 16
 
 func setPinKeys(s *Settings, v string) error {
 	for field := range strings.FieldsSeq(v) {
 		key, err := hex.DecodeString(field)
 		if err != nil || len(key) < minPinKey {
-			return errors.New("a key is not hex of at least 32 digits: make one with `ladderridge keys pin`")
+			return errors.New("a key is not a hexadecimal string of at least 32 digits: create one with `ladderridge keys pin`")
 		}
 		s.PinKeys = append(s.PinKeys, key)
 	}
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -12,8 +12,8 @@
 	"ladderridge.example/daemon/settings"
 )
 
-// right returns a settings file without fault.
-func right(t *testing.T) string {
+// validFile returns a valid settings file.
+func validFile(t *testing.T) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "key.pem")
 	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
@@ -39,8 +39,8 @@
 `, "FILE", file)
 }
 
-func TestRightSettings(t *testing.T) {
-	s, err := settings.Parse("a.ini", []byte(right(t)))
+func TestParseValidSettings(t *testing.T) {
+	s, err := settings.Parse("a.ini", []byte(validFile(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestEveryFaultIsNamedAtOnce(t *testing.T) {
+func TestParseReportsAllErrors(t *testing.T) {
 	wrong := strings.NewReplacer(
 		"id = entry-1", "id = entry 1",
 		"callers = 127.0.0.1:8080", "callers = localhost",
@@ -58,7 +58,7 @@
 		"pin_keys = 00112233445566778899aabbccddeeff", "pin_keys = abc",
 		"rolling_out = 20s", "rolling_out = soon\ncolour = red",
 		"hall = vad-hall-a", "",
-	).Replace(right(t)) + "[log]\nlevel = loud\nformat = xml\n[requests]\nmax_body = 0\ndefault_deadline = 1h\n[other]\nx = 1\n"
+	).Replace(validFile(t)) + "[log]\nlevel = loud\nformat = xml\n[requests]\nmax_body = 0\ndefault_deadline = 1h\n[other]\nx = 1\n"
 	_, err := settings.Parse("a.ini", []byte(wrong))
 	if !fault.Is(err, settings.Invalid) {
 		t.Fatalf("got %v", err)
@@ -75,7 +75,8 @@
 	}
 }
 
-// FuzzParse checks that any file is read or refused with a typed error.
+// FuzzParse checks that any file is rejected with a typed error: the key files
+// that a valid one would name do not exist.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[daemon]\nid = a\nid = b\n"))
 	f.Add([]byte("[daemon\n=\n"))
