--- a/daemon/settings/gateway.go
+++ b/daemon/settings/gateway.go
@@ -193,8 +193,8 @@
 	return nil
 }
 
-// Place holds the settings that take effect only after a restart.
-type Place struct {
+// Static holds the settings that take effect only after a restart.
+type Static struct {
 	ID, Hall, Callers, Readiness, Admin, Peers, PeersReachedAt, StoreURL, LogLevel string
 
 	InForceWithin time.Duration
@@ -214,8 +214,8 @@
 }
 
 // Places returns the settings that take effect only after a restart.
-func Places(s *Gateway) Place {
-	return Place{
+func Places(s *Gateway) Static {
+	return Static{
 		ID: s.ID, Hall: s.Hall, Callers: s.Callers, Readiness: s.Readiness, Admin: s.Admin, Peers: s.Peers, PeersReachedAt: s.PeersReachedAt, StoreURL: s.StoreURL, LogLevel: s.LogLevel,
 		InForceWithin: s.InForceWithin, SessionPause: s.SessionPause, Capacity: s.Capacity(),
 		ExposureShare: s.ExposureShare, ExposureSlack: s.ExposureSlack,
