--- a/daemon/gateway/reload.go
+++ b/daemon/gateway/reload.go
@@ -62,7 +62,7 @@
 	}
 	g.settings.Store(now)
 	g.apply(now)
-	restart := settings.Places(now) != settings.Places(old)
+	restart := settings.StaticOf(now) != settings.StaticOf(old)
 	g.log.Info().Bool("needs_restart", restart).Dur("key_age", now.KeyAge).Dur("grace", now.Grace).Msg("gateway: changed settings applied")
 }
 
--- a/daemon/settings/gateway.go
+++ b/daemon/settings/gateway.go
@@ -213,8 +213,8 @@
 	UsageLate         time.Duration
 }
 
-// Places returns the settings that take effect only after a restart.
-func Places(s *Gateway) Static {
+// StaticOf returns the settings that take effect only after a restart.
+func StaticOf(s *Gateway) Static {
 	return Static{
 		ID: s.ID, Hall: s.Hall, Callers: s.Callers, Readiness: s.Readiness, Admin: s.Admin, Peers: s.Peers, PeersReachedAt: s.PeersReachedAt, StoreURL: s.StoreURL, LogLevel: s.LogLevel,
 		InForceWithin: s.InForceWithin, SessionPause: s.SessionPause, Capacity: s.Capacity(),
