--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -113,7 +113,7 @@
 		}
 	}
 	return supervise.Run(ctx, g.tree(), func() {
-		g.log.Info().Str("id", g.Settings.ID).Str("hall", g.Settings.Hall).Str("callers", g.Settings.Callers).Str("store", g.Settings.StoreURL).Dur("key_age", g.Settings.KeyAge).Dur("key_age_cut", g.Settings.KeyAgeCut).Msg("gateway: started")
+		g.log.Info().Str("id", g.Settings.ID).Str("hall", g.Settings.Hall).Str("callers", g.Settings.Callers).Str("store", g.Settings.StoreURL).Dur("key_age", g.Settings.KeyAge).Dur("key_age_cut", g.Settings.OutageKeyAge).Msg("gateway: started")
 	}, g.stop)
 }
 
--- a/daemon/gateway/reload.go
+++ b/daemon/gateway/reload.go
@@ -68,6 +68,6 @@
 
 // apply applies the settings that may change while the process runs.
 func (g *Gateway) apply(s *settings.Gateway) {
-	g.engine.SetKeyAge(s.KeyAge, s.KeyAgeCut)
+	g.engine.SetKeyAge(s.KeyAge, s.OutageKeyAge)
 	g.engine.Budget.Set(s.RepeatRatio, s.RepeatSlack, s.RepeatWindow)
 }
--- a/daemon/settings/gateway.go
+++ b/daemon/settings/gateway.go
@@ -33,10 +33,10 @@
 	// is accepted and a key not in it is rejected as invalid.
 	KeyAge time.Duration
 
-	// KeyAgeCut is how long known keys are accepted while neither the store nor
+	// OutageKeyAge is how long known keys are accepted while neither the store nor
 	// a daemon that can reach it answers; a value below KeyAge has no effect. A
 	// key that is revoked during such an outage is accepted for that long.
-	KeyAgeCut time.Duration
+	OutageKeyAge time.Duration
 
 	// InForceWithin is the time within which a changed configuration must take effect.
 	InForceWithin time.Duration
@@ -106,7 +106,7 @@
 
 // LongestKeyAge returns the age of the configuration up to which known keys are
 // accepted under any condition.
-func (s *Gateway) LongestKeyAge() time.Duration { return max(s.KeyAge, s.KeyAgeCut) }
+func (s *Gateway) LongestKeyAge() time.Duration { return max(s.KeyAge, s.OutageKeyAge) }
 
 // keyAgeMargin is subtracted from the age that the platform allows, so that a
 // request that has just passed the check is not forwarded after that age.
@@ -124,7 +124,7 @@
 	{sectionDaemon, "peers_reached_at", "", false, setReachedAt},
 	{"store", "url", "", true, func(s *Gateway, v string) error { return setURL(&s.StoreURL, v) }},
 	{"keys", "usable_for", "5000ms", false, func(s *Gateway, v string) error { return setDuration(&s.KeyAge, v, true) }},
-	{"keys", "usable_when_cut", "0s", false, func(s *Gateway, v string) error { return setDuration(&s.KeyAgeCut, v, false) }},
+	{"keys", "usable_when_cut", "0s", false, func(s *Gateway, v string) error { return setDuration(&s.OutageKeyAge, v, false) }},
 	{"config", "in_force_within", "2000ms", false, func(s *Gateway, v string) error { return setDuration(&s.InForceWithin, v, true) }},
 	{"sessions", "pause", "5s", false, func(s *Gateway, v string) error { return setDuration(&s.SessionPause, v, true) }},
 	{"repeats", "ratio", "0.5", false, func(s *Gateway, v string) error { return setRatio(&s.RepeatRatio, v) }},
@@ -169,7 +169,7 @@
 			return []error{err}
 		}
 		s.KeyAge -= keyAgeMargin
-		s.KeyAgeCut = max(0, s.KeyAgeCut-keyAgeMargin)
+		s.OutageKeyAge = max(0, s.OutageKeyAge-keyAgeMargin)
 		if _, ok := s.Regions.ByHall()[s.Hall]; s.Regions != "" && !ok {
 			return []error{&KeyError{File: name, Section: "halls", Key: "regions", Text: fmt.Sprintf("the entry of this daemon's own data hall %q is missing: add it", s.Hall)}}
 		}
