--- a/daemon/gateway/metrics.go
+++ b/daemon/gateway/metrics.go
@@ -122,7 +122,7 @@
 		return "stopping"
 	case !v.Ready():
 		return "no configuration yet"
-	case v.ConfigAge(now) > g.settings.Load().LongestKeyAge():
+	case v.ConfigAge(now) > g.settings.Load().MaxKeyAge():
 		return "the configuration is too old"
 	}
 	return ""
--- a/daemon/settings/gateway.go
+++ b/daemon/settings/gateway.go
@@ -104,9 +104,8 @@
 	return int(math.Log2(max(1, s.Processor*100)) + math.Log2(max(1, s.Link)))
 }
 
-// LongestKeyAge returns the age of the configuration up to which known keys are
-// accepted under any condition.
-func (s *Gateway) LongestKeyAge() time.Duration { return max(s.KeyAge, s.OutageKeyAge) }
+// MaxKeyAge returns the age of the configuration beyond which no key is accepted.
+func (s *Gateway) MaxKeyAge() time.Duration { return max(s.KeyAge, s.OutageKeyAge) }
 
 // keyAgeMargin is subtracted from the age that the platform allows, so that a
 // request that has just passed the check is not forwarded after that age.
--- a/daemon/settings/gateway_test.go
+++ b/daemon/settings/gateway_test.go
@@ -32,11 +32,11 @@
 	if s.KeyAge >= 5*time.Second || s.KeyAge < 4*time.Second || s.Processor != 0.4 || s.Grace <= 0 {
 		t.Errorf("%+v", s)
 	}
-	if s.LongestKeyAge() != s.KeyAge {
-		t.Errorf("keys are accepted for %v during an outage, %v otherwise", s.LongestKeyAge(), s.KeyAge)
+	if s.MaxKeyAge() != s.KeyAge {
+		t.Errorf("keys are accepted for %v during an outage, %v otherwise", s.MaxKeyAge(), s.KeyAge)
 	}
 	cut, err := settings.ParseGateway("f", []byte(strings.Replace(gatewayFile, "[vm]", "usable_when_cut = 30s\n[vm]", 1)))
-	if err != nil || cut.KeyAge != s.KeyAge || cut.LongestKeyAge() < 29*time.Second || cut.LongestKeyAge() >= 30*time.Second {
+	if err != nil || cut.KeyAge != s.KeyAge || cut.MaxKeyAge() < 29*time.Second || cut.MaxKeyAge() >= 30*time.Second {
 		t.Errorf("%v, %+v", err, cut)
 	}
 	first, err := settings.ParseGateway("f", []byte(strings.Replace(gatewayFile, "[vm]", "[start]\nfirst = true\n[vm]", 1)))
