--- a/daemon/settings/gateway.go
+++ b/daemon/settings/gateway.go
@@ -77,10 +77,10 @@
 	// from all daemons together.
 	DutyLease time.Duration
 	DutyRate  float64
-	// UsageWindow is the length of a usage window. UsageLate is the deadline for
+	// UsageWindow is the length of a usage window. UsageDeadline is the deadline for
 	// its report, counted from the end of the window.
-	UsageWindow time.Duration
-	UsageLate   time.Duration
+	UsageWindow   time.Duration
+	UsageDeadline time.Duration
 
 	// Grace is the time from the stop signal until the daemon is killed.
 	Grace time.Duration
@@ -139,7 +139,7 @@
 	{sectionDuties, "lease", "3s", false, func(s *Gateway, v string) error { return setDuration(&s.DutyLease, v, true) }},
 	{sectionDuties, "rate", "0", false, func(s *Gateway, v string) error { return setRatio(&s.DutyRate, v) }},
 	{"usage", "window", "5s", false, func(s *Gateway, v string) error { return setDuration(&s.UsageWindow, v, true) }},
-	{"usage", "late", "10s", false, func(s *Gateway, v string) error { return setDuration(&s.UsageLate, v, true) }},
+	{"usage", "late", "10s", false, func(s *Gateway, v string) error { return setDuration(&s.UsageDeadline, v, true) }},
 	{"start", "first", "false", false, func(s *Gateway, v string) error { return setSwitch(&s.FirstStart, v) }},
 	{"stop", "grace", "8s", false, func(s *Gateway, v string) error { return setDuration(&s.Grace, v, true) }},
 	{"vm", "processor", "1", false, func(s *Gateway, v string) error { return setRatio(&s.Processor, v) }},
@@ -186,7 +186,7 @@
 		return &KeyError{File: file, Section: sectionDuties, Key: "names", Text: "missing: list the duties that the platform accepts at the url"}
 	case s.DutyLease < minLease:
 		return &KeyError{File: file, Section: sectionDuties, Key: "lease", Text: fmt.Sprintf("must be %v or longer: a shorter lease expires before it is renewed", minLease)}
-	case s.UsageLate < s.UsageWindow/2:
+	case s.UsageDeadline < s.UsageWindow/2:
 		return &KeyError{File: file, Section: "usage", Key: "late", Text: "must be half of the usage window or longer, to wait for the counts of daemons that have stopped"}
 	}
 	return nil
@@ -219,7 +219,7 @@
 		InForceWithin: s.InForceWithin, SessionPause: s.SessionPause, Capacity: s.Capacity(),
 		ExposureShare: s.ExposureShare, ExposureSlack: s.ExposureSlack,
 		Regions: s.Regions, ColdOverage: s.ColdOverage, ColdSlack: s.ColdSlack,
-		DutiesURL: s.DutiesURL, Duties: s.Duties, DutyLease: s.DutyLease, DutyRate: s.DutyRate, UsageWindow: s.UsageWindow, UsageLate: s.UsageLate,
+		DutiesURL: s.DutiesURL, Duties: s.Duties, DutyLease: s.DutyLease, DutyRate: s.DutyRate, UsageWindow: s.UsageWindow, UsageLate: s.UsageDeadline,
 	}
 }
 
--- a/daemon/settings/gateway_test.go
+++ b/daemon/settings/gateway_test.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.DutiesURL != "http://10.0.0.8:9" || s.Duties != "usage_report,autoscale" || s.DutyLease != 3*time.Second || s.DutyRate != 50 || s.UsageWindow != 5*time.Second || s.UsageLate != 10*time.Second {
+	if s.DutiesURL != "http://10.0.0.8:9" || s.Duties != "usage_report,autoscale" || s.DutyLease != 3*time.Second || s.DutyRate != 50 || s.UsageWindow != 5*time.Second || s.UsageDeadline != 10*time.Second {
 		t.Errorf("%+v", s)
 	}
 	none, err := settings.ParseGateway("f", []byte(strings.Replace(gatewayFile, "[vm]", "[duties]\n\n[usage]\n[vm]", 1)))
