--- a/daemon/settings/gateway.go
+++ b/daemon/settings/gateway.go
@@ -209,7 +209,7 @@
 	DutyLease         time.Duration
 	DutyRate          float64
 	UsageWindow       time.Duration
-	UsageLate         time.Duration
+	UsageDeadline     time.Duration
 }
 
 // StaticOf returns the settings that take effect only after a restart.
@@ -219,7 +219,7 @@
 		InForceWithin: s.InForceWithin, SessionPause: s.SessionPause, Capacity: s.Capacity(),
 		ExposureShare: s.ExposureShare, ExposureSlack: s.ExposureSlack,
 		Regions: s.Regions, ColdOverage: s.ColdOverage, ColdSlack: s.ColdSlack,
-		DutiesURL: s.DutiesURL, Duties: s.Duties, DutyLease: s.DutyLease, DutyRate: s.DutyRate, UsageWindow: s.UsageWindow, UsageLate: s.UsageDeadline,
+		DutiesURL: s.DutiesURL, Duties: s.Duties, DutyLease: s.DutyLease, DutyRate: s.DutyRate, UsageWindow: s.UsageWindow, UsageDeadline: s.UsageDeadline,
 	}
 }
 
