--- a/daemon/front/quarantine.go
+++ b/daemon/front/quarantine.go
@@ -121,5 +121,5 @@
 		return
 	}
 	f.quarantineState.registry.RecordServerExit(p.Server, contents, now)
-	f.Log.Warn().Str("server", p.Server).Int("requests", len(contents)).Msg("quarantine: server exited with requests in progress; counting a crash for each")
+	f.Log.Warn().Str("server", p.Server).Int("requests", len(contents)).Msg("quarantine: server exited with requests in flight")
 }
--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -65,7 +65,7 @@
 // handleNotice logs the notice that a server sent about itself, and reports to the
 // control state that it is leaving.
 func (j *job) handleNotice(server string, n notice.Notice) {
-	j.front.Log.Info().Str("server", server).Stringer("notice", n).Msg("server: received a notice in an answer's headers")
+	j.front.Log.Info().Str("server", server).Stringer("notice", n).Msg("server: announced that it leaves, backs off or is limited")
 	if n.Leaving {
 		j.front.Control.Observe(control.ServerLeaving{Server: server})
 	}
