--- a/daemon/load/load.go
+++ b/daemon/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends requests to daemons and checks every answer: that it is
-// whole and that it belongs to its request.
+// Package load is a load generator: it sends requests to daemons and checks
+// that every answer is complete and belongs to its request.
 package load
 
 import (
@@ -28,28 +28,29 @@
 	latencyDigits  = 3
 )
 
-// Plan says what to send. Set its fields, then Run it.
+// Plan describes the requests to send. Set its fields, then call Run.
 type Plan struct {
-	// Targets are base URLs, used in turn.
+	// Targets lists base URLs, which are used in turn.
 	Targets []string
 	Key     string
 	Model   string
 	Stream  bool
-	// MaxTokens is the length of each answer; 0 is the engine's own.
+	// MaxTokens is the length of each answer; 0 leaves it to the engine.
 	MaxTokens int
-	// Requests is how many to send, Workers how many at once.
+	// Requests is how many requests to send, Workers how many at a time.
 	Requests int
 	Workers  int
-	// Pause is the time that a worker waits between two requests.
+	// Pause is how long each worker waits between two requests.
 	Pause time.Duration
-	// Sessions spreads the requests over that many sessions; 0 is none.
+	// Sessions is the number of sessions that the requests are spread over; 0
+	// sends them without sessions.
 	Sessions int
 	HTTP     *http.Client
-	// Echo tells that the targets are engines, which want an attempt id.
+	// Echo reports whether the targets are engines, which require an attempt id.
 	Echo bool
 }
 
-// Result is what became of the requests.
+// Result holds the counts and latencies of a run.
 type Result struct {
 	Sent     int
 	Whole    int
@@ -58,17 +59,17 @@
 	Tokens   int64
 	Versions map[string]int
 	Codes    map[string]int
-	// Requests are the ids of the latest answers, for explain.
+	// Requests lists the request ids of the latest answers, for the explain command.
 	Requests []string
 	Elapsed  time.Duration
-	// FirstToken and Total are latencies in microseconds.
+	// FirstToken and Total are histograms of latencies in microseconds.
 	FirstToken *hdrhistogram.Histogram
 	Total      *hdrhistogram.Histogram
-	// Moved counts answers whose session changed its version.
+	// Moved counts answers with another model version than their session had before.
 	Moved int
 }
 
-// run is a plan under way.
+// run is the execution of a plan.
 type run struct {
 	*Plan
 	next   atomic.Int64
@@ -77,14 +78,14 @@
 	pins   []sessionPin
 }
 
-// sessionPin is what a session was told.
+// sessionPin is the pin token and the model version of a session.
 type sessionPin struct {
 	mu      sync.Mutex
 	token   string
 	version string
 }
 
-// Run sends the plan's requests.
+// Run sends the requests of the plan and returns the result once all have ended.
 func (p *Plan) Run(ctx context.Context) Result {
 	if p.HTTP == nil {
 		p.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: max(p.Workers, 1)}}
@@ -94,13 +95,13 @@
 		FirstToken: hdrhistogram.New(lowestLatency, highestLatency, latencyDigits),
 		Total:      hdrhistogram.New(lowestLatency, highestLatency, latencyDigits),
 	}}
-	begun := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	for range max(p.Workers, 1) {
 		wg.Go(func() { r.work(ctx) })
 	}
 	wg.Wait()
-	r.result.Elapsed = time.Since(begun)
+	r.result.Elapsed = time.Since(start)
 	return r.result
 }
 
@@ -110,24 +111,24 @@
 		if n > int64(r.Requests) {
 			return
 		}
-		r.one(ctx, int(n))
+		r.sendOne(ctx, int(n))
 		clock.Wait(ctx, r.Pause)
 	}
 }
 
-// outcome is one request's answer.
+// outcome is the outcome of one request.
 type outcome struct {
-	id      string
-	version string
-	code    string
-	tokens  int
-	first   time.Duration
-	total   time.Duration
-	whole   bool
-	moved   bool
+	id             string
+	version        string
+	code           string
+	tokens         int
+	first          time.Duration
+	total          time.Duration
+	complete       bool
+	versionChanged bool
 }
 
-func (r *run) one(ctx context.Context, n int) {
+func (r *run) sendOne(ctx context.Context, n int) {
 	var pin *sessionPin
 	if r.Sessions > 0 {
 		pin = &r.pins[n%r.Sessions]
@@ -140,8 +141,8 @@
 	r.result.add(out)
 }
 
-// recent is how many request ids are kept.
-const recent = 8
+// recentRequests is how many request ids a result keeps.
+const recentRequests = 8
 
 func (r *Result) add(out outcome) {
 	r.Sent++
@@ -150,7 +151,7 @@
 	case out.code != "":
 		r.Refused++
 		r.Codes[out.code]++
-	case !out.whole:
+	case !out.complete:
 		r.Broken++
 	default:
 		r.Whole++
@@ -158,9 +159,9 @@
 		_ = r.FirstToken.RecordValue(out.first.Microseconds())
 		_ = r.Total.RecordValue(out.total.Microseconds())
 		r.Requests = append(r.Requests, out.id)
-		r.Requests = r.Requests[max(0, len(r.Requests)-recent):]
+		r.Requests = r.Requests[max(0, len(r.Requests)-recentRequests):]
 	}
-	if out.moved {
+	if out.versionChanged {
 		r.Moved++
 	}
 }
@@ -178,22 +179,22 @@
 		return outcome{}
 	}
 	r.setHeaders(req, n, pin)
-	begun := time.Now()
+	start := time.Now()
 	resp, err := r.HTTP.Do(req)
 	if err != nil {
 		return outcome{}
 	}
 	defer resp.Body.Close()
-	out := outcome{id: resp.Header.Get(wire.HeaderRequest), version: resp.Header.Get(wire.HeaderVersion), first: time.Since(begun)}
+	out := outcome{id: resp.Header.Get(wire.HeaderRequest), version: resp.Header.Get(wire.HeaderVersion), first: time.Since(start)}
 	switch {
 	case resp.StatusCode != http.StatusOK:
 		out.code = errorCode(resp)
 	case r.Stream:
-		r.readStream(resp.Body, &out, begun)
+		r.readStream(resp.Body, &out, start)
 	default:
-		readWhole(resp.Body, &out, begun)
+		readAnswer(resp.Body, &out, start)
 	}
-	pin.note(resp, &out)
+	pin.update(resp, &out)
 	return out
 }
 
@@ -214,12 +215,13 @@
 	}
 }
 
-// note keeps a session's token and notices a session that was moved.
-func (p *sessionPin) note(resp *http.Response, out *outcome) {
+// update records the session's token and version from an answer, and marks the
+// outcome if the version has changed.
+func (p *sessionPin) update(resp *http.Response, out *outcome) {
 	if p == nil || resp.StatusCode != http.StatusOK {
 		return
 	}
-	out.moved = p.version != "" && p.version != out.version
+	out.versionChanged = p.version != "" && p.version != out.version
 	p.version = out.version
 	if token := resp.Header.Get(wire.HeaderPin); token != "" {
 		p.token = token
@@ -235,8 +237,8 @@
 }
 
 // readStream checks that every token belongs to the request and that the
-// stream ends by its terminator.
-func (r *run) readStream(body io.Reader, out *outcome, begun time.Time) {
+// stream ends with its terminator.
+func (r *run) readStream(body io.Reader, out *outcome, start time.Time) {
 	events := backend.NewStream(body)
 	for {
 		data, last, err := events.Next()
@@ -244,7 +246,7 @@
 			return
 		}
 		if last {
-			out.whole, out.total = true, time.Since(begun)
+			out.complete, out.total = true, time.Since(start)
 			return
 		}
 		var chunk wire.ChatChunk
@@ -258,13 +260,13 @@
 			return
 		}
 		if out.tokens == 0 {
-			out.first = time.Since(begun)
+			out.first = time.Since(start)
 		}
 		out.tokens++
 	}
 }
 
-func readWhole(body io.Reader, out *outcome, begun time.Time) {
+func readAnswer(body io.Reader, out *outcome, start time.Time) {
 	var answer wire.ChatAnswer
 	if json.NewDecoder(body).Decode(&answer) != nil || len(answer.Choices) == 0 {
 		return
@@ -273,5 +275,5 @@
 		return
 	}
 	out.tokens = answer.Usage.CompletionTokens
-	out.whole, out.total = true, time.Since(begun)
+	out.complete, out.total = true, time.Since(start)
 }
