--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -1,7 +1,7 @@
-// Package orders gives engines orders that carry a fence from the platform's
-// table service: a number that grows with every order to an engine. An engine
-// that checks it refuses the order of a holder that was paused while another
-// one went on.
+// Package orders sends orders to engines. Each order carries a fencing token
+// (a fence) from the platform's table service: a number that grows with every
+// order to the engine. An engine that checks it refuses an order from a process
+// that was suspended while another one took over.
 package orders
 
 import (
@@ -23,49 +23,52 @@
 // Prefix is followed by an engine's id in the table service.
 const Prefix = "fence/"
 
-// Kind says what sort of error the package met.
+// Kind classifies an error.
 type Kind string
 
 // The kinds of error.
 const (
-	// Superseded means that another order came first; this one was not sent,
-	// or the engine refused it.
+	// Superseded means that another order was issued first: this one was not
+	// sent, or the engine refused it.
 	Superseded Kind = "superseded by another order"
-	// Unavailable means that no fence could be had; nothing was sent.
+	// Unavailable means that no fence could be obtained; nothing was sent.
 	Unavailable Kind = "no fence"
-	// Unanswered means that the engine gave no answer; it may obey.
+	// Unanswered means that the engine gave no answer; it may still carry out
+	// the order.
 	Unanswered Kind = "engine gave no answer"
-	// Refused means that the engine will not do it.
+	// Refused means that the order could not be sent or the engine rejected it.
 	Refused Kind = "engine refused"
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
 
-// Fence is what the table service keeps of an engine's latest order.
+// Fence is the table service's entry for the latest order to an engine.
 type Fence struct {
 	Number uint64 `json:"number"`
-	// Grant is the id of the grant, by which its holder finds it again.
+	// Grant is a random id, by which the holder recognises its own entry when
+	// the answer to the write was lost.
 	Grant  string          `json:"grant"`
 	Holder string          `json:"holder"`
 	Order  placement.Order `json:"order"`
 }
 
-// sendTimeout bounds one order: engines answer when they have begun.
+// sendTimeout is the timeout of one order. Engines answer once they have started
+// to carry it out, not when they have finished.
 const sendTimeout = 5 * time.Second
 
-// Issuer gives orders. Set its fields before use.
+// Issuer issues orders to engines. Set its fields before use.
 type Issuer struct {
 	Platform *platform.Client
 	HTTP     *http.Client
-	// Holder names this process.
+	// Holder identifies this process.
 	Holder string
 }
 
-// Give gets a fence and sends an order to the engine at an address.
+// Give obtains a fence and sends an order to the engine at an address.
 func (i *Issuer) Give(ctx context.Context, o placement.Order, addr string) (Fence, error) {
 	f, err := i.fence(ctx, o)
 	if err != nil {
@@ -74,7 +77,8 @@
 	return f, i.Send(ctx, f, addr)
 }
 
-// fence gets the next number for an engine, on condition that nobody else did.
+// fence obtains the next number for an engine, with a conditional write that
+// fails if another process has taken the number.
 func (i *Issuer) fence(ctx context.Context, o placement.Order) (Fence, error) {
 	const op = "get fence"
 	key := Prefix + o.Engine
@@ -103,24 +107,25 @@
 	return Fence{}, &Error{Op: op, Kind: Unavailable, Err: err}
 }
 
-// settle finds out whether a grant whose answer was lost is there.
+// settle reads the fence back after a write with an unknown outcome or a
+// conflict, and reports whether it is this issuer's own.
 func (i *Issuer) settle(ctx context.Context, key string, f Fence) error {
 	e, err := i.Platform.Get(ctx, key)
 	if err != nil {
 		return &Error{Op: "get fence", Kind: Unavailable, Err: err}
 	}
-	var there Fence
-	if err := json.Unmarshal(e.Value, &there); err != nil {
+	var stored Fence
+	if err := json.Unmarshal(e.Value, &stored); err != nil {
 		return &Error{Op: "get fence", Kind: Unavailable, Err: err}
 	}
-	if there.Grant != f.Grant {
-		return &Error{Op: "get fence", Kind: Superseded, Err: merry.Errorf("%s holds number %d", there.Holder, there.Number)}
+	if stored.Grant != f.Grant {
+		return &Error{Op: "get fence", Kind: Superseded, Err: merry.Errorf("%s holds number %d", stored.Holder, stored.Number)}
 	}
 	return nil
 }
 
-// Send sends an order under a fence. It may be sent again: an engine obeys one
-// number once.
+// Send sends an order with its fence. It may be repeated: an engine carries out
+// each number only once.
 func (i *Issuer) Send(ctx context.Context, f Fence, addr string) error {
 	const op = "send order"
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
