--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -1,5 +1,6 @@
-// Package claims keeps the records of requests that may not be repeated in the
-// platform's table service.
+// Package claims stores claims in the platform's table service. A claim is the
+// record under an idempotency key, which ensures that a request that must not be
+// repeated runs at most once.
 package claims
 
 import (
@@ -18,59 +19,61 @@
 	"ladderridge.example/daemon/platform"
 )
 
-// Prefix is followed by an organisation's name and the hash of a caller's key.
+// Prefix is the prefix of all claims' keys. The organisation's name and the hash
+// of the caller's key follow it.
 const Prefix = "claim/"
 
-// Kind says what sort of error the package met.
+// Kind classifies an error.
 type Kind string
 
 // The kinds of error.
 const (
-	// Unavailable means that nothing could be claimed; the request must not run.
+	// Unavailable means that no claim could be made; the request must not run.
 	Unavailable Kind = "claim unavailable"
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
 
-// maxSettling bounds the outcomes that wait for the platform.
+// maxSettling is the maximum number of background writes in progress. Beyond it
+// outcomes are dropped and counted as unrecorded.
 const maxSettling = 1000
 
-// settleFor is how long an outcome is tried to be recorded. After that repeats
-// are told that the outcome is unknown, which is true.
-const settleFor = 30 * time.Minute
+// settleTimeout is how long recording an outcome is retried. After that a repeat
+// of the request is answered that the outcome is unknown.
+const settleTimeout = 30 * time.Minute
 
-// settlePause bounds the pause between two tries.
-const settlePause = 5 * time.Second
+// maxSettleInterval is the maximum pause between two attempts.
+const maxSettleInterval = 5 * time.Second
 
-// Store makes and settles claims. Set its exported field before use.
+// Store makes claims and records their outcomes. Set Platform before use.
 type Store struct {
 	Platform *platform.Client
 
-	// Unrecorded counts outcomes that were given up.
+	// Unrecorded counts outcomes that could not be recorded.
 	Unrecorded atomic.Int64
 
 	settling atomic.Int64
 	wg       sync.WaitGroup
 }
 
-// Held is a claim that this daemon has won.
+// Held is a claim that this daemon holds.
 type Held struct {
 	Key     string
 	Version uint64
 	Record  claim.Record
 }
 
-// Key is the table service's key for a caller's key.
+// Key returns the key in the table service for an organisation and a caller's key.
 func Key(organisation, key string) string {
 	return Prefix + organisation + "/" + table.HashKey(key)
 }
 
-// Make creates the record under a key if there is none. It returns the claim
-// if it is this request's own, or else the record that was found.
+// Make creates the record under a key if there is none. It returns the claim if
+// this request holds it, and otherwise nil and the record that exists.
 func (s *Store) Make(ctx context.Context, key string, r claim.Record) (*Held, claim.Record, error) {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -90,21 +93,22 @@
 	return nil, claim.Record{}, &Error{Op: "make claim", Kind: Unavailable, Err: err}
 }
 
-// found reads the record that stands under a key; the request's own one may
-// stand there from a try whose answer was lost.
+// found decodes the record that exists under a key. It may be the request's own
+// record, from an earlier attempt whose answer was lost.
 func found(e platform.Entry, r claim.Record) (*Held, claim.Record, error) {
-	var there claim.Record
-	if err := json.Unmarshal(e.Value, &there); err != nil {
-		return nil, there, &Error{Op: "read claim", Kind: Unavailable, Err: err}
+	var stored claim.Record
+	if err := json.Unmarshal(e.Value, &stored); err != nil {
+		return nil, stored, &Error{Op: "read claim", Kind: Unavailable, Err: err}
 	}
-	if there.Claimer == r.Claimer {
-		return &Held{Key: e.Key, Version: e.Version, Record: r}, there, nil
+	if stored.Claimer == r.Claimer {
+		return &Held{Key: e.Key, Version: e.Version, Record: r}, stored, nil
 	}
-	return nil, there, nil
+	return nil, stored, nil
 }
 
-// readBack settles a claim whose answer was lost. If that fails too, the
-// request does not run, and the claim is withdrawn once the platform answers.
+// readBack reads a claim back after its write had an unknown outcome. If that
+// fails too, the request does not run, and the claim is removed once the
+// platform answers.
 func (s *Store) readBack(ctx context.Context, key string, r claim.Record, cause error) (*Held, claim.Record, error) {
 	e, err := s.Platform.Get(ctx, key)
 	if err == nil {
@@ -114,24 +118,24 @@
 	return nil, claim.Record{}, &Error{Op: "make claim", Kind: Unavailable, Err: errors.Join(cause, err)}
 }
 
-// Settle records the outcome of a claim in the background, until the platform
-// has it.
+// Settle records the outcome of a claim in the background, with retries until
+// the platform has stored it.
 func (s *Store) Settle(h *Held, r claim.Record) {
 	value, err := json.Marshal(r)
 	if err != nil {
 		s.Unrecorded.Add(1)
 		return
 	}
-	s.later(platform.Op{Key: h.Key, Expect: h.Version, Value: value})
+	s.writeLater(platform.Op{Key: h.Key, Expect: h.Version, Value: value})
 }
 
-// Release removes the claim of a request that certainly did not run, so that
-// a repeat may run.
+// Release removes the claim of a request that certainly did not run, so that a
+// repeat of it may run. It does so in the background.
 func (s *Store) Release(h *Held) {
-	s.later(platform.Op{Key: h.Key, Expect: h.Version, Delete: true})
+	s.writeLater(platform.Op{Key: h.Key, Expect: h.Version, Delete: true})
 }
 
-// withdrawLater removes a claim of which nobody knows whether it was made.
+// withdrawLater removes, in the background, a claim that may or may not exist.
 func (s *Store) withdrawLater(key string, r claim.Record) {
 	s.background(func(ctx context.Context) error {
 		e, err := s.Platform.Get(ctx, key)
@@ -149,12 +153,13 @@
 	})
 }
 
-func (s *Store) later(op platform.Op) {
+func (s *Store) writeLater(op platform.Op) {
 	s.background(func(ctx context.Context) error { return s.write(ctx, op) })
 }
 
-// write writes one operation. A conflict means that an earlier try, whose
-// answer was lost, took effect: nobody else writes a record that is there.
+// write performs one operation. A conflict counts as success: only the holder of
+// a claim changes its record, so an earlier attempt whose answer was lost must
+// have taken effect.
 func (s *Store) write(ctx context.Context, op platform.Op) error {
 	_, err := s.Platform.Write(ctx, platform.Txn{Ops: []platform.Op{op}})
 	if fault.Is(err, platform.Conflict) {
@@ -163,7 +168,7 @@
 	return err
 }
 
-// background runs a task until it succeeds or is given up.
+// background retries a task until it succeeds or settleTimeout has passed.
 func (s *Store) background(task func(context.Context) error) {
 	if s.settling.Add(1) > maxSettling {
 		s.settling.Add(-1)
@@ -172,21 +177,21 @@
 	}
 	s.wg.Go(func() {
 		defer s.settling.Add(-1)
-		pause := backoff.NewExponentialBackOff()
-		pause.MaxInterval = settlePause
+		interval := backoff.NewExponentialBackOff()
+		interval.MaxInterval = maxSettleInterval
 		ctx := context.Background()
 		_, err := backoff.Retry(ctx, func() (struct{}, error) { return struct{}{}, task(ctx) },
-			backoff.WithBackOff(pause), backoff.WithMaxElapsedTime(settleFor))
+			backoff.WithBackOff(interval), backoff.WithMaxElapsedTime(settleTimeout))
 		if err != nil {
 			s.Unrecorded.Add(1)
 		}
 	})
 }
 
-// Settling is how many outcomes wait for the platform.
+// Settling returns how many background writes are in progress.
 func (s *Store) Settling() int64 { return s.settling.Load() }
 
-// Wait waits until every outcome is recorded, or ctx ends.
+// Wait waits until all background writes have ended, or ctx ends.
 func (s *Store) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
