--- a/daemon/pins/pins.go
+++ b/daemon/pins/pins.go
@@ -1,5 +1,6 @@
-// Package pins agrees, through the platform's table service, on the version of
-// a session that its caller names but whose sealed token it does not carry.
+// Package pins stores which model version a session is pinned to in the
+// platform's table service. It is for callers that name a session but do not
+// send its sealed token, so that all daemons use the same version for it.
 package pins
 
 import (
@@ -14,36 +15,37 @@
 	"ladderridge.example/daemon/platform"
 )
 
-// Prefix is followed by an organisation's name and the hash of a session's.
+// Prefix is the prefix of all pins' keys. The organisation's name and the hash
+// of the session's name follow it.
 const Prefix = "pin/"
 
-// Kind says what sort of error the package met.
+// Kind classifies an error.
 type Kind string
 
 // Unavailable means that no version could be agreed on.
 const Unavailable Kind = "pin unavailable"
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
 
-// cacheSize is how many sessions a daemon remembers. A pin never changes, so
-// what is remembered is right for ever.
+// cacheSize is how many pins are cached. A pin never changes, so cached pins
+// need no invalidation.
 const cacheSize = 20_000
 
-// Store agrees on pins. Use New.
+// Store reads and creates pins. Get one from New.
 type Store struct {
 	platform *platform.Client
 	cache    *lru.Cache[string, table.Ref]
 }
 
-// New returns a store with nothing remembered.
+// New returns a store with an empty cache.
 func New(p *platform.Client) *Store {
 	cache, err := lru.New[string, table.Ref](cacheSize)
 	if err != nil {
-		// The size is a positive constant.
+		// lru.New fails only if the size is not positive.
 		panic(err)
 	}
 	return &Store{platform: p, cache: cache}
@@ -53,13 +55,13 @@
 	return Prefix + organisation + "/" + table.HashKey(session)
 }
 
-// Remembered returns the version of a session that this daemon has seen.
+// Remembered returns the version of a session from the cache.
 func (s *Store) Remembered(organisation, session string) (table.Ref, bool) {
 	return s.cache.Get(key(organisation, session))
 }
 
-// Agree returns the version that a session keeps: the proposed one, unless
-// another was agreed on before.
+// Agree pins a session to the proposed version, unless it is pinned already, and
+// returns the version that it is pinned to.
 func (s *Store) Agree(ctx context.Context, organisation, session string, proposed table.Ref) (table.Ref, error) {
 	k := key(organisation, session)
 	value, err := json.Marshal(proposed)
@@ -71,7 +73,7 @@
 		s.cache.Add(k, proposed)
 		return proposed, nil
 	}
-	e, err := s.standing(ctx, k, err)
+	e, err := s.storedPin(ctx, k, err)
 	if err != nil {
 		return table.Ref{}, &Error{Op: "agree on pin", Kind: Unavailable, Err: err}
 	}
@@ -83,9 +85,9 @@
 	return ref, nil
 }
 
-// standing returns the pin that stands after a write did not succeed plainly:
-// one that was there before, or this one if only its answer was lost.
-func (s *Store) standing(ctx context.Context, k string, cause error) (platform.Entry, error) {
+// storedPin returns the stored pin after a write that failed or whose outcome is
+// unknown: an earlier one, or the proposed one if only the answer was lost.
+func (s *Store) storedPin(ctx context.Context, k string, cause error) (platform.Entry, error) {
 	var conflict *platform.ConflictError
 	switch {
 	case errors.As(cause, &conflict) && len(conflict.Failed) == 1:
