--- a/daemon/record/record.go
+++ b/daemon/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps what was decided for the latest requests, and tells it
-// to those who watch.
+// Package record keeps records of the latest requests and the routing decisions
+// made for them, and sends new ones to watchers.
 package record
 
 import (
@@ -10,7 +10,7 @@
 	"ladderridge.example/core/route"
 )
 
-// Record is everything known of one request once it has ended.
+// Record describes a finished request.
 type Record struct {
 	Request      string    `json:"request"`
 	Organisation string    `json:"organisation"`
@@ -28,21 +28,22 @@
 	Code         string    `json:"code,omitempty"`
 	Tokens       int       `json:"tokens,omitempty"`
 	Cost         int64     `json:"cost,omitempty"`
-	// Spent is the cost of answers that were made and not given.
+	// Spent is the cost of answers that were generated but not returned to the caller.
 	Spent      int64        `json:"spent,omitempty"`
 	DurationMS float64      `json:"duration_ms"`
 	Steps      []route.Step `json:"steps"`
 }
 
-// Size is how many records are kept.
+// Size is the number of records that a Log keeps.
 const Size = 4096
 
-// watchBacklog is how many records wait for a slow watcher.
+// watchBacklog is the number of records or trace lines buffered for each watcher.
 const watchBacklog = 256
 
-// Log keeps the latest records. It is safe for concurrent use.
+// Log is a ring buffer of the latest records. It is safe for concurrent use.
 type Log struct {
-	// Missed counts records that a watcher was too slow for.
+	// Missed counts records that were not sent to a watcher because its buffer
+	// was full.
 	Missed atomic.Int64
 
 	mu       sync.Mutex
@@ -57,16 +58,16 @@
 	return &Log{byID: map[string]int{}, watchers: map[chan Record]struct{}{}}
 }
 
-// Add keeps a record and tells the watchers.
+// Add stores a record and sends it to the watchers.
 func (l *Log) Add(r Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := l.next % Size
-	if old := l.ring[at].Request; old != "" && l.byID[old] == at {
+	slot := l.next % Size
+	if old := l.ring[slot].Request; old != "" && l.byID[old] == slot {
 		delete(l.byID, old)
 	}
-	l.ring[at] = r
-	l.byID[r.Request] = at
+	l.ring[slot] = r
+	l.byID[r.Request] = slot
 	l.next++
 	for w := range l.watchers {
 		select {
@@ -77,18 +78,19 @@
 	}
 }
 
-// Find returns the record of a request, if it is still kept.
+// Find returns the record of a request, if it is still in the log.
 func (l *Log) Find(request string) (Record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at, ok := l.byID[request]
+	slot, ok := l.byID[request]
 	if !ok {
 		return Record{}, false
 	}
-	return l.ring[at], true
+	return l.ring[slot], true
 }
 
-// Watch returns a channel of the records to come, and a function that ends it.
+// Watch returns a channel that receives new records, and a function that ends
+// the subscription.
 func (l *Log) Watch() (<-chan Record, func()) {
 	w := make(chan Record, watchBacklog)
 	l.mu.Lock()
--- a/daemon/record/tracer.go
+++ b/daemon/record/tracer.go
@@ -9,8 +9,8 @@
 	"ladderridge.example/core/trace"
 )
 
-// Tracer writes decisions down for those who ask for a trace. It costs nothing
-// while nobody does.
+// Tracer records routing decisions for the listeners of a trace. Without
+// listeners it makes no copy of the view.
 type Tracer struct {
 	active atomic.Int32
 
@@ -18,10 +18,11 @@
 	sinks map[chan trace.Line]*route.View
 }
 
-// NewTracer returns a tracer that nobody listens to.
+// NewTracer returns a tracer without listeners.
 func NewTracer() *Tracer { return &Tracer{sinks: map[chan trace.Line]*route.View{}} }
 
-// Decide decides a request, and writes the decision down if somebody listens.
+// Decide makes the routing decision for a request, and sends it to the listeners
+// if there are any.
 func (t *Tracer) Decide(v *route.View, r route.Request, now time.Time) route.Decision {
 	if t.active.Load() == 0 {
 		return route.Decide(v, r, now)
@@ -37,8 +38,9 @@
 	return d
 }
 
-// write sends a decision to every sink, after its view if the sink has another
-// one. A sink that is too slow misses decisions, but never a decision's view.
+// write sends a decision to every listener, preceded by its view unless the
+// listener has received that view last. A slow listener misses decisions, but
+// never gets a decision without its view.
 func (t *Tracer) write(v *route.View, r trace.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +61,8 @@
 	}
 }
 
-// Listen returns a channel of the lines to come, and a function that ends it.
+// Listen returns a channel that receives new trace lines, and a function that
+// ends the subscription.
 func (t *Tracer) Listen() (<-chan trace.Line, func()) {
 	sink := make(chan trace.Line, watchBacklog)
 	t.mu.Lock()
