--- a/daemon/tablestore/store.go
+++ b/daemon/tablestore/store.go
@@ -1,6 +1,7 @@
-// Package tablestore keeps the operators' table in the platform's services:
-// each generation is one immutable object, and one key of the table service,
-// the head, names the newest.
+// Package tablestore stores the operators' configuration table in the
+// platform's services. Each generation of the table is an immutable object in
+// the object store, and one key of the table service, the head, names the newest
+// generation.
 package tablestore
 
 import (
@@ -22,54 +23,57 @@
 const (
 	// HeadKey holds the Head of the newest generation.
 	HeadKey = "config/head"
-	// HistoryPrefix is followed by a generation's number.
+	// HistoryPrefix is the prefix of the keys that hold the Head of each
+	// generation; the generation's number follows it.
 	HistoryPrefix = "config/history/"
 	objectPrefix  = "tables/"
 )
 
-// Kind says what sort of error the package met.
+// Kind classifies an error.
 type Kind string
 
 // The kinds of error.
 const (
-	// Stale is an edit made from a generation that is no longer the newest.
+	// Stale is an edit that is based on a generation that is no longer the newest.
 	Stale Kind = "stale edit"
-	// Unsettled is an edit of which nobody knows yet whether it took effect.
+	// Unsettled is an edit whose outcome is unknown.
 	Unsettled Kind = "edit unsettled"
-	// Unavailable means that the platform gave no answer; nothing was changed.
+	// Unavailable means that the platform did not answer; nothing was changed.
 	Unavailable Kind = "platform unavailable"
-	// Damaged is a stored table that does not fit its digest.
+	// Damaged is a stored head that does not decode, or a stored table that does
+	// not match its digest.
 	Damaged Kind = "damaged table"
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
 
-// Head names one generation.
+// Head describes one generation.
 type Head struct {
 	Number uint64 `json:"number"`
-	// Digest is the hex SHA-256 sum of the table's canonical file.
+	// Digest is the SHA-256 sum of the table's canonical encoding, in hexadecimal.
 	Digest string `json:"digest"`
-	// Edit is the edit's own id, by which its author finds it again.
+	// Edit is a random id of the edit, by which Apply recognises its own edit when
+	// the answer to the write was lost.
 	Edit   string    `json:"edit"`
 	Author string    `json:"author"`
 	Note   string    `json:"note,omitempty"`
 	At     time.Time `json:"at"`
 }
 
-// Object is the name of the generation's object.
+// Object returns the name of the generation's object.
 func (h Head) Object() string { return objectPrefix + h.Digest }
 
-// Store reads and writes generations. Set its field before use.
+// Store reads and writes generations. Set Platform before use.
 type Store struct {
 	Platform *platform.Client
 }
 
-// Newest returns the head and its version in the table service; both are zero
-// if no table was ever stored.
+// Newest returns the head of the newest generation and the version of its key;
+// both are zero if no table has been stored.
 func (s *Store) Newest(ctx context.Context) (Head, uint64, error) {
 	e, err := s.Platform.Get(ctx, HeadKey)
 	if fault.Is(err, platform.NotFound) {
@@ -90,7 +94,7 @@
 	return h, nil
 }
 
-// File returns a generation's file and checks it against its digest.
+// File returns the encoded table of a generation, checked against its digest.
 func (s *Store) File(ctx context.Context, h Head) ([]byte, error) {
 	data, err := s.Platform.GetObject(ctx, h.Object())
 	if err != nil {
@@ -98,12 +102,12 @@
 	}
 	sum := sha256.Sum256(data)
 	if hex.EncodeToString(sum[:]) != h.Digest {
-		return nil, &Error{Op: "read table", Kind: Damaged, Err: fmt.Errorf("generation %d does not fit its digest", h.Number)}
+		return nil, &Error{Op: "read table", Kind: Damaged, Err: fmt.Errorf("generation %d does not match its digest", h.Number)}
 	}
 	return data, nil
 }
 
-// Load returns the newest table with its head.
+// Load returns the newest table and its head.
 func (s *Store) Load(ctx context.Context) (*table.Table, Head, error) {
 	h, _, err := s.Newest(ctx)
 	if err != nil {
@@ -133,7 +137,7 @@
 
 // Edit is a change of the table.
 type Edit struct {
-	// From is the number of the generation that it was made from.
+	// From is the number of the generation that the edit is based on.
 	From   uint64
 	Table  *table.Table
 	Author string
@@ -141,12 +145,14 @@
 	At     time.Time
 }
 
-// settleTries bounds the reads that settle a lost answer.
-const settleTries = 5
+// maxSettleAttempts is the maximum number of calls made to find out the outcome
+// of a write.
+const maxSettleAttempts = 5
 
 // Apply stores an edit as the next generation. If the newest generation is not
-// the one the edit was made from, it changes nothing and fails with Stale. A
-// lost answer is settled by reading whether the edit is there.
+// the one that the edit is based on, it changes nothing and fails with Stale. If
+// the answer to the write is lost, it reads the head back to find out whether
+// the edit took effect.
 func (s *Store) Apply(ctx context.Context, e Edit) (Head, error) {
 	const op = "apply table"
 	newest, version, err := s.Newest(ctx)
@@ -179,11 +185,11 @@
 	return Head{}, &Error{Op: op, Kind: Unavailable, Err: err}
 }
 
-// putFile stores the object. One that is there already has the same contents,
-// since its name is its digest; so a lost answer is tried once more.
+// putFile stores the object. An existing object has the same contents, because
+// its name is its digest, so a write with an unknown outcome is simply retried.
 func (s *Store) putFile(ctx context.Context, h Head, data []byte) error {
 	var err error
-	for range settleTries {
+	for range maxSettleAttempts {
 		err = s.Platform.PutObject(ctx, h.Object(), data)
 		if err == nil || fault.Is(err, platform.Conflict) {
 			return nil
@@ -195,11 +201,11 @@
 	return err
 }
 
-// settle finds out whether an edit whose answer was lost, or which met a
-// conflict that may be its own earlier success, took effect.
+// settle finds out whether an edit took effect after its write had an unknown
+// outcome, or a conflict that may be due to its own earlier success.
 func (s *Store) settle(ctx context.Context, h Head, cause error) (Head, error) {
 	const op = "apply table"
-	for range settleTries {
+	for range maxSettleAttempts {
 		e, err := s.Platform.Get(ctx, historyKey(h.Number))
 		if fault.Is(err, platform.NotFound) {
 			return Head{}, &Error{Op: op, Kind: Unavailable, Err: cause}
@@ -207,14 +213,14 @@
 		if err != nil {
 			continue
 		}
-		there, err := decodeHead(e.Value)
+		stored, err := decodeHead(e.Value)
 		if err != nil {
 			return Head{}, err
 		}
-		if there.Edit == h.Edit {
+		if stored.Edit == h.Edit {
 			return h, nil
 		}
-		return there, &Error{Op: op, Kind: Stale, Err: fmt.Errorf("%s stored generation %d first", there.Author, there.Number)}
+		return stored, &Error{Op: op, Kind: Stale, Err: fmt.Errorf("%s stored generation %d first", stored.Author, stored.Number)}
 	}
-	return Head{}, &Error{Op: op, Kind: Unsettled, Err: errors.Join(errors.New("look with `ladderridge table history` before you apply again: edit "+h.Edit), cause)}
+	return Head{}, &Error{Op: op, Kind: Unsettled, Err: errors.Join(errors.New("the outcome is unknown, check `ladderridge table history` before applying it again: edit "+h.Edit), cause)}
 }
