--- a/daemon/platform/client.go
+++ b/daemon/platform/client.go
@@ -16,20 +16,21 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxAnswer bounds an answer of the platform, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes is the maximum size of a response of the platform.
+const maxResponseBytes = 64 << 20
 
 // Client calls the platform. Set its exported fields before the first call.
 type Client struct {
-	// URL is the platform's base address.
+	// URL is the base URL of the platform's services.
 	URL string
-	// Hall is this process's data hall.
+	// Hall is the data hall of this process.
 	Hall string
-	// Timeout bounds one call; 0 takes DefaultTimeout.
+	// Timeout is the timeout of one call; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// HTTP makes the calls; nil takes http.DefaultClient.
+	// HTTP is the client for the calls; nil means http.DefaultClient.
 	HTTP *http.Client
-	// Calls and Bytes count what was asked, for the control budget.
+	// Calls and Bytes count the calls and the bytes sent and received, which are
+	// checked against the budget for control traffic.
 	Calls atomic.Int64
 	Bytes atomic.Int64
 }
@@ -41,7 +42,7 @@
 	return e, err
 }
 
-// List reads the keys with a prefix that sort after the given key.
+// List reads up to limit keys with a prefix that sort after the given key.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) ([]Entry, error) {
 	q := url.Values{"prefix": {prefix}, "after": {after}, "limit": {strconv.Itoa(limit)}}
 	var l Listing
@@ -60,14 +61,14 @@
 	return res.Entries, err
 }
 
-// PutObject stores an object if there is none of that name.
+// PutObject stores an object if none of that name exists.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
 	return c.call(ctx, "put object", http.MethodPut, PathObjects+name, data, nil)
 }
 
 // GetObject reads an object.
 func (c *Client) GetObject(ctx context.Context, name string) ([]byte, error) {
-	var raw rawAnswer
+	var raw rawResponse
 	err := c.call(ctx, "get object", http.MethodGet, PathObjects+name, nil, &raw)
 	return raw, err
 }
@@ -83,7 +84,7 @@
 	return &l, nil
 }
 
-// Ratings reads the ratings that came after sequence number after.
+// Ratings reads up to limit ratings with a sequence number greater than after.
 func (c *Client) Ratings(ctx context.Context, after uint64, limit int) ([]Rating, error) {
 	var rs Ratings
 	path := PathRatings + "?after=" + strconv.FormatUint(after, 10) + "&limit=" + strconv.Itoa(limit)
@@ -91,8 +92,8 @@
 	return rs.Ratings, err
 }
 
-// rawAnswer takes an answer's body as it is.
-type rawAnswer []byte
+// rawResponse is a response body that is not decoded.
+type rawResponse []byte
 
 func (c *Client) call(ctx context.Context, op, method, path string, body []byte, answer any) error {
 	timeout := c.Timeout
@@ -113,7 +114,7 @@
 		return &Error{Op: op, Kind: sendKind(method, err), Err: merry.Wrap(err)}
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	c.Bytes.Add(int64(len(data)))
 	if err != nil {
 		return &Error{Op: op, Kind: lostKind(method), Err: merry.Wrap(err)}
@@ -128,7 +129,7 @@
 	return c.HTTP
 }
 
-// decode turns the platform's answer into a value or a typed error.
+// decode turns a response of the platform into a value or a typed error.
 func decode(op, method string, resp *http.Response, data []byte, answer any) error {
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusCreated:
@@ -143,18 +144,18 @@
 	case http.StatusNotFound:
 		return &Error{Op: op, Kind: NotFound}
 	case http.StatusServiceUnavailable:
-		// By the platform's protocol a 503 has had no effect.
-		return &Error{Op: op, Kind: Unreachable, Err: merry.New("the platform says 503")}
+		// According to the platform's protocol a call answered with 503 had no effect.
+		return &Error{Op: op, Kind: Unreachable, Err: merry.New("the platform answered 503")}
 	default:
 		if resp.StatusCode >= http.StatusInternalServerError {
-			return &Error{Op: op, Kind: lostKind(method), Err: merry.Errorf("the platform says %d", resp.StatusCode)}
+			return &Error{Op: op, Kind: lostKind(method), Err: merry.Errorf("the platform answered %d", resp.StatusCode)}
 		}
-		return &Error{Op: op, Kind: Refused, Err: merry.Errorf("the platform says %d: %s", resp.StatusCode, data)}
+		return &Error{Op: op, Kind: Refused, Err: merry.Errorf("the platform answered %d: %s", resp.StatusCode, data)}
 	}
 	switch a := answer.(type) {
 	case nil:
 		return nil
-	case *rawAnswer:
+	case *rawResponse:
 		*a = data
 		return nil
 	default:
@@ -165,7 +166,8 @@
 	}
 }
 
-// sendKind tells a call that never left from one whose answer was lost.
+// sendKind returns the kind of error of a call that got no response: it
+// distinguishes a call that was never sent from one whose response was lost.
 func sendKind(method string, err error) Kind {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
@@ -174,7 +176,8 @@
 	return lostKind(method)
 }
 
-// lostKind is what a lost answer means: reads have no effect to be unsure of.
+// lostKind returns the kind of error of a call whose response was lost. Only
+// writes have an unknown outcome, since reads have no effect.
 func lostKind(method string) Kind {
 	if method == http.MethodGet {
 		return Unreachable
--- a/daemon/platform/error.go
+++ b/daemon/platform/error.go
@@ -6,26 +6,27 @@
 	"ladderridge.example/core/fault"
 )
 
-// Kind says what sort of error the package met.
+// Kind classifies an error.
 type Kind string
 
 // The kinds of error.
 const (
-	// Unreachable means that the call certainly had no effect.
+	// Unreachable means that the call failed and certainly had no effect.
 	Unreachable Kind = "platform unreachable"
-	// RateLimited means that the call had no effect and may be tried later.
+	// RateLimited means that the call had no effect and may be retried later.
 	RateLimited Kind = "platform rate limit"
-	// Unknown means that the call may have taken effect: the answer was lost.
+	// Unknown means that the call may have taken effect: its response was lost.
 	Unknown Kind = "outcome unknown"
-	// Conflict means that a condition of a write did not hold.
+	// Conflict means that a condition of a write did not hold, so that nothing
+	// was written.
 	Conflict Kind = "conflict"
-	// NotFound means that there is no such key or object.
+	// NotFound means that the key or object does not exist.
 	NotFound Kind = "not found"
-	// Refused means that the platform finds the call itself wrong.
+	// Refused means that the platform rejected the call as invalid.
 	Refused Kind = "refused"
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
@@ -33,17 +34,17 @@
 
 // RetryError is the cause of a RateLimited error.
 type RetryError struct {
-	// After is when the platform says to come back.
+	// After is how long the platform asks to wait before a retry.
 	After time.Duration
 }
 
 // Error implements the error interface.
-func (e *RetryError) Error() string { return "come back in " + e.After.String() }
+func (e *RetryError) Error() string { return "retry after " + e.After.String() }
 
 // ConflictError is the cause of a Conflict error.
 type ConflictError struct {
-	// Failed are the operations whose condition did not hold, with the key's
-	// version now.
+	// Failed lists the keys whose conditions did not hold, with their current
+	// versions and values.
 	Failed []Entry
 }
 
--- a/daemon/platform/types.go
+++ b/daemon/platform/types.go
@@ -1,6 +1,6 @@
-// Package platform speaks to the platform's services: the transactional table
-// service, the object store, the list of VMs and the rating service. The
-// protocol is HTTP with JSON bodies; docs/PLATFORM.md describes it.
+// Package platform is the client of the platform's services: the transactional
+// table service, the object store, the list of VMs and the rating service. The
+// protocol is HTTP with JSON bodies, described in docs/PLATFORM.md.
 package platform
 
 import "time"
@@ -14,15 +14,16 @@
 	PathRatings = "/ratings"
 )
 
-// Entry is one key of the table service. Version 0 means that it is absent.
+// Entry is one key of the table service. Version 0 means that the key does not
+// exist.
 type Entry struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Value   []byte `json:"value,omitempty"`
 }
 
-// Op is one conditional operation of a transaction: if the key is at version
-// Expect (0: absent), put Value, or delete the key.
+// Op is one conditional operation of a transaction: if the key has version
+// Expect (0: it does not exist), it sets Value or, with Delete, deletes the key.
 type Op struct {
 	Key    string `json:"key"`
 	Expect uint64 `json:"expect"`
@@ -30,23 +31,23 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Txn is a transaction: all of its operations take effect or none.
+// Txn is a transaction: either all of its operations take effect or none.
 type Txn struct {
 	Ops []Op `json:"ops"`
 }
 
-// TxnResult answers a transaction. With a conflict, Entries are the keys whose
-// conditions did not hold; otherwise all keys with their new versions.
+// TxnResult is the response to a transaction. After a conflict, Entries lists the
+// keys whose conditions did not hold, otherwise all keys with their new versions.
 type TxnResult struct {
 	Entries []Entry `json:"entries"`
 }
 
-// Listing answers a list by prefix.
+// Listing is the response to a list call.
 type Listing struct {
 	Entries []Entry `json:"entries"`
 }
 
-// Role is what a VM is for.
+// Role is the role of a VM.
 type Role string
 
 // The roles of VMs.
@@ -56,34 +57,35 @@
 	RoleService Role = "service"
 )
 
-// VM is one VM of the platform's list.
+// VM is an entry of the platform's list of VMs.
 type VM struct {
 	ID   string `json:"id"`
 	Role Role   `json:"role"`
 	Hall string `json:"hall"`
-	// Addr is where callers, or for engines and services the daemons, reach
-	// it: an IP number and a port.
+	// Addr is the IP address and port for requests: from callers to entry VMs,
+	// and from daemons to engines and services.
 	Addr string `json:"addr"`
 	// Peer is the UDP address for other daemons; only entry VMs have one.
 	Peer string `json:"peer,omitempty"`
 	// Admin is the address for operators; only entry VMs have one.
 	Admin string `json:"admin,omitempty"`
-	// Service is the plain service's name; only service VMs have one.
+	// Service is the name of the VM's service; only service VMs have one.
 	Service string `json:"service,omitempty"`
-	// ChecksFence tells that an engine refuses orders with an old fence.
+	// ChecksFence reports whether an engine checks fences, and so refuses
+	// orders with an outdated one.
 	ChecksFence bool `json:"checks_fence,omitempty"`
-	// Leaving VMs will be gone soon.
+	// Leaving reports whether the VM will be shut down soon.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// VMList is the list as the platform last knew it.
+// VMList is the platform's list of VMs.
 type VMList struct {
-	// Version grows with every change.
+	// Version increases with every change.
 	Version uint64 `json:"version"`
 	VMs     []VM   `json:"vms"`
 }
 
-// Rating is one rated answer.
+// Rating is the rating of one answer.
 type Rating struct {
 	Seq          uint64  `json:"seq"`
 	Request      string  `json:"request"`
@@ -94,31 +96,34 @@
 	Score        float64 `json:"score"`
 }
 
-// Ratings answers a read of the rating service.
+// Ratings is the response of the rating service.
 type Ratings struct {
 	Ratings []Rating `json:"ratings"`
 }
 
-// Fault is what the admin call of the platform stand-in sets for one service.
+// Fault describes the faults to inject into one service of the platform
+// stand-in, set by its admin call.
 type Fault struct {
 	// Service is table, objects, vms or ratings.
 	Service string `json:"service"`
 	// Down refuses every call.
 	Down bool `json:"down"`
-	// SlowMS delays every answer, in milliseconds.
+	// SlowMS is the delay of every response, in milliseconds.
 	SlowMS int `json:"slow_ms"`
-	// LoseAnswers drops the answers of that many writes after their effect.
+	// LoseAnswers is the number of writes that take effect but get no response.
 	LoseAnswers int `json:"lose_answers"`
-	// RatePerSecond bounds the calls a second; 0 is no bound.
+	// RatePerSecond is the rate limit in calls a second; 0 means no limit.
 	RatePerSecond float64 `json:"rate_per_s"`
-	// LagMS is how old the VM list is, in milliseconds.
+	// LagMS is how far the list of VMs lags behind, in milliseconds.
 	LagMS int `json:"lag_ms"`
-	// CutHalls cannot reach the service; daemons name their data hall.
+	// CutHalls lists the data halls from which the service is unreachable. Clients
+	// name their data hall in HeaderHall.
 	CutHalls []string `json:"cut_halls,omitempty"`
 }
 
-// HeaderHall names the caller's data hall, so that a stand-in can cut it off.
+// HeaderHall names the client's data hall, so that the stand-in can simulate that
+// it is cut off.
 const HeaderHall = "Ladderridge-Hall"
 
-// DefaultTimeout bounds one call to the platform.
+// DefaultTimeout is the default timeout of one call to the platform.
 const DefaultTimeout = 2 * time.Second
