--- a/daemon/cmd/ladderridge/cmd_load.go
+++ b/daemon/cmd/ladderridge/cmd_load.go
@@ -45,7 +45,7 @@
 // showResult prints `name: value unit` lines.
 func showResult(r load.Result) {
 	fmt.Printf("sent: %d requests\nanswered whole: %d requests\nrefused: %d requests\nbroken: %d requests\ntokens: %d tokens\n",
-		r.Sent, r.Whole, r.Refused, r.Broken, r.Tokens)
+		r.Sent, r.Complete, r.Refused, r.Broken, r.Tokens)
 	for _, v := range slices.Sorted(maps.Keys(r.Versions)) {
 		fmt.Printf("version %s: %d requests\n", v, r.Versions[v])
 	}
--- a/daemon/load/load.go
+++ b/daemon/load/load.go
@@ -53,7 +53,7 @@
 // Result holds the counts and latencies of a run.
 type Result struct {
 	Sent     int
-	Whole    int
+	Complete int
 	Refused  int
 	Broken   int
 	Tokens   int64
@@ -154,7 +154,7 @@
 	case !out.complete:
 		r.Broken++
 	default:
-		r.Whole++
+		r.Complete++
 		r.Versions[out.version]++
 		_ = r.FirstToken.RecordValue(out.first.Microseconds())
 		_ = r.Total.RecordValue(out.total.Microseconds())
--- a/daemon/scenario/bench_measure_test.go
+++ b/daemon/scenario/bench_measure_test.go
@@ -55,15 +55,15 @@
 	c.platform.SetVMs(c.vms)
 	direct, routed := "http://"+c.vms[len(c.vms)-1].Addr, "http://"+c.daemons["entry-0"].callers
 	c.await("the daemon knows the engine", func() bool {
-		return plan(routed, false, 1, 1).Run(context.Background()).Whole == 1
+		return plan(routed, false, 1, 1).Run(context.Background()).Complete == 1
 	})
 	const rounds = 5
 	var d50, d99, r50, r99, ratio []float64
 	for range rounds {
 		d := plan(direct, true, 1, 3000).Run(context.Background())
 		r := plan(routed, false, 1, 3000).Run(context.Background())
-		if d.Whole != d.Sent || r.Whole != r.Sent {
-			t.Fatalf("answered whole: %d of %d direct, %d of %d routed", d.Whole, d.Sent, r.Whole, r.Sent)
+		if d.Complete != d.Sent || r.Complete != r.Sent {
+			t.Fatalf("answered whole: %d of %d direct, %d of %d routed", d.Complete, d.Sent, r.Complete, r.Sent)
 		}
 		d50 = append(d50, float64(d.Total.ValueAtQuantile(50)))
 		d99 = append(d99, float64(d.Total.ValueAtQuantile(99)))
@@ -82,7 +82,7 @@
 	r := plan(routed, false, 16, 30_000).Run(context.Background())
 	used := c.daemons["entry-0"].cpu(t) - before
 	figure("throughput routed, 16 workers", float64(r.Sent)/r.Elapsed.Seconds(), "requests/s")
-	figure("throughput per core of the daemon", float64(r.Whole)/used, "requests/s")
+	figure("throughput per core of the daemon", float64(r.Complete)/used, "requests/s")
 	d := plan(direct, true, 16, 30_000).Run(context.Background())
 	figure("throughput direct, 16 workers", float64(d.Sent)/d.Elapsed.Seconds(), "requests/s")
 	p := plan(routed, false, 16, 2000)
@@ -113,8 +113,8 @@
 	})
 	figure("memory per open stream", 1024*(c.daemons["entry-0"].memory(t)-before)/streams, "KB")
 	e.SetFault(standin.EngineFault{})
-	if r := <-done; r.Whole != streams {
-		t.Errorf("%d of %d streams are whole", r.Whole, streams)
+	if r := <-done; r.Complete != streams {
+		t.Errorf("%d of %d streams are whole", r.Complete, streams)
 	}
 }
 
