--- a/daemon/cmd/ladderridge/cmd_load.go
+++ b/daemon/cmd/ladderridge/cmd_load.go
@@ -24,7 +24,7 @@
 			}
 			r := p.Run(cmd.Context())
 			showResult(r)
-			if r.Broken > 0 || r.Moved > 0 {
+			if r.Broken > 0 || r.VersionChanges > 0 {
 				return usageError("answers were broken or sessions moved")
 			}
 			return nil
--- a/daemon/load/load.go
+++ b/daemon/load/load.go
@@ -65,8 +65,8 @@
 	// FirstToken and Total are histograms of latencies in microseconds.
 	FirstToken *hdrhistogram.Histogram
 	Total      *hdrhistogram.Histogram
-	// Moved counts answers with another model version than their session had before.
-	Moved int
+	// VersionChanges counts answers with another model version than their session had before.
+	VersionChanges int
 }
 
 // run is the execution of a plan.
@@ -162,7 +162,7 @@
 		r.Requests = r.Requests[max(0, len(r.Requests)-recentRequests):]
 	}
 	if out.versionChanged {
-		r.Moved++
+		r.VersionChanges++
 	}
 }
 
