--- a/daemon/load/load.go
+++ b/daemon/load/load.go
@@ -46,8 +46,8 @@
 	// sends them without sessions.
 	Sessions int
 	HTTP     *http.Client
-	// Echo reports whether the targets are engines, which require an attempt id.
-	Echo bool
+	// EngineTargets reports whether the targets are engines, which require an attempt id.
+	EngineTargets bool
 }
 
 // Result holds the counts and latencies of a run.
@@ -201,7 +201,7 @@
 func (r *run) setHeaders(req *http.Request, n int, pin *sessionPin) {
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+r.Key)
-	if r.Echo {
+	if r.EngineTargets {
 		id := fmt.Sprintf("load-%d", n)
 		req.Header.Set(wire.HeaderAttempt, id)
 		req.Header.Set(wire.HeaderRequest, id)
@@ -256,7 +256,7 @@
 		if len(chunk.Choices) == 0 {
 			continue
 		}
-		if !r.Echo && !strings.Contains(string(chunk.Choices[0].Delta.Content), out.id) {
+		if !r.EngineTargets && !strings.Contains(string(chunk.Choices[0].Delta.Content), out.id) {
 			return
 		}
 		if out.tokens == 0 {
--- a/daemon/scenario/bench_measure_test.go
+++ b/daemon/scenario/bench_measure_test.go
@@ -41,7 +41,7 @@
 
 // plan is the load that is sent directly and through a daemon in turn.
 func plan(target string, echo bool, workers, requests int) *load.Plan {
-	return &load.Plan{Targets: []string{target}, Key: otherKey, Model: "roster", MaxTokens: 4, Requests: requests, Workers: workers, Echo: echo}
+	return &load.Plan{Targets: []string{target}, Key: otherKey, Model: "roster", MaxTokens: 4, Requests: requests, Workers: workers, EngineTargets: echo}
 }
 
 // TestBenchLatency measures what a daemon adds to an engine stand-in's latency,
