--- a/daemon/control/placer.go
+++ b/daemon/control/placer.go
@@ -53,7 +53,7 @@
 	addr := l.servers.byID[order.Engine].vm.Addr
 	p.busy = true
 	go func() {
-		f, err := p.issuer.Give(l.ctx, order, addr)
+		f, err := p.issuer.Issue(l.ctx, order, addr)
 		switch {
 		case err == nil:
 			l.Log.Info().Str("engine", order.Engine).Str("action", string(order.Action)).Str("version", order.Ref.String()).
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -68,8 +68,8 @@
 	Holder string
 }
 
-// Give obtains a fence and sends an order to the engine at an address.
-func (i *Issuer) Give(ctx context.Context, o placement.Order, addr string) (Fence, error) {
+// Issue obtains a fence and sends an order to the engine at an address.
+func (i *Issuer) Issue(ctx context.Context, o placement.Order, addr string) (Fence, error) {
 	f, err := i.fence(ctx, o)
 	if err != nil {
 		return f, err
