--- a/daemon/front/session.go
+++ b/daemon/front/session.go
@@ -32,7 +32,7 @@
 	case name == wire.SessionNew:
 		return session{name: j.id}, nil
 	}
-	ref, ok := j.front.Pins.Remembered(j.tenant.Organisation.Name, name)
+	ref, ok := j.front.Pins.Cached(j.tenant.Organisation.Name, name)
 	if !ok {
 		return session{name: name, needsAgreement: true}, nil
 	}
--- a/daemon/pins/pins.go
+++ b/daemon/pins/pins.go
@@ -55,8 +55,8 @@
 	return Prefix + organisation + "/" + table.HashKey(session)
 }
 
-// Remembered returns the version of a session from the cache.
-func (s *Store) Remembered(organisation, session string) (table.Ref, bool) {
+// Cached returns the version of a session from the cache.
+func (s *Store) Cached(organisation, session string) (table.Ref, bool) {
 	return s.cache.Get(key(organisation, session))
 }
 
