--- a/daemon/record/record.go
+++ b/daemon/record/record.go
@@ -42,9 +42,9 @@
 
 // Log is a ring buffer of the latest records. It is safe for concurrent use.
 type Log struct {
-	// Missed counts records that were not sent to a watcher because its buffer
+	// Dropped counts records that were not sent to a watcher because its buffer
 	// was full.
-	Missed atomic.Int64
+	Dropped atomic.Int64
 
 	mu       sync.Mutex
 	ring     [Size]Record
@@ -73,7 +73,7 @@
 		select {
 		case w <- r:
 		default:
-			l.Missed.Add(1)
+			l.Dropped.Add(1)
 		}
 	}
 }
