--- a/daemon/record/record.go
+++ b/daemon/record/record.go
@@ -34,8 +34,8 @@
 	Steps      []route.Step `json:"steps"`
 }
 
-// Size is the number of records that a Log keeps.
-const Size = 4096
+// Capacity is the number of records that a Log keeps.
+const Capacity = 4096
 
 // watchBacklog is the number of records or trace lines buffered for each watcher.
 const watchBacklog = 256
@@ -47,7 +47,7 @@
 	Dropped atomic.Int64
 
 	mu       sync.Mutex
-	ring     [Size]Record
+	ring     [Capacity]Record
 	next     int
 	byID     map[string]int
 	watchers map[chan Record]struct{}
@@ -62,7 +62,7 @@
 func (l *Log) Add(r Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	slot := l.next % Size
+	slot := l.next % Capacity
 	if old := l.ring[slot].Request; old != "" && l.byID[old] == slot {
 		delete(l.byID, old)
 	}
