--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend sends one attempt to a backend server and tells what became
-// of it.
+// Package backend sends one attempt of a request to a backend server and reports
+// its outcome.
 package backend
 
 import (
@@ -22,24 +22,23 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// Kind says what sort of error the package met.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of error.
 const (
-	// Gated is an attempt that the last check stopped.
+	// Gated means that the check before sending failed; nothing was sent.
 	Gated Kind = "stopped at the gate"
-	// Unreachable is a server that could not be connected to.
+	// Unreachable means that the request did not reach the server.
 	Unreachable Kind = "server unreachable"
-	// Declined is a server that says that it did not take the request on.
+	// Declined means that the server reported that it did not accept the request.
 	Declined Kind = "server declined"
-	// Broken is an answer that broke off or never came.
+	// Broken means that the answer was interrupted or did not arrive.
 	Broken Kind = "answer broken"
-	// Crossed is an answer to another attempt.
+	// Crossed means that the answer belongs to another attempt.
 	Crossed Kind = "answer to another request"
 )
 
-// String names the kind.
+// String implements fmt.Stringer.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
@@ -49,25 +48,25 @@
 
 // Client sends attempts. Use New.
 type Client struct {
-	// Channels are the connections to servers. Nothing is sent again on them
-	// behind the client's back.
+	// Channels is the pool of connections to servers. It never resends a request
+	// without the client's knowledge.
 	Channels *channel.Pool
-	// CrossedAnswers counts answers that were dropped because they belonged to
-	// another attempt.
+	// CrossedAnswers counts the answers that were dropped because they belonged
+	// to another attempt.
 	CrossedAnswers atomic.Int64
 }
 
-// New returns a client.
+// New returns a client with an empty connection pool.
 func New() *Client { return &Client{Channels: channel.NewPool()} }
 
-// Exchange is one attempt's request.
+// Exchange is the request of one attempt.
 type Exchange struct {
 	Attempt *attempt.Attempt
 	Request string
 	Key     string
 	Server  *route.Server
 	Method  string
-	// Target is the escaped path with its query.
+	// Target is the escaped path with the query.
 	Target string
 	Header http.Header
 	Body   []byte
@@ -75,25 +74,26 @@
 	Once bool
 	// Offset is the index of the first token to stream.
 	Offset int
-	// NeedEcho demands that the server names the attempt in its answer.
+	// NeedEcho requires the server to name the attempt in its answer.
 	NeedEcho bool
-	// Gate is the last check before any byte goes out.
+	// Gate is the last check before any byte is sent.
 	Gate func() error
-	// Ended, if set, is called when the server has its place back.
+	// Ended, if set, is called when the server's slot has been released.
 	Ended func()
-	// Noticed, if set, is told of what the server says of itself that was not known.
+	// Noticed, if set, is called with a server's notice that contains new information.
 	Noticed func(n notice.Notice)
 }
 
-// hear keeps what the server says of itself with an answer, whatever becomes of that.
-func (x *Exchange) hear(n notice.Notice) {
+// recordNotice stores the notice that came with an answer, whether or not the answer is
+// used.
+func (x *Exchange) recordNotice(n notice.Notice) {
 	if n.Any() && x.Server.State.Notices.Observe(n, time.Now()) && x.Noticed != nil {
 		x.Noticed(n)
 	}
 }
 
-// readNotice reads what a server says of itself.
-func readNotice(status int, h http.Header) notice.Notice {
+// parseNotice parses the notice in the status and headers of an answer.
+func parseNotice(status int, h http.Header) notice.Notice {
 	declines := status == http.StatusServiceUnavailable && h.Get(wire.HeaderDeclined) == wire.DeclinedLeaving
 	return notice.Notice{
 		Leaving: declines || h.Get(wire.HeaderLeaving) == wire.LeavingYes,
@@ -101,28 +101,28 @@
 	}
 }
 
-// leave gives the server its place back.
-func (x *Exchange) leave() {
+// release releases the server's slot.
+func (x *Exchange) release() {
 	x.Server.State.InFlight.Add(-1)
 	if x.Ended != nil {
 		x.Ended()
 	}
 }
 
-// Reply is a server's answer whose body is still to be read.
+// Reply is a server's answer whose body has not been read yet.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// InFlight is the load that the server reported, or -1.
+	// InFlight is the number of requests in flight that the server reported, or -1.
 	InFlight int
 
 	exchange *Exchange
 	answer   *channel.Reply
 }
 
-// Send sends an exchange. When it fails, the attempt's outcome says whether
-// the request may have run.
+// Send sends an exchange. If it fails, the state of x.Attempt tells whether the
+// request may have run.
 func (c *Client) Send(ctx context.Context, x Exchange) (*Reply, error) {
 	x.Server.State.InFlight.Add(1)
 	answer, err := c.Channels.Send(ctx, x.request())
@@ -131,18 +131,18 @@
 		return nil, &Error{Op: opSend, Kind: Gated, Err: err}
 	}
 	if err != nil {
-		x.leave()
-		return nil, failed(x.Attempt, err)
+		x.release()
+		return nil, sendError(x.Attempt, err)
 	}
 	reply := &Reply{Status: answer.Status, Header: answer.Header, Body: answer, InFlight: -1, exchange: &x, answer: answer}
 	if n, err := strconv.Atoi(answer.Header.Get(wire.HeaderLoad)); err == nil && n >= 0 {
 		reply.InFlight = n
 	}
-	x.hear(readNotice(answer.Status, answer.Header))
-	return c.check(x, reply)
+	x.recordNotice(parseNotice(answer.Status, answer.Header))
+	return c.checkHeader(x, reply)
 }
 
-// request is what is sent to the server.
+// request builds the request to the server.
 func (x *Exchange) request() channel.Request {
 	h := x.Header.Clone()
 	h.Set(wire.HeaderAttempt, x.Attempt.ID)
@@ -153,7 +153,7 @@
 	if x.Offset > 0 {
 		h.Set(wire.HeaderOffset, strconv.Itoa(x.Offset))
 	}
-	r := channel.Request{Gate: x.pass, Addr: x.Server.Addr, Host: x.Server.Addr, Method: x.Method, Target: x.Target, Header: h, Body: x.Body, Sized: x.Method == http.MethodPost || x.Method == http.MethodPut}
+	r := channel.Request{Gate: x.checkBeforeSend, Addr: x.Server.Addr, Host: x.Server.Addr, Method: x.Method, Target: x.Target, Header: h, Body: x.Body, Sized: x.Method == http.MethodPost || x.Method == http.MethodPut}
 	if x.Once {
 		r.RestAtMost = channel.OnceRest
 	}
@@ -169,17 +169,19 @@
 	return nil
 }
 
-// pass is the last moment before a byte leaves: the connection is there, which may
-// have taken as long as a pause of this process.
-func (x *Exchange) pass() error {
+// checkBeforeSend runs the last check before the first byte is sent. It runs once the
+// connection is open, as connecting takes time and the process may have been
+// suspended meanwhile.
+func (x *Exchange) checkBeforeSend() error {
 	if err := x.Gate(); err != nil {
 		return err
 	}
 	return advance(x.Attempt, attempt.Pass, attempt.Send)
 }
 
-// failed tells a server that was sent nothing from a lost answer.
-func failed(a *attempt.Attempt, err error) error {
+// sendError returns the error for a sendError send. It tells whether the request cannot
+// have run, or whether only its answer was lost.
+func sendError(a *attempt.Attempt, err error) error {
 	var e *channel.Error
 	if errors.As(err, &e) && e.Kind.NotRun() {
 		if e := a.On(attempt.Decline); e != nil {
@@ -193,15 +195,15 @@
 	return &Error{Op: opSend, Kind: Broken, Err: err}
 }
 
-// check reads from the answer's head whether the server took the request on
-// and whether the answer belongs to it.
-func (c *Client) check(x Exchange, reply *Reply) (*Reply, error) {
-	if why := reply.Header.Get(wire.HeaderDeclined); why != "" && reply.Status == http.StatusServiceUnavailable {
+// checkHeader determines from the header of the answer whether the server accepted the
+// request and whether the answer belongs to this attempt.
+func (c *Client) checkHeader(x Exchange, reply *Reply) (*Reply, error) {
+	if reason := reply.Header.Get(wire.HeaderDeclined); reason != "" && reply.Status == http.StatusServiceUnavailable {
 		reply.close()
 		if err := x.Attempt.On(attempt.Decline); err != nil {
 			return nil, err
 		}
-		return nil, &Error{Op: opSend, Kind: Declined, Err: merry.New(why)}
+		return nil, &Error{Op: opSend, Kind: Declined, Err: merry.New(reason)}
 	}
 	echo := reply.Header.Get(wire.HeaderAttempt)
 	if echo != x.Attempt.ID && (x.NeedEcho || echo != "") {
@@ -218,31 +220,31 @@
 	return reply, nil
 }
 
-// Full reports whether an error says that the server has no place now.
+// Full reports whether err says that the server has no free slot.
 func Full(err error) bool { return declined(err, wire.DeclinedFull) }
 
-// NotLoaded reports whether an error says that the server has not loaded the version.
+// NotLoaded reports whether err says that the server has not loaded the version.
 func NotLoaded(err error) bool { return declined(err, wire.DeclinedNotLoaded) }
 
-func declined(err error, why string) bool {
+func declined(err error, reason string) bool {
 	var e *Error
-	return errors.As(err, &e) && e.Kind == Declined && e.Err != nil && e.Err.Error() == why
+	return errors.As(err, &e) && e.Kind == Declined && e.Err != nil && e.Err.Error() == reason
 }
 
-// close frees the connection and the server's place.
+// close releases the connection and the server's slot.
 func (r *Reply) close() {
 	r.answer.Close()
-	r.exchange.leave()
+	r.exchange.release()
 }
 
-// Finish ends an answer that arrived whole.
+// Finish ends the attempt after a complete answer.
 func (r *Reply) Finish() error {
 	err := r.exchange.Attempt.On(attempt.Finish)
 	r.close()
 	return err
 }
 
-// Lose ends an answer that broke off; cause says how.
+// Lose ends the attempt after an interrupted answer; cause is the error.
 func (r *Reply) Lose(cause error) error {
 	r.close()
 	if err := r.exchange.Attempt.On(attempt.Lose); err != nil {
@@ -251,8 +253,8 @@
 	return &Error{Op: "read answer", Kind: Broken, Err: cause}
 }
 
-// ReadAll reads a body to its proper end, at most limit bytes, and finishes
-// the attempt. The channel checks the body against its length or last chunk.
+// ReadAll reads the complete body, at most limit bytes, and ends the attempt. The
+// channel checks the body against its Content-Length or its last chunk.
 func (r *Reply) ReadAll(limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err == nil && int64(len(data)) > limit {
--- a/daemon/backend/stream.go
+++ b/daemon/backend/stream.go
@@ -10,18 +10,18 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+// maxLine is the maximum size of a line of a stream, in bytes.
+const maxLine = 1 << 20
 
-// Stream reads the events of a server-sent stream.
+// Stream reads server-sent events.
 type Stream struct {
 	scanner *bufio.Scanner
 }
 
-// NewStream reads events from a body.
+// NewStream returns a stream that reads events from body.
 func NewStream(body io.Reader) *Stream {
 	s := bufio.NewScanner(body)
-	s.Buffer(make([]byte, 0, 4<<10), maxEvent)
+	s.Buffer(make([]byte, 0, 4<<10), maxLine)
 	return &Stream{scanner: s}
 }
 
@@ -31,13 +31,13 @@
 )
 
 // Next returns the data of the next event, which is valid until the next call.
-// At the terminator last is true. A stream that ends in any other way fails.
+// At the terminator, last is true. A stream that ends without it is an error.
 func (s *Stream) Next() (data []byte, last bool, err error) {
 	for s.scanner.Scan() {
 		line := bytes.TrimSuffix(s.scanner.Bytes(), []byte("\r"))
 		rest, ok := bytes.CutPrefix(line, dataField)
 		if !ok {
-			// Other fields, comments and the empty line between events.
+			// Skip other fields, comments and the empty line between events.
 			continue
 		}
 		rest = bytes.TrimPrefix(rest, []byte(" "))
--- a/daemon/backend/stream_test.go
+++ b/daemon/backend/stream_test.go
@@ -7,8 +7,8 @@
 	"ladderridge.example/daemon/backend"
 )
 
-// whole reports whether a stream ended by its terminator.
-func whole(body string) bool {
+// complete reports whether a stream ends with its terminator.
+func complete(body string) bool {
 	s := backend.NewStream(strings.NewReader(body))
 	for {
 		_, last, err := s.Next()
@@ -28,18 +28,18 @@
 		"data: [DONE":                         false,
 		"data: [DONE] x\n":                    false,
 	} {
-		if got := whole(body); got != want {
-			t.Errorf("%q: whole is %v", body, got)
+		if got := complete(body); got != want {
+			t.Errorf("%q: complete is %v", body, got)
 		}
 	}
 }
 
-// FuzzStream checks that a stream is whole only if a line says so.
+// FuzzStream checks that no stream without a terminator is complete.
 func FuzzStream(f *testing.F) {
 	f.Add("data: a\n\ndata: [DONE]\n\n")
 	f.Fuzz(func(t *testing.T, body string) {
-		if whole(body) && !strings.Contains(body, "[DONE]") {
-			t.Fatal("whole without a terminator")
+		if complete(body) && !strings.Contains(body, "[DONE]") {
+			t.Fatal("stream is complete without a terminator")
 		}
 	})
 }
