--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -26,8 +26,8 @@
 type Kind string
 
 const (
-	// Gated means that the check before sending failed; nothing was sent.
-	Gated Kind = "stopped at the gate"
+	// StoppedBeforeSend means that the check before sending failed; nothing was sent.
+	StoppedBeforeSend Kind = "stopped at the gate"
 	// Unreachable means that the request did not reach the server.
 	Unreachable Kind = "server unreachable"
 	// Declined means that the server reported that it did not accept the request.
@@ -128,7 +128,7 @@
 	answer, err := c.Channels.Send(ctx, x.request())
 	if fault.Is(err, channel.Gated) {
 		x.Server.State.InFlight.Add(-1)
-		return nil, &Error{Op: opSend, Kind: Gated, Err: err}
+		return nil, &Error{Op: opSend, Kind: StoppedBeforeSend, Err: err}
 	}
 	if err != nil {
 		x.release()
--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -75,7 +75,7 @@
 // attempt.
 func (j *job) reportFailure(server string, ref table.Ref, err error) {
 	switch {
-	case fault.Is(err, backend.Gated):
+	case fault.Is(err, backend.StoppedBeforeSend):
 	case backend.NotLoaded(err):
 		j.front.Control.Observe(control.Declined{Server: server, NotLoaded: ref})
 	case backend.Full(err):
