--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -32,8 +32,8 @@
 	Unreachable Kind = "server unreachable"
 	// Declined means that the server reported that it did not accept the request.
 	Declined Kind = "server declined"
-	// Broken means that the answer was interrupted or did not arrive.
-	Broken Kind = "answer broken"
+	// Interrupted means that the answer was interrupted or did not arrive.
+	Interrupted Kind = "answer broken"
 	// Crossed means that the answer belongs to another attempt.
 	Crossed Kind = "answer to another request"
 )
@@ -192,7 +192,7 @@
 	if e := a.On(attempt.Lose); e != nil {
 		return e
 	}
-	return &Error{Op: opSend, Kind: Broken, Err: err}
+	return &Error{Op: opSend, Kind: Interrupted, Err: err}
 }
 
 // checkHeader determines from the header of the answer whether the server accepted the
@@ -250,7 +250,7 @@
 	if err := r.exchange.Attempt.On(attempt.Lose); err != nil {
 		return err
 	}
-	return &Error{Op: "read answer", Kind: Broken, Err: cause}
+	return &Error{Op: "read answer", Kind: Interrupted, Err: cause}
 }
 
 // ReadAll reads the complete body, at most limit bytes, and ends the attempt. The
--- a/daemon/front/quarantine.go
+++ b/daemon/front/quarantine.go
@@ -102,7 +102,7 @@
 	switch {
 	case channel.ConnectionRefused(err):
 		f.serverExited(instanceOf(s))
-	case fault.Is(err, backend.Broken):
+	case fault.Is(err, backend.Interrupted):
 		f.probe(instanceOf(s))
 	}
 }
