--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -34,8 +34,8 @@
 	Declined Kind = "server declined"
 	// Interrupted means that the answer was interrupted or did not arrive.
 	Interrupted Kind = "answer broken"
-	// Crossed means that the answer belongs to another attempt.
-	Crossed Kind = "answer to another request"
+	// Mismatched means that the answer belongs to another attempt.
+	Mismatched Kind = "answer to another request"
 )
 
 // String implements fmt.Stringer.
@@ -212,7 +212,7 @@
 		if err := x.Attempt.On(attempt.Lose); err != nil {
 			return nil, err
 		}
-		return nil, &Error{Op: opSend, Kind: Crossed, Err: fmt.Errorf("the answer names attempt %q", echo)}
+		return nil, &Error{Op: opSend, Kind: Mismatched, Err: fmt.Errorf("the answer names attempt %q", echo)}
 	}
 	if err := x.Attempt.On(attempt.Answer); err != nil {
 		return nil, err
