--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -51,9 +51,9 @@
 	// Channels is the pool of connections to servers. It never resends a request
 	// without the client's knowledge.
 	Channels *channel.Pool
-	// CrossedAnswers counts the answers that were dropped because they belonged
+	// MismatchedReplies counts the answers that were dropped because they belonged
 	// to another attempt.
-	CrossedAnswers atomic.Int64
+	MismatchedReplies atomic.Int64
 }
 
 // New returns a client with an empty connection pool.
@@ -207,7 +207,7 @@
 	}
 	echo := reply.Header.Get(wire.HeaderAttempt)
 	if echo != x.Attempt.ID && (x.NeedEcho || echo != "") {
-		c.CrossedAnswers.Add(1)
+		c.MismatchedReplies.Add(1)
 		reply.close()
 		if err := x.Attempt.On(attempt.Lose); err != nil {
 			return nil, err
--- a/daemon/process/metrics.go
+++ b/daemon/process/metrics.go
@@ -31,7 +31,7 @@
 	counter("control_platform_calls_total", "Calls of the platform.", func() float64 { return float64(p.control.Platform.Calls.Load()) })
 	counter("control_platform_bytes_total", "Bytes to and from the platform.", func() float64 { return float64(p.control.Platform.Bytes.Load()) })
 	counter("control_dropped_facts_total", "Facts from traffic that found the inbox full.", func() float64 { return float64(p.control.DroppedObservations.Load()) })
-	counter("crossed_answers_total", "Answers dropped because they belonged to another request.", func() float64 { return float64(p.backend.CrossedAnswers.Load()) })
+	counter("crossed_answers_total", "Answers dropped because they belonged to another request.", func() float64 { return float64(p.backend.MismatchedReplies.Load()) })
 	counter("claims_unrecorded_total", "Outcomes of claims that were given up.", func() float64 { return float64(p.claims.Unrecorded.Load()) })
 	gauge("requests_open", "Requests under way.", func() float64 { return float64(p.front.InFlight.Load()) })
 	gauge("table_generation", "The table generation in force.", func() float64 { return float64(p.control.Snapshot().View.Generation.Number) })
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -240,7 +240,7 @@
 		Control: c, Peers: p.peers.Usage(), SettlingClaims: p.claims.Settling(),
 		Front: FrontDump{
 			Requests: p.front.Requests.Load(), Answered: p.front.Answered.Load(), Refused: p.front.Refused.Load(),
-			InFlight: p.front.InFlight.Load(), Queued: p.front.Queued(), BillsNotReplicated: p.front.BillsNotReplicated.Load(), CrossedAnswers: p.backend.CrossedAnswers.Load(),
+			InFlight: p.front.InFlight.Load(), Queued: p.front.Queued(), BillsNotReplicated: p.front.BillsNotReplicated.Load(), CrossedAnswers: p.backend.MismatchedReplies.Load(),
 		},
 	}, nil
 }
