--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -76,8 +76,8 @@
 	Offset int
 	// NeedEcho requires the server to name the attempt in its answer.
 	NeedEcho bool
-	// Gate is the last check before any byte is sent.
-	Gate func() error
+	// BeforeSend is the last check before any byte is sent.
+	BeforeSend func() error
 	// Ended, if set, is called when the server's slot has been released.
 	Ended func()
 	// Noticed, if set, is called with a server's notice that contains new information.
@@ -173,7 +173,7 @@
 // connection is open, as connecting takes time and the process may have been
 // suspended meanwhile.
 func (x *Exchange) checkBeforeSend() error {
-	if err := x.Gate(); err != nil {
+	if err := x.BeforeSend(); err != nil {
 		return err
 	}
 	return advance(x.Attempt, attempt.Pass, attempt.Send)
--- a/daemon/front/call.go
+++ b/daemon/front/call.go
@@ -73,7 +73,7 @@
 	reply, err := c.sendAttempt(backend.Exchange{
 		Attempt: a, Request: c.id, Key: c.key, Server: c.server, Method: c.r.Method, Target: c.target,
 		Header: forwardedHeaders(c.r.Header), Body: c.body, Once: c.atMostOnce,
-		Gate: func() error {
+		BeforeSend: func() error {
 			view := c.front.Control.Snapshot().View
 			return route.GateCall(view, c.tenant.Organisation.Name, c.service, c.r.Method, c.path, c.server.ID, time.Now())
 		},
--- a/daemon/front/chat.go
+++ b/daemon/front/chat.go
@@ -128,7 +128,7 @@
 	return backend.Exchange{
 		Attempt: a, Request: c.id, Key: c.key, Server: c.sent.Server, Method: http.MethodPost, Target: wire.PathChat,
 		Header: http.Header{"Content-Type": {"application/json"}}, Body: body, Once: c.atMostOnce, Offset: offset, NeedEcho: true,
-		Gate: c.gate(c.sent.Ref, c.sent.Server.ID, pinned),
+		BeforeSend: c.gate(c.sent.Ref, c.sent.Server.ID, pinned),
 	}
 }
 
--- a/daemon/front/quarantine.go
+++ b/daemon/front/quarantine.go
@@ -71,9 +71,9 @@
 // trackAttempt registers an attempt with the tracker, so that it becomes a suspect
 // if its server exits while it is in progress.
 func (j *job) trackAttempt(x *backend.Exchange) {
-	instance, gate, ended := instanceOf(x.Server), x.Gate, x.Ended
+	instance, gate, ended := instanceOf(x.Server), x.BeforeSend, x.Ended
 	var run *quarantine.Run
-	x.Gate = func() error {
+	x.BeforeSend = func() error {
 		if err := gate(); err != nil {
 			return err
 		}
