--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -78,8 +78,8 @@
 	NeedEcho bool
 	// BeforeSend is the last check before any byte is sent.
 	BeforeSend func() error
-	// Ended, if set, is called when the server's slot has been released.
-	Ended func()
+	// OnRelease, if set, is called when the server's slot has been released.
+	OnRelease func()
 	// Noticed, if set, is called with a server's notice that contains new information.
 	Noticed func(n notice.Notice)
 }
@@ -104,8 +104,8 @@
 // release releases the server's slot.
 func (x *Exchange) release() {
 	x.Server.State.InFlight.Add(-1)
-	if x.Ended != nil {
-		x.Ended()
+	if x.OnRelease != nil {
+		x.OnRelease()
 	}
 }
 
--- a/daemon/front/quarantine.go
+++ b/daemon/front/quarantine.go
@@ -71,7 +71,7 @@
 // trackAttempt registers an attempt with the tracker, so that it becomes a suspect
 // if its server exits while it is in progress.
 func (j *job) trackAttempt(x *backend.Exchange) {
-	instance, gate, ended := instanceOf(x.Server), x.BeforeSend, x.Ended
+	instance, gate, ended := instanceOf(x.Server), x.BeforeSend, x.OnRelease
 	var run *quarantine.Run
 	x.BeforeSend = func() error {
 		if err := gate(); err != nil {
@@ -82,7 +82,7 @@
 		run = j.front.quarantineState.tracker.Begin(instance, j.fingerprint, func() {}, time.Now())
 		return nil
 	}
-	x.Ended = func() {
+	x.OnRelease = func() {
 		ended()
 		if run == nil {
 			return
--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -30,7 +30,7 @@
 func (j *job) sendAttempt(x backend.Exchange, ref table.Ref) (*backend.Reply, error) {
 	start := time.Now()
 	x.Noticed = func(n notice.Notice) { j.handleNotice(x.Server.ID, n) }
-	x.Ended = func() {
+	x.OnRelease = func() {
 		now := time.Now()
 		x.Server.State.ClearFull()
 		j.front.waitQueues.recordServed(j.poolOf(ref), now.Sub(start), j.front.Control.Snapshot().View, now)
