--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -80,15 +80,15 @@
 	BeforeSend func() error
 	// OnRelease, if set, is called when the server's slot has been released.
 	OnRelease func()
-	// Noticed, if set, is called with a server's notice that contains new information.
-	Noticed func(n notice.Notice)
+	// OnNotice, if set, is called with a server's notice that contains new information.
+	OnNotice func(n notice.Notice)
 }
 
 // recordNotice stores the notice that came with an answer, whether or not the answer is
 // used.
 func (x *Exchange) recordNotice(n notice.Notice) {
-	if n.Any() && x.Server.State.Notices.Observe(n, time.Now()) && x.Noticed != nil {
-		x.Noticed(n)
+	if n.Any() && x.Server.State.Notices.Observe(n, time.Now()) && x.OnNotice != nil {
+		x.OnNotice(n)
 	}
 }
 
--- a/daemon/front/send.go
+++ b/daemon/front/send.go
@@ -29,7 +29,7 @@
 // sendAttempt sends one attempt and records its result.
 func (j *job) sendAttempt(x backend.Exchange, ref table.Ref) (*backend.Reply, error) {
 	start := time.Now()
-	x.Noticed = func(n notice.Notice) { j.handleNotice(x.Server.ID, n) }
+	x.OnNotice = func(n notice.Notice) { j.handleNotice(x.Server.ID, n) }
 	x.OnRelease = func() {
 		now := time.Now()
 		x.Server.State.ClearFull()
