--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -48,16 +48,16 @@
 
 // Client sends attempts. Use New.
 type Client struct {
-	// Channels is the pool of connections to servers. It never resends a request
+	// Pool is the pool of connections to servers. It never resends a request
 	// without the client's knowledge.
-	Channels *channel.Pool
+	Pool *channel.Pool
 	// MismatchedReplies counts the answers that were dropped because they belonged
 	// to another attempt.
 	MismatchedReplies atomic.Int64
 }
 
 // New returns a client with an empty connection pool.
-func New() *Client { return &Client{Channels: channel.NewPool()} }
+func New() *Client { return &Client{Pool: channel.NewPool()} }
 
 // Exchange is the request of one attempt.
 type Exchange struct {
@@ -125,7 +125,7 @@
 // request may have run.
 func (c *Client) Send(ctx context.Context, x Exchange) (*Reply, error) {
 	x.Server.State.InFlight.Add(1)
-	answer, err := c.Channels.Send(ctx, x.request())
+	answer, err := c.Pool.Send(ctx, x.request())
 	if fault.Is(err, channel.Gated) {
 		x.Server.State.InFlight.Add(-1)
 		return nil, &Error{Op: opSend, Kind: StoppedBeforeSend, Err: err}
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -84,7 +84,7 @@
 	p.records = record.NewLog()
 	tracer := record.NewTracer()
 	p.backend = backend.New()
-	p.backend.Channels.Listed = p.listedAddrs
+	p.backend.Pool.Listed = p.listedAddrs
 	p.claims = &claims.Store{Platform: client}
 	p.front = front.New()
 	p.control = control.New()
@@ -136,7 +136,7 @@
 	serving := suture.New("serving", spec)
 	serving.Add(supervise.Part{Name: "front", Run: p.front.Run})
 	serving.Add(supervise.Part{Name: "admin", Run: p.admin.Run})
-	serving.Add(supervise.Part{Name: "channels", Run: p.backend.Channels.Run})
+	serving.Add(supervise.Part{Name: "channels", Run: p.backend.Pool.Run})
 	root.Add(coordination)
 	root.Add(serving)
 	return root
