--- a/daemon/storesync/calls_test.go
+++ b/daemon/storesync/calls_test.go
@@ -28,8 +28,8 @@
 // totalCalls sums the calls of all daemons to the store.
 func totalCalls(syncers map[string]*storesync.Syncer) int64 {
 	n := int64(0)
-	for _, k := range syncers {
-		n += k.Calls.Load()
+	for _, d := range syncers {
+		n += d.Calls.Load()
 	}
 	return n
 }
@@ -57,8 +57,8 @@
 		if n := totalCalls(all); n > 150 {
 			t.Errorf("%d store calls", n)
 		}
-		for id, k := range all {
-			if age := k.View().ConfigAge(time.Now()); age > 2*time.Second {
+		for id, d := range all {
+			if age := d.View().ConfigAge(time.Now()); age > 2*time.Second {
 				t.Errorf("%s: age of the configuration is %v", id, age)
 			}
 		}
@@ -85,8 +85,8 @@
 		if n := totalCalls(all); n > 75 {
 			t.Errorf("%d store calls", n)
 		}
-		for id, k := range all {
-			if age := k.View().ConfigAge(time.Now()); age > 2*time.Second || k.View().Servers == nil {
+		for id, d := range all {
+			if age := d.View().ConfigAge(time.Now()); age > 2*time.Second || d.View().Servers == nil {
 				t.Errorf("%s: age of the configuration is %v", id, age)
 			}
 		}
@@ -104,8 +104,8 @@
 		_, all := startHallFirstTime(t, 6)
 		for _, want := range []int{0, 6} {
 			advance(200 * time.Millisecond)
-			for id, k := range all {
-				if n := k.View().Daemons; n != want {
+			for id, d := range all {
+				if n := d.View().Daemons; n != want {
 					t.Errorf("%s: number of daemons is %d, want %d", id, n, want)
 				}
 			}
@@ -124,11 +124,11 @@
 		delete(s.network.syncers, first)
 		s.network.mu.Unlock()
 		advance(5 * time.Second)
-		for id, k := range all {
+		for id, d := range all {
 			if id == first {
 				continue
 			}
-			if age := k.View().ConfigAge(time.Now()); age > 2*time.Second || k.View().Servers == nil {
+			if age := d.View().ConfigAge(time.Now()); age > 2*time.Second || d.View().Servers == nil {
 				t.Errorf("%s: age of the configuration is %v", id, age)
 			}
 		}
@@ -157,8 +157,8 @@
 		advance(2 * time.Second)
 		s.writeConfig(2, "k")
 		advance(time.Second)
-		for id, k := range all {
-			if v := k.View(); v.Map.Number != 2 {
+		for id, d := range all {
+			if v := d.View(); v.Map.Number != 2 {
 				t.Errorf("%s has configuration %d after the store recovered", id, v.Map.Number)
 			}
 		}
@@ -181,8 +181,8 @@
 		}
 		for range 20 {
 			advance(500 * time.Millisecond)
-			for id, k := range all {
-				if age := k.View().ConfigAge(time.Now()); age > 3500*time.Millisecond {
+			for id, d := range all {
+				if age := d.View().ConfigAge(time.Now()); age > 3500*time.Millisecond {
 					t.Errorf("%s: age of the configuration is %v", id, age)
 				}
 			}
@@ -205,16 +205,16 @@
 		for id := range gone {
 			s.links[id].fail(errDown)
 		}
-		k := s.startDaemon("new")
+		d := s.startDaemon("new")
 		for range 20 {
 			advance(500 * time.Millisecond)
-			if age := k.View().ConfigAge(time.Now()); age > 3*time.Second {
+			if age := d.View().ConfigAge(time.Now()); age > 3*time.Second {
 				t.Errorf("age of the configuration is %v", age)
 			}
 		}
 		s.store.set(gossip.Servers, "x", "v1")
 		advance(time.Second)
-		if len(serverIDs(k)) != 1 {
+		if len(serverIDs(d)) != 1 {
 			t.Error("a new server is not known")
 		}
 	})
@@ -305,8 +305,8 @@
 	)
 	for passed := time.Duration(0); passed < during; passed += step {
 		advance(step)
-		for id, k := range all {
-			if age := k.View().ConfigAge(time.Now()); age > oldest {
+		for id, d := range all {
+			if age := d.View().ConfigAge(time.Now()); age > oldest {
 				s.t.Errorf("served %v: %s: age of the configuration is %v after %v", served, id, age, passed)
 				return
 			}
--- a/daemon/storesync/evidence_test.go
+++ b/daemon/storesync/evidence_test.go
@@ -17,8 +17,8 @@
 	inBubble(t, func(t *testing.T) {
 		s, syncers := startRollout(t, 3, 90)
 		var first, second int
-		for i, k := range syncers {
-			if !k.ReadsStore() {
+		for i, d := range syncers {
+			if !d.ReadsStore() {
 				first, second = second, i
 			}
 		}
@@ -58,8 +58,8 @@
 		}
 		observeFailures(reader, 2)
 		advance(2 * time.Second)
-		for i, k := range []*storesync.Syncer{a, b} {
-			if k == reader {
+		for i, d := range []*storesync.Syncer{a, b} {
+			if d == reader {
 				s.cancels[i]()
 			}
 		}
@@ -82,9 +82,9 @@
 		s, syncers := startRollout(t, 3, 40)
 		observeBoth := func(n int, factor float64) {
 			for i := range n {
-				k, usual := syncers[i%len(syncers)], typicalRatio(i)
-				k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
-				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: factor * usual, Server: "new"})
+				d, typical := syncers[i%len(syncers)], typicalRatio(i)
+				d.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: typical})
+				d.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: factor * typical, Server: "new"})
 			}
 		}
 		observeBoth(60, 1)
--- a/daemon/storesync/export_test.go
+++ b/daemon/storesync/export_test.go
@@ -12,11 +12,11 @@
 
 // NewServerList returns a list of servers with the given rows.
 func NewServerList(d Decoder, rows []gossip.Row) *ServerList {
-	k := New()
-	k.Decoder = d
-	k.topics[gossip.Servers].replace(rows, revision.New(1, 1), time.Now(), time.Now())
-	k.readServers(time.Now())
-	return &ServerList{syncer: k}
+	s := New()
+	s.Decoder = d
+	s.topics[gossip.Servers].replace(rows, revision.New(1, 1), time.Now(), time.Now())
+	s.readServers(time.Now())
+	return &ServerList{syncer: s}
 }
 
 // ApplyRow applies one changed row read from the store.
--- a/daemon/storesync/halls_test.go
+++ b/daemon/storesync/halls_test.go
@@ -12,10 +12,10 @@
 )
 
 // usedHalls returns the halls to which a daemon would send requests.
-func usedHalls(k *storesync.Syncer) map[string]bool {
+func usedHalls(d *storesync.Syncer) map[string]bool {
 	out := map[string]bool{}
 	for i := range uint64(50) {
-		if s, ok := k.View().Servers.Choose(fleet.Criteria{Service: "s", Affinity: i + 1}, time.Now()); ok {
+		if s, ok := d.View().Servers.Choose(fleet.Criteria{Service: "s", Affinity: i + 1}, time.Now()); ok {
 			out[s.Hall] = true
 		}
 	}
@@ -54,25 +54,25 @@
 		advance(time.Second)
 		syncers = append(syncers, s.startDaemonIn("late", "a"))
 		advance(time.Second)
-		for i, k := range syncers {
-			if used := usedHalls(k); used["b"] || !used["a"] {
+		for i, d := range syncers {
+			if used := usedHalls(d); used["b"] || !used["a"] {
 				t.Errorf("daemon %d uses the halls %v", i, used)
 			}
-			if age := time.Since(k.View().Drained["b"]); age > 2*time.Second {
+			if age := time.Since(d.View().Drained["b"]); age > 2*time.Second {
 				t.Errorf("daemon %d: the hall is drained since %v ago", i, age)
 			}
 		}
 		s.store.set(gossip.Operator, "empty/a", "{}")
 		advance(time.Second)
-		for i, k := range syncers {
-			if used := usedHalls(k); len(used) > 0 {
+		for i, d := range syncers {
+			if used := usedHalls(d); len(used) > 0 {
 				t.Errorf("with both halls drained daemon %d uses %v", i, used)
 			}
 		}
 		s.store.set(gossip.Operator, "empty/b", "")
 		advance(time.Second)
-		for i, k := range syncers {
-			if used := usedHalls(k); used["a"] || !used["b"] {
+		for i, d := range syncers {
+			if used := usedHalls(d); used["a"] || !used["b"] {
 				t.Errorf("with one hall no longer drained daemon %d uses %v", i, used)
 			}
 		}
@@ -100,8 +100,8 @@
 		advance(1500 * time.Millisecond)
 		s.store.set(gossip.Servers, "b9", "v1@b")
 		advance(time.Second)
-		for i, k := range syncers {
-			if usedHalls(k)["b"] {
+		for i, d := range syncers {
+			if usedHalls(d)["b"] {
 				t.Errorf("daemon %d uses the drained hall", i)
 			}
 		}
@@ -121,8 +121,8 @@
 // coldShares sums the requests per second that all daemons may send to a cold server, and counts the
 // daemons that consider it cold.
 func coldShares(syncers []*storesync.Syncer, id string) (sum, cold int) {
-	for _, k := range syncers {
-		s := server(k, id)
+	for _, d := range syncers {
+		s := server(d, id)
 		if s == nil {
 			continue
 		}
--- a/daemon/storesync/harness_test.go
+++ b/daemon/storesync/harness_test.go
@@ -110,8 +110,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := storeCopy{version: s.version, tables: map[gossip.Topic]map[string]gossip.Row{}, removed: slices.Clone(s.removed)}
-	for topic, of := range s.tables {
-		out.tables[topic] = maps.Clone(of)
+	for topic, rows := range s.tables {
+		out.tables[topic] = maps.Clone(rows)
 	}
 	return out
 }
@@ -122,8 +122,8 @@
 	defer s.mu.Unlock()
 	s.era++
 	s.version, s.removed, s.tables = from.version, slices.Clone(from.removed), map[gossip.Topic]map[string]gossip.Row{}
-	for topic, of := range from.tables {
-		s.tables[topic] = maps.Clone(of)
+	for topic, rows := range from.tables {
+		s.tables[topic] = maps.Clone(rows)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -181,7 +181,7 @@
 	if l.isUnresponsive() {
 		return storesync.Page{}, waitForCancel(ctx)
 	}
-	down, hold, _ := l.faults()
+	down, delay, _ := l.faults()
 	if down != nil {
 		return storesync.Page{}, down
 	}
@@ -190,38 +190,38 @@
 	p := l.since(topic, 0)
 	p.Removed = nil
 	l.fakeStore.mu.Unlock()
-	time.Sleep(hold)
+	time.Sleep(delay)
 	return p, nil
 }
 
 func (l *link) Follow(ctx context.Context, topic gossip.Topic, after revision.Revision, wait time.Duration) (storesync.Page, error) {
 	timeout := clock.After(wait)
 	for {
-		down, hold, _ := l.faults()
+		down, delay, _ := l.faults()
 		if down != nil {
 			return storesync.Page{}, down
 		}
 		l.fakeStore.mu.Lock()
 		p, changed := l.since(topic, after.Number), l.changed
-		lost, other := after.Number < l.historyLostTo, after.Era != l.era
+		lost, otherEra := after.Number < l.historyLostTo, after.Era != l.era
 		l.fakeStore.mu.Unlock()
 		if l.isUnresponsive() {
 			return storesync.Page{}, waitForCancel(ctx)
 		}
-		if other {
+		if otherEra {
 			return storesync.Page{}, &storesync.Error{Op: "follow", Kind: storesync.EraChanged}
 		}
 		if lost {
 			return storesync.Page{}, &storesync.Error{Op: "follow", Kind: storesync.HistoryLost}
 		}
 		if len(p.Rows)+len(p.Removed) > 0 {
-			time.Sleep(hold)
+			time.Sleep(delay)
 			return p, nil
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			time.Sleep(hold)
+			time.Sleep(delay)
 			return p, nil
 		case <-ctx.Done():
 			return storesync.Page{}, &storesync.Error{Op: "follow", Kind: storesync.Unavailable, Err: ctx.Err()}
@@ -230,7 +230,7 @@
 }
 
 func (l *link) Write(_ context.Context, topic gossip.Topic, key string, data []byte, was revision.Revision) error {
-	down, _, lose := l.faults()
+	down, _, loseAnswer := l.faults()
 	if down != nil {
 		return down
 	}
@@ -240,7 +240,7 @@
 		return &storesync.Error{Op: "write", Kind: storesync.Conflict}
 	}
 	l.put(topic, key, string(data))
-	if lose {
+	if loseAnswer {
 		return errDown
 	}
 	if was.Era != l.era {
@@ -356,14 +356,14 @@
 func (s sender) Send(id, _ string, m any) {
 	s.network.mu.Lock()
 	defer s.network.mu.Unlock()
-	if tell, ok := m.(gossip.Response); ok {
-		s.network.sessions += len(tell.Sessions)
+	if response, ok := m.(gossip.Response); ok {
+		s.network.sessions += len(response.Sessions)
 	}
-	k := s.network.syncers[id]
-	if k == nil || s.network.muted[s.from] {
+	d := s.network.syncers[id]
+	if d == nil || s.network.muted[s.from] {
 		return
 	}
-	deliver := func() { k.HandleMessage(s.from, m) }
+	deliver := func() { d.HandleMessage(s.from, m) }
 	if s.network.delaying[id] {
 		s.network.delayed[id] = append(s.network.delayed[id], deliver)
 		return
@@ -432,32 +432,32 @@
 // startDaemonIn starts a daemon in a hall.
 func (s *cluster) startDaemonIn(id, hall string) *storesync.Syncer {
 	s.t.Helper()
-	k := storesync.New()
+	d := storesync.New()
 	l := &link{fakeStore: s.store}
-	k.Store, k.Decoder, k.Peers = l, decoder{}, sender{s.network, id}
+	d.Store, d.Decoder, d.Peers = l, decoder{}, sender{s.network, id}
 	if s.newDecoder != nil {
-		k.Decoder = s.newDecoder(id)
+		d.Decoder = s.newDecoder(id)
 	}
-	k.Self = storesync.Member{ID: id, Hall: hall, Addr: id, Public: make([]byte, 32), Start: 1}
-	k.Log = log.Logger{Level: log.PanicLevel}
-	k.ColdOverage, k.ColdSlack = 1.5, 5
-	k.FirstStart, k.Seed = s.firstStart, xxhash.Sum64String(id)
+	d.Self = storesync.Member{ID: id, Hall: hall, Addr: id, Public: make([]byte, 32), Start: 1}
+	d.Log = log.Logger{Level: log.PanicLevel}
+	d.ColdOverage, d.ColdSlack = 1.5, 5
+	d.FirstStart, d.Seed = s.firstStart, xxhash.Sum64String(id)
 	s.network.mu.Lock()
-	s.network.syncers[id] = k
+	s.network.syncers[id] = d
 	s.network.mu.Unlock()
-	k.SuspendClock = func() time.Duration { return time.Duration(l.suspended.Load()) }
+	d.SuspendClock = func() time.Duration { return time.Duration(l.suspended.Load()) }
 	s.links[id] = l
 	ctx, cancel := context.WithCancel(s.t.Context())
 	s.cancels = append(s.cancels, cancel)
 	done := make(chan error, 1)
-	go func() { done <- k.Run(ctx) }()
+	go func() { done <- d.Run(ctx) }()
 	s.t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
 			s.t.Error(err)
 		}
 	})
-	return k
+	return d
 }
 
 // writeConfig writes a configuration to the store.
@@ -482,9 +482,9 @@
 }
 
 // serverIDs returns the sorted ids of the servers that a daemon uses.
-func serverIDs(k *storesync.Syncer) []string {
+func serverIDs(d *storesync.Syncer) []string {
 	out := []string{}
-	for _, s := range k.View().Servers.Service("s") {
+	for _, s := range d.View().Servers.Service("s") {
 		out = append(out, s.ID)
 	}
 	slices.Sort(out)
--- a/daemon/storesync/limits_test.go
+++ b/daemon/storesync/limits_test.go
@@ -11,13 +11,13 @@
 
 // observeLimit lets a daemon observe that its only server reports a rate limit; 0 means that the
 // limit is lifted.
-func observeLimit(t *testing.T, k *storesync.Syncer, rate float64) {
+func observeLimit(t *testing.T, d *storesync.Syncer, rate float64) {
 	t.Helper()
-	s, now := onlyServer(t, k), time.Now()
+	s, now := onlyServer(t, d), time.Now()
 	was, is := s.State.Notices.ObserveLimit(notice.Limit{Rate: rate, Lifted: rate == 0}, now.Add(-10*time.Millisecond), now, "")
 	if is.Rate != was.Rate {
-		s.ApplyLimit(k.View().Sharers, now)
-		k.AnnounceLimit(s)
+		s.ApplyLimit(d.View().Sharers, now)
+		d.AnnounceLimit(s)
 	}
 }
 
@@ -25,9 +25,9 @@
 func limitCounts(t *testing.T, daemons []*storesync.Syncer) map[float64]int {
 	t.Helper()
 	out := map[float64]int{}
-	for _, k := range daemons {
-		if _, ok := onlyServer(t, k).State.Quota(); ok {
-			out[onlyServer(t, k).State.Notices.State().Limit.Rate]++
+	for _, d := range daemons {
+		if _, ok := onlyServer(t, d).State.Quota(); ok {
+			out[onlyServer(t, d).State.Notices.State().Limit.Rate]++
 		} else {
 			out[0]++
 		}
@@ -71,8 +71,8 @@
 		more := s.startDaemonIn("h1-more", "h1")
 		advance(4 * time.Second)
 		sum := 0.0
-		for _, k := range append(daemons, more) {
-			q, ok := onlyServer(t, k).State.Quota()
+		for _, d := range append(daemons, more) {
+			q, ok := onlyServer(t, d).State.Quota()
 			if !ok {
 				t.Error("a daemon applies no limit")
 			}
@@ -91,19 +91,19 @@
 		s := newCluster(t)
 		s.writeConfig(1, "k")
 		s.store.set(gossip.Servers, "a", "v1#100")
-		k := s.startDaemon("d")
+		d := s.startDaemon("d")
 		advance(2 * time.Second)
-		observeLimit(t, k, 1)
+		observeLimit(t, d, 1)
 		s.store.set(gossip.Servers, "a", "")
 		advance(5 * time.Second)
 		s.store.set(gossip.Servers, "a", "v1#100")
 		advance(time.Second)
-		if q, ok := onlyServer(t, k).State.Quota(); !ok || q.Rate == 0 {
+		if q, ok := onlyServer(t, d).State.Quota(); !ok || q.Rate == 0 {
 			t.Errorf("the limit was dropped with the entry: %+v", q)
 		}
 		s.store.set(gossip.Servers, "a", "v1#200")
 		advance(time.Second)
-		if _, ok := onlyServer(t, k).State.Quota(); ok {
+		if _, ok := onlyServer(t, d).State.Quota(); ok {
 			t.Error("the limit still applies after a restart")
 		}
 	})
--- a/daemon/storesync/load_test.go
+++ b/daemon/storesync/load_test.go
@@ -11,8 +11,8 @@
 )
 
 // server returns one of the servers of a daemon, or nil.
-func server(k *storesync.Syncer, id string) *fleet.Server {
-	for _, s := range k.View().Servers.Service("s") {
+func server(d *storesync.Syncer, id string) *fleet.Server {
+	for _, s := range d.View().Servers.Service("s") {
 		if s.ID == id {
 			return s
 		}
@@ -21,8 +21,8 @@
 }
 
 // excessLoad returns the excess load of other daemons at a server, as received by a daemon.
-func excessLoad(k *storesync.Syncer, id string) float64 {
-	return server(k, id).State.ExcessLoad(time.Now())
+func excessLoad(d *storesync.Syncer, id string) float64 {
+	return server(d, id).State.ExcessLoad(time.Now())
 }
 
 // Load that some daemons put on a server is known to all within four seconds, in their hall and in
@@ -48,7 +48,7 @@
 			server(syncers[id], "s1").State.Begin(20)
 		}
 		advance(4 * time.Second)
-		for id, k := range syncers {
+		for id, d := range syncers {
 			others := 40.0
 			if id == busy[0] || id == busy[1] {
 				others = 20
@@ -56,10 +56,10 @@
 			// A fifth of the load is the average share of each of the five servers, and half of
 			// the rest counts as excess. Of that, at most a fifth is missing from the moving
 			// average after six messages, and at most half has decayed a second after the last one.
-			if got := excessLoad(k, "s1"); got < 0.16*others || got > 0.4*others {
+			if got := excessLoad(d, "s1"); got < 0.16*others || got > 0.4*others {
 				t.Errorf("%s: excess load at s1 is %.1f, others have %.0f in flight there", id, got, others)
 			}
-			if got := excessLoad(k, "s2"); got != 0 {
+			if got := excessLoad(d, "s2"); got != 0 {
 				t.Errorf("%s: excess load at s2 is %.1f", id, got)
 			}
 		}
@@ -68,8 +68,8 @@
 		s.network.muted["c"] = true
 		s.network.mu.Unlock()
 		advance(12 * time.Second)
-		for id, k := range syncers {
-			if got := excessLoad(k, "s1"); id != "c" && got > 0.2 {
+		for id, d := range syncers {
+			if got := excessLoad(d, "s1"); id != "c" && got > 0.2 {
 				t.Errorf("%s: excess load at s1 is still %.2f", id, got)
 			}
 		}
--- a/daemon/storesync/notices_test.go
+++ b/daemon/storesync/notices_test.go
@@ -17,26 +17,26 @@
 		s := newCluster(t)
 		s.writeConfig(1, "k")
 		s.store.set(gossip.Servers, "a", "v1#100")
-		k := s.startDaemon("d")
+		d := s.startDaemon("d")
 		advance(2 * time.Second)
-		before := onlyServer(t, k)
+		before := onlyServer(t, d)
 		before.State.Notices.Observe(notice.Notice{Leaving: true}, time.Now())
 		s.store.set(gossip.Servers, "a", "")
 		advance(5 * time.Second)
-		if got := onlyServer(t, k); got != nil {
+		if got := onlyServer(t, d); got != nil {
 			t.Fatalf("still listed: %+v", got.Incarnation())
 		}
 		// An answer that was under way brings another notice.
 		before.State.Notices.Observe(notice.Notice{Backoff: time.Minute}, time.Now())
 		s.store.set(gossip.Servers, "a", "v1#100")
 		advance(time.Second)
-		after := onlyServer(t, k)
+		after := onlyServer(t, d)
 		if after == nil || after == before || after.Usable() || !after.State.Notices.State().InBackoff(time.Now()) {
 			t.Errorf("the notices were dropped with the entry")
 		}
 		s.store.set(gossip.Servers, "a", "v1#200")
 		advance(time.Second)
-		if got := onlyServer(t, k); got == nil || !got.Open(time.Now()) {
+		if got := onlyServer(t, d); got == nil || !got.Open(time.Now()) {
 			t.Error("notices from before a restart still apply")
 		}
 	})
--- a/daemon/storesync/quarantine_test.go
+++ b/daemon/storesync/quarantine_test.go
@@ -14,8 +14,8 @@
 // quarantineCount counts the daemons that quarantine the crashing request.
 func quarantineCount(daemons ...*storesync.Syncer) int {
 	n := 0
-	for _, k := range daemons {
-		if _, in := k.View().Quarantined(crashingRequest, time.Now()); in {
+	for _, d := range daemons {
+		if _, in := d.View().Quarantined(crashingRequest, time.Now()); in {
 			n++
 		}
 	}
@@ -42,11 +42,11 @@
 		s.writeConfig(1, "k")
 		daemons := startTwoHalls(s, 1)
 		advance(3 * time.Second)
-		for n, k := range []int{1, 2, 5} {
+		for n, d := range []int{1, 2, 5} {
 			if got := quarantineCount(daemons...); got > 0 {
 				t.Fatalf("%d daemons quarantine the request after %d server crashes", got, n)
 			}
-			daemons[k].RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{crashingRequest})
+			daemons[d].RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{crashingRequest})
 			advance(300 * time.Millisecond)
 		}
 		advance(700 * time.Millisecond)
@@ -63,8 +63,8 @@
 		s.writeConfig(1, "k")
 		daemons := startTwoHalls(s, 1)
 		advance(3 * time.Second)
-		for _, k := range daemons {
-			k.RecordServerExit("i-1", []quarantine.Fingerprint{crashingRequest})
+		for _, d := range daemons {
+			d.RecordServerExit("i-1", []quarantine.Fingerprint{crashingRequest})
 		}
 		advance(2 * time.Second)
 		if got := quarantineCount(daemons...); got > 0 {
@@ -129,16 +129,16 @@
 		}
 		advance(3 * time.Second)
 		var remaining []*storesync.Syncer
-		for _, k := range daemons {
-			if k.ReadsStore() {
-				s.network.dropOutgoing(k.Self.ID)
-				s.network.dropIncoming(k.Self.ID)
+		for _, d := range daemons {
+			if d.ReadsStore() {
+				s.network.dropOutgoing(d.Self.ID)
+				s.network.dropIncoming(d.Self.ID)
 			} else {
-				remaining = append(remaining, k)
+				remaining = append(remaining, d)
 			}
 		}
-		for n, k := range remaining[:3] {
-			k.RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{crashingRequest})
+		for n, d := range remaining[:3] {
+			d.RecordServerExit(fmt.Sprintf("i-%d", n), []quarantine.Fingerprint{crashingRequest})
 		}
 		advance(3 * time.Second)
 		if got := quarantineCount(remaining...); got != len(remaining) {
--- a/daemon/storesync/restarts_test.go
+++ b/daemon/storesync/restarts_test.go
@@ -12,16 +12,16 @@
 )
 
 // onlyServer returns the one server that a daemon uses, or nil.
-func onlyServer(t *testing.T, k *storesync.Syncer) *fleet.Server {
+func onlyServer(t *testing.T, d *storesync.Syncer) *fleet.Server {
 	t.Helper()
-	of := k.View().Servers.Service("s")
-	if len(of) > 1 {
-		t.Fatalf("%d servers", len(of))
+	listed := d.View().Servers.Service("s")
+	if len(listed) > 1 {
+		t.Fatalf("%d servers", len(listed))
 	}
-	if len(of) == 0 {
+	if len(listed) == 0 {
 		return nil
 	}
-	return of[0]
+	return listed[0]
 }
 
 func TestRestartedServerWithTheSameIDIsAnother(t *testing.T) {
@@ -29,23 +29,23 @@
 		s := newCluster(t)
 		s.writeConfig(1, "k")
 		s.store.set(gossip.Servers, "a", "v1#100")
-		k := s.startDaemon("d")
+		d := s.startDaemon("d")
 		var restarted []fleet.Incarnation
-		k.OnServerRestart = func(was *fleet.Server) { restarted = append(restarted, was.Incarnation()) }
+		d.OnServerRestart = func(was *fleet.Server) { restarted = append(restarted, was.Incarnation()) }
 		advance(2 * time.Second)
-		before := onlyServer(t, k)
+		before := onlyServer(t, d)
 		before.State.Begin(3)
 		before.State.NoResponse(time.Now())
 		before.State.NoResponse(time.Now())
 		// A change of the entry does not make it another server.
 		s.store.set(gossip.Servers, "a", "v1@h2#100")
 		advance(time.Second)
-		if onlyServer(t, k).State != before.State || len(restarted) > 0 {
+		if onlyServer(t, d).State != before.State || len(restarted) > 0 {
 			t.Error("a change of the entry makes another server")
 		}
 		s.store.set(gossip.Servers, "a", "v1#200")
 		advance(time.Second)
-		after := onlyServer(t, k)
+		after := onlyServer(t, d)
 		if after.State == before.State || after.State.OwnLoad() != 0 || after.State.Slowness() != 1 || after.State.InBackoff(time.Now()) {
 			t.Error("state from before the restart is kept")
 		}
@@ -55,12 +55,12 @@
 		// An entry with an earlier start time, from another writer, lists no server.
 		s.store.set(gossip.Servers, "a", "v1#100")
 		advance(time.Second)
-		if got := onlyServer(t, k); got != nil {
+		if got := onlyServer(t, d); got != nil {
 			t.Errorf("a server with an earlier start time is used: %+v", got.Incarnation())
 		}
 		s.store.set(gossip.Servers, "a", "v1#200")
 		advance(time.Second)
-		if got := onlyServer(t, k); got == nil || got.Born != 200 {
+		if got := onlyServer(t, d); got == nil || got.Born != 200 {
 			t.Errorf("the server with the latest start time is not used again: %+v", got)
 		}
 	})
@@ -86,16 +86,16 @@
 			}
 			s.store.set(gossip.Servers, "a", "v1#300")
 			advance(2 * time.Second)
-			for _, k := range daemons {
-				if got := onlyServer(t, k); got == nil || got.Born != 300 {
-					t.Errorf("seed %d: %s uses %+v", seed, k.Self.ID, got)
+			for _, d := range daemons {
+				if got := onlyServer(t, d); got == nil || got.Born != 300 {
+					t.Errorf("seed %d: %s uses %+v", seed, d.Self.ID, got)
 				}
 			}
 			s.store.set(gossip.Servers, "a", "v1#200")
 			advance(2 * time.Second)
-			for _, k := range daemons {
-				if got := onlyServer(t, k); got != nil {
-					t.Errorf("seed %d: %s goes back to %+v", seed, k.Self.ID, got.Incarnation())
+			for _, d := range daemons {
+				if got := onlyServer(t, d); got != nil {
+					t.Errorf("seed %d: %s goes back to %+v", seed, d.Self.ID, got.Incarnation())
 				}
 			}
 		})
@@ -115,9 +115,9 @@
 		load := reader.View().Servers.Service("s")[1].State
 		s.store.set(gossip.Servers, "a", "!")
 		advance(2 * time.Second)
-		for _, k := range []*storesync.Syncer{reader, other} {
-			if got := serverIDs(k); len(got) != 1 || got[0] != "b" || k.CorruptedRows.Load() != 1 || k.View().Corrupted["a"] == "" {
-				t.Errorf("%s uses %v and counts %d corrupted entries", k.Self.ID, got, k.CorruptedRows.Load())
+		for _, d := range []*storesync.Syncer{reader, other} {
+			if got := serverIDs(d); len(got) != 1 || got[0] != "b" || d.CorruptedRows.Load() != 1 || d.View().Corrupted["a"] == "" {
+				t.Errorf("%s uses %v and counts %d corrupted entries", d.Self.ID, got, d.CorruptedRows.Load())
 			}
 		}
 		if reader.View().Servers.Service("s")[0].State != load {
@@ -138,14 +138,14 @@
 		s.writeConfig(1, "k")
 		s.store.set(gossip.Servers, "a", "v1#100")
 		s.store.set(gossip.Servers, "b", "v1#150")
-		k := s.startDaemon("d")
+		d := s.startDaemon("d")
 		advance(2 * time.Second)
-		if got := serverIDs(k); len(got) != 2 {
+		if got := serverIDs(d); len(got) != 2 {
 			t.Fatalf("before the reuse of the address: %v", got)
 		}
 		s.store.set(gossip.Servers, "c=a", "v1#200")
 		advance(time.Second)
-		if got := serverIDs(k); len(got) != 2 || got[0] != "b" || got[1] != "c=a" {
+		if got := serverIDs(d); len(got) != 2 || got[0] != "b" || got[1] != "c=a" {
 			t.Errorf("the servers in use are %v", got)
 		}
 	})
--- a/daemon/storesync/restore_test.go
+++ b/daemon/storesync/restore_test.go
@@ -14,8 +14,8 @@
 )
 
 // unusable reports whether a daemon sends a server no new requests, because it is leaving or not listed.
-func unusable(k *storesync.Syncer, id string) bool {
-	for _, s := range k.View().Servers.Service("s") {
+func unusable(d *storesync.Syncer, id string) bool {
+	for _, s := range d.View().Servers.Service("s") {
 		if s.ID == id {
 			return !s.Open(time.Now())
 		}
@@ -24,11 +24,11 @@
 }
 
 // restoreAfterOutage makes the store unreachable for a time and then restores it from a copy.
-func (s *cluster) restoreAfterOutage(copied storeCopy, away time.Duration) {
+func (s *cluster) restoreAfterOutage(copied storeCopy, outage time.Duration) {
 	for _, l := range s.links {
 		l.fail(errDown)
 	}
-	advance(away)
+	advance(outage)
 	s.store.restore(copied)
 	for _, l := range s.links {
 		l.fail(nil)
@@ -38,8 +38,8 @@
 // configNumbers returns the number of the configuration in force at each daemon.
 func configNumbers(daemons []*storesync.Syncer) []uint64 {
 	var out []uint64
-	for _, k := range daemons {
-		out = append(out, k.View().Map.Number)
+	for _, d := range daemons {
+		out = append(out, d.View().Map.Number)
 	}
 	return out
 }
@@ -48,8 +48,8 @@
 // that daemons knew before. They must be in force within two seconds, and answers of the
 // store must count as confirmations again.
 func TestChangesAfterARestoreAreInForce(t *testing.T) {
-	for _, away := range []time.Duration{0, 50 * time.Millisecond, 3 * time.Second} {
-		t.Run(away.String(), func(t *testing.T) {
+	for _, outage := range []time.Duration{0, 50 * time.Millisecond, 3 * time.Second} {
+		t.Run(outage.String(), func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				s := newCluster(t)
 				s.writeConfig(1, "k")
@@ -64,18 +64,18 @@
 				}
 				s.store.set(gossip.Servers, "a", "v1@h1#100")
 				advance(3 * time.Second)
-				s.restoreAfterOutage(copied, away)
+				s.restoreAfterOutage(copied, outage)
 				s.writeConfig(20, "k3")
 				s.store.set(gossip.Servers, "b", "v2@h1#200")
 				advance(2 * time.Second)
-				for i, k := range daemons {
-					if n := k.View().Map.Number; n != 20 {
+				for i, d := range daemons {
+					if n := d.View().Map.Number; n != 20 {
 						t.Errorf("daemon %d has configuration %d in force two seconds after 20 was written", i, n)
 					}
-					if age := k.View().ConfigAge(time.Now()); age > 1500*time.Millisecond {
+					if age := d.View().ConfigAge(time.Now()); age > 1500*time.Millisecond {
 						t.Errorf("daemon %d was last confirmed %v ago", i, age)
 					}
-					if born := k.View().Servers.Service("s")[1].Born; born != 200 {
+					if born := d.View().Servers.Service("s")[1].Born; born != 200 {
 						t.Errorf("daemon %d has start time %d for a server that has restarted", i, born)
 					}
 				}
@@ -107,14 +107,14 @@
 		advance(2 * time.Second)
 		s.restoreAfterOutage(copied, 100*time.Millisecond)
 		check := func(when string) {
-			for i, k := range daemons {
-				if n := k.View().Map.Number; n != 5 {
+			for i, d := range daemons {
+				if n := d.View().Map.Number; n != 5 {
 					t.Errorf("%s: daemon %d went back to configuration %d", when, i, n)
 				}
-				if !unusable(k, "leaves") || !unusable(k, "gone") || unusable(k, "new") {
-					t.Errorf("%s: daemon %d: out of use: leaving server %v, removed server %v, new server %v", when, i, unusable(k, "leaves"), unusable(k, "gone"), unusable(k, "new"))
+				if !unusable(d, "leaves") || !unusable(d, "gone") || unusable(d, "new") {
+					t.Errorf("%s: daemon %d: out of use: leaving server %v, removed server %v, new server %v", when, i, unusable(d, "leaves"), unusable(d, "gone"), unusable(d, "new"))
 				}
-				if k.View().Drained["h2"].IsZero() {
+				if d.View().Drained["h2"].IsZero() {
 					t.Errorf("%s: daemon %d uses a drained hall", when, i)
 				}
 			}
@@ -134,9 +134,9 @@
 		s.store.set(gossip.Servers, "leaves", "v1@h1#300")
 		s.store.set(gossip.Operator, "empty/h2", "")
 		advance(2 * time.Second)
-		for i, k := range daemons {
-			if unusable(k, "leaves") || !k.View().Drained["h2"].IsZero() {
-				t.Errorf("daemon %d keeps a server leaving or a hall drained after the end of that", i)
+		for i, d := range daemons {
+			if unusable(d, "leaves") || !d.View().Drained["h2"].IsZero() {
+				t.Errorf("daemon %d still treats the server as leaving or the hall as drained", i)
 			}
 		}
 	})
@@ -199,14 +199,14 @@
 		advance(2 * time.Second)
 		s.restoreAfterOutage(copied, 0)
 		advance(time.Second)
-		for _, k := range daemons {
-			if got := serverIDs(k); len(got) != 2 {
+		for _, d := range daemons {
+			if got := serverIDs(d); len(got) != 2 {
 				t.Errorf("just after the restore the servers in use are %v", got)
 			}
 		}
 		advance(7 * time.Second)
-		for _, k := range daemons {
-			if got := serverIDs(k); len(got) != 1 {
+		for _, d := range daemons {
+			if got := serverIDs(d); len(got) != 1 {
 				t.Errorf("long after the restore the servers in use are %v", got)
 			}
 		}
@@ -266,9 +266,9 @@
 		if got.SinceMS != before.SinceMS || got.State != canary.Running {
 			t.Errorf("the state was %+v before the restore and is %+v", before, got)
 		}
-		for i, k := range append(daemons, s.startDaemonIn("late", "h1")) {
+		for i, d := range append(daemons, s.startDaemonIn("late", "h1")) {
 			advance(time.Second)
-			if r, ok := k.View().Rollout("s"); !ok || !r.Started {
+			if r, ok := d.View().Rollout("s"); !ok || !r.Started {
 				t.Errorf("daemon %d: order known %v, roll-out %+v", i, ok, r)
 			}
 		}
@@ -363,12 +363,12 @@
 	s.writeConfig(number, "k")
 	advance(2 * time.Second)
 	checkNoRollback()
-	for i, k := range daemons {
-		if n := k.View().Map.Number; n != number {
+	for i, d := range daemons {
+		if n := d.View().Map.Number; n != number {
 			t.Errorf("daemon %d has configuration %d in force, %d was written two seconds ago", i, n, number)
 		}
-		if left != unusable(k, "a") {
-			t.Errorf("daemon %d: server leaving is %v, out of use is %v", i, left, unusable(k, "a"))
+		if left != unusable(d, "a") {
+			t.Errorf("daemon %d: server leaving is %v, out of use is %v", i, left, unusable(d, "a"))
 		}
 	}
 }
--- a/daemon/storesync/rollout_test.go
+++ b/daemon/storesync/rollout_test.go
@@ -38,15 +38,15 @@
 }
 
 // prefersVersion reports whether a session's first choice is a version.
-func prefersVersion(k *storesync.Syncer, hash uint64, version string) bool {
-	first, _ := k.View().Versions("s", hash, time.Now())
+func prefersVersion(d *storesync.Syncer, hash uint64, version string) bool {
+	first, _ := d.View().Versions("s", hash, time.Now())
 	return first.Allows(version)
 }
 
 // observeFailures lets a daemon observe failed answers of the new version.
-func observeFailures(k *storesync.Syncer, answers int) {
+func observeFailures(d *storesync.Syncer, answers int) {
 	for range answers {
-		k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", Failed: true})
+		d.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", Failed: true})
 	}
 }
 
@@ -63,8 +63,8 @@
 func TestGoodVersionTakesOverInTime(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		s, syncers := startRollout(t, 3, 20)
-		for _, k := range syncers {
-			if !prefersVersion(k, lowestHash, "v2") || !prefersVersion(k, highestHash, "v1") {
+		for _, d := range syncers {
+			if !prefersVersion(d, lowestHash, "v2") || !prefersVersion(d, highestHash, "v1") {
 				t.Fatal("the initial share of the new version is wrong")
 			}
 		}
@@ -72,8 +72,8 @@
 		if p := s.storedProgress(); p.State != canary.Completed || p.Version != "v2" {
 			t.Fatalf("the state is %v", p)
 		}
-		for _, k := range syncers {
-			if !prefersVersion(k, highestHash, "v2") {
+		for _, d := range syncers {
+			if !prefersVersion(d, highestHash, "v2") {
 				t.Error("a daemon does not use the new version alone")
 			}
 		}
@@ -84,14 +84,14 @@
 	inBubble(t, func(t *testing.T) {
 		s, syncers := startRollout(t, 3, 20)
 		// No daemon has enough evidence by itself.
-		for _, k := range syncers {
+		for _, d := range syncers {
 			for i := range 8 {
-				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", Failed: i%2 == 0})
+				d.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", Failed: i%2 == 0})
 			}
 		}
 		advance(time.Second)
-		for i, k := range syncers {
-			if prefersVersion(k, lowestHash, "v2") {
+		for i, d := range syncers {
+			if prefersVersion(d, lowestHash, "v2") {
 				t.Errorf("daemon %d still uses the faulty version", i)
 			}
 		}
@@ -136,18 +136,18 @@
 		s := newCluster(t)
 		s.writeConfig(1, "k")
 		s.store.set(gossip.Servers, "old", "v1")
-		k := s.startDaemon("a")
+		d := s.startDaemon("a")
 		advance(3 * time.Second)
-		if !prefersVersion(k, lowestHash, "v1") {
+		if !prefersVersion(d, lowestHash, "v1") {
 			t.Error("the version of the first list is not used")
 		}
 		s.store.set(gossip.Servers, "new", "v2")
 		advance(time.Second)
-		if prefersVersion(k, lowestHash, "v2") {
+		if prefersVersion(d, lowestHash, "v2") {
 			t.Error("a version is used before an order could have come")
 		}
 		advance(time.Second)
-		if !prefersVersion(k, lowestHash, "v2") {
+		if !prefersVersion(d, lowestHash, "v2") {
 			t.Error("a version without an order is never used")
 		}
 	})
@@ -170,11 +170,11 @@
 		s.store.set(gossip.Servers, "new", "v2")
 		s.store.set(gossip.Operator, "order/s", `{"Version":"v2","Seconds":40}`)
 		advance(time.Second)
-		for i, k := range syncers {
-			if prefersVersion(k, lowestHash, "v2") {
+		for i, d := range syncers {
+			if prefersVersion(d, lowestHash, "v2") {
 				t.Errorf("daemon %d moves an active session", i)
 			}
-			if !prefersVersion(k, lowestHash+1, "v2") {
+			if !prefersVersion(d, lowestHash+1, "v2") {
 				t.Errorf("daemon %d does not move a new session", i)
 			}
 		}
@@ -238,8 +238,8 @@
 			after = append(after, s.startDaemon(fmt.Sprintf("e%d", i)))
 		}
 		advance(2500 * time.Millisecond)
-		for _, k := range after {
-			observeFailures(k, 10)
+		for _, d := range after {
+			observeFailures(d, 10)
 		}
 		advance(5 * time.Second)
 		if p := s.storedProgress(); p.State != canary.RolledBack {
@@ -264,10 +264,10 @@
 			inBubble(t, func(t *testing.T) {
 				s, syncers := startRollout(t, 3, 20)
 				for i := range 180 {
-					k, usual := syncers[i%len(syncers)], typicalRatio(i)
-					k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
+					d, typical := syncers[i%len(syncers)], typicalRatio(i)
+					d.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: typical})
 					if i < 60 {
-						k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: c.factor * usual})
+						d.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: c.factor * typical})
 					}
 				}
 				advance(10 * time.Second)
@@ -294,15 +294,15 @@
 func TestGoodVersionIsNotRolledBackOnEvidenceOfOneDaemon(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		s, syncers := startRollout(t, 8, 20)
-		unlucky := slices.IndexFunc(syncers, func(k *storesync.Syncer) bool { return k.Calls.Load() <= 20 })
+		unlucky := slices.IndexFunc(syncers, func(d *storesync.Syncer) bool { return d.Calls.Load() <= 20 })
 		for i := range 400 {
-			k, usual := syncers[i%len(syncers)], typicalRatio(i)
-			k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
+			d, typical := syncers[i%len(syncers)], typicalRatio(i)
+			d.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: typical})
 			switch {
 			case i%len(syncers) != unlucky:
-				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: usual})
+				d.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: typical})
 			case i < 5*len(syncers):
-				k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: 3})
+				d.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: 3})
 			}
 		}
 		advance(20 * time.Second)
@@ -318,9 +318,9 @@
 	inBubble(t, func(t *testing.T) {
 		s, syncers := startRollout(t, 3, 20)
 		for i := range 480 {
-			k, usual := syncers[i%len(syncers)], typicalRatio(i)
-			k.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: usual})
-			k.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: 1.45 * usual, Server: fmt.Sprint(i / 160)})
+			d, typical := syncers[i%len(syncers)], typicalRatio(i)
+			d.Observe(storesync.Observation{Service: "s", Version: "v1", Route: "r", FirstRatio: typical})
+			d.Observe(storesync.Observation{Service: "s", Version: "v2", Route: "r", FirstRatio: 1.45 * typical, Server: fmt.Sprint(i / 160)})
 		}
 		advance(4 * time.Second)
 		if p := s.storedProgress(); p.State != canary.RolledBack {
@@ -334,8 +334,8 @@
 func TestFaultyVersionIsRolledBackWithoutReaders(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		s, syncers := startRollout(t, 3, 20)
-		for i, k := range syncers {
-			if k.Calls.Load() > 20 {
+		for i, d := range syncers {
+			if d.Calls.Load() > 20 {
 				// The reader of the hall is suspended.
 				id := fmt.Sprintf("d%d", i)
 				s.links[id].setUnresponsive(true)
@@ -344,7 +344,7 @@
 				s.network.mu.Unlock()
 				continue
 			}
-			observeFailures(k, 10)
+			observeFailures(d, 10)
 		}
 		advance(time.Second)
 		if p := s.storedProgress(); p.State != canary.RolledBack {
@@ -360,8 +360,8 @@
 	inBubble(t, func(t *testing.T) {
 		s, syncers := startRollout(t, 4, 60)
 		gone := ""
-		for i, k := range syncers {
-			if k.Calls.Load() > 15 {
+		for i, d := range syncers {
+			if d.Calls.Load() > 15 {
 				gone = fmt.Sprintf("d%d", i)
 			}
 		}
@@ -371,9 +371,9 @@
 		s.links[gone].fail(errDown)
 		advance(5 * time.Second)
 		var left []*storesync.Syncer
-		for i, k := range syncers {
+		for i, d := range syncers {
 			if fmt.Sprintf("d%d", i) != gone {
-				left = append(left, k)
+				left = append(left, d)
 			}
 		}
 		const served = 40
@@ -383,8 +383,8 @@
 		}
 		advance(900 * time.Millisecond)
 		for i := range uint64(served) {
-			for n, k := range left {
-				if prefersVersion(k, lowestHash+i, "v2") {
+			for n, d := range left {
+				if prefersVersion(d, lowestHash+i, "v2") {
 					t.Errorf("daemon %d moves session %d, which is active at daemon %d", n, i, i%3)
 				}
 			}
@@ -407,11 +407,11 @@
 		s.store.set(gossip.Servers, "newer", "v3")
 		s.store.set(gossip.Operator, "order/s", `{"Version":"v3","Seconds":20}`)
 		advance(1500 * time.Millisecond)
-		for i, k := range syncers {
-			if prefersVersion(k, lowestHash, "v3") {
+		for i, d := range syncers {
+			if prefersVersion(d, lowestHash, "v3") {
 				t.Errorf("daemon %d moves an active session", i)
 			}
-			if !prefersVersion(k, lowestHash+1, "v3") {
+			if !prefersVersion(d, lowestHash+1, "v3") {
 				t.Errorf("daemon %d does not move a new session", i)
 			}
 		}
@@ -428,8 +428,8 @@
 		s.store.set(gossip.Operator, "order/s", `{"Version":"v3","Seconds":10}`)
 		advance(6 * time.Second)
 		all := map[string]*storesync.Syncer{}
-		for i, k := range syncers {
-			all[fmt.Sprint(i)] = k
+		for i, d := range syncers {
+			all[fmt.Sprint(i)] = d
 		}
 		before := totalCalls(all)
 		advance(6 * time.Second)
@@ -448,17 +448,17 @@
 func TestCompletedVersionIsUsedByADaemonThatRejectedIt(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		s, syncers := startRollout(t, 1, 20)
-		k, order := syncers[0], s.storedProgress().Order
+		d, order := syncers[0], s.storedProgress().Order
 		s.links["d0"].fail(errDown)
-		observeFailures(k, 20)
+		observeFailures(d, 20)
 		advance(time.Second)
-		if prefersVersion(k, lowestHash, "v2") {
+		if prefersVersion(d, lowestHash, "v2") {
 			t.Fatal("the version is not rejected")
 		}
 		s.store.set(gossip.Progress, "s", fmt.Sprintf(`{"State":%d,"Version":"v2","SinceMS":1000,"Order":{"Era":%d,"Number":%d}}`, canary.Completed, order.Era, order.Number))
 		s.links["d0"].fail(nil)
 		advance(3 * time.Second)
-		if !prefersVersion(k, lowestHash, "v2") || !prefersVersion(k, highestHash, "v2") {
+		if !prefersVersion(d, lowestHash, "v2") || !prefersVersion(d, highestHash, "v2") {
 			t.Error("the version is not used although its roll-out is completed")
 		}
 	})
--- a/daemon/storesync/syncer_test.go
+++ b/daemon/storesync/syncer_test.go
@@ -13,21 +13,21 @@
 func TestConfigurationIsInForceAtOnceAndNeverGoesBack(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		s := newCluster(t)
-		k := s.startDaemon("a")
+		d := s.startDaemon("a")
 		advance(time.Second)
-		if k.View().Ready() {
+		if d.View().Ready() {
 			t.Fatal("ready without a configuration")
 		}
 		s.writeConfig(3, "k")
 		s.store.set(gossip.Servers, "x", "v1")
 		advance(0)
-		if v := k.View(); !v.Ready() || v.Map.Number != 3 {
+		if v := d.View(); !v.Ready() || v.Map.Number != 3 {
 			t.Fatal("the configuration is not in force")
 		}
 		s.writeConfig(2, "old")
 		s.store.set(gossip.Operator, "config", "no configuration")
 		advance(5 * time.Second)
-		if v := k.View(); v.Map.Number != 3 {
+		if v := d.View(); v.Map.Number != 3 {
 			t.Errorf("configuration %d is in force", v.Map.Number)
 		}
 	})
@@ -38,17 +38,17 @@
 	inBubble(t, func(t *testing.T) {
 		s := newCluster(t)
 		s.writeConfig(1, "k")
-		k := s.startDaemon("a")
+		d := s.startDaemon("a")
 		advance(time.Second)
 		s.links["a"].fail(errDown)
 		advance(10 * time.Second)
-		if age := k.View().ConfigAge(time.Now()); age < 9*time.Second {
+		if age := d.View().ConfigAge(time.Now()); age < 9*time.Second {
 			t.Errorf("ten seconds without the store, the age of the configuration is %v", age)
 		}
 		s.links["a"].fail(nil)
 		advance(4 * time.Second)
 		// The age counts from the start of the call before the one under way.
-		if age := k.View().ConfigAge(time.Now()); age > 3*time.Second {
+		if age := d.View().ConfigAge(time.Now()); age > 3*time.Second {
 			t.Errorf("with the store reachable again, the age of the configuration is %v", age)
 		}
 	})
@@ -61,7 +61,7 @@
 		s.writeConfig(1, "k")
 		s.store.set(gossip.Servers, "x", "v1")
 		s.store.set(gossip.Servers, "y", "v1")
-		k := s.startDaemon("a")
+		d := s.startDaemon("a")
 		advance(time.Second)
 		// A change that no call returns, because its history is discarded.
 		s.store.mu.Lock()
@@ -72,7 +72,7 @@
 		s.store.changed = make(chan struct{})
 		s.store.mu.Unlock()
 		advance(3 * time.Second)
-		if diff := cmp.Diff([]string{"x"}, serverIDs(k)); diff != "" {
+		if diff := cmp.Diff([]string{"x"}, serverIDs(d)); diff != "" {
 			t.Error(diff)
 		}
 	})
@@ -113,14 +113,14 @@
 		s.network.mu.Unlock()
 		advance(10 * time.Second)
 		s.network.mu.Lock()
-		held := s.network.delayed["a"]
+		delayed := s.network.delayed["a"]
 		s.network.mu.Unlock()
-		if len(held) == 0 {
+		if len(delayed) == 0 {
 			t.Fatal("no message was delayed")
 		}
 		advance(2 * time.Second)
 		before := a.View().ConfigAge(time.Now())
-		for _, deliver := range held {
+		for _, deliver := range delayed {
 			deliver()
 		}
 		advance(0)
@@ -139,7 +139,7 @@
 		for _, id := range []string{"x", "y", "z"} {
 			s.store.set(gossip.Servers, id, "v1")
 		}
-		k := s.startDaemon("a")
+		d := s.startDaemon("a")
 		advance(time.Second)
 		s.links["a"].fail(errDown)
 		advance(5 * time.Second)
@@ -147,12 +147,12 @@
 		s.store.set(gossip.Servers, "y", "")
 		s.links["a"].fail(nil)
 		advance(1200 * time.Millisecond)
-		if diff := cmp.Diff([]string{"x", "y", "z"}, serverIDs(k)); diff != "" {
+		if diff := cmp.Diff([]string{"x", "y", "z"}, serverIDs(d)); diff != "" {
 			t.Errorf("just after the store recovered: %s", diff)
 		}
 		s.store.set(gossip.Servers, "x", "v1")
 		advance(3 * time.Second)
-		if diff := cmp.Diff([]string{"x", "z"}, serverIDs(k)); diff != "" {
+		if diff := cmp.Diff([]string{"x", "z"}, serverIDs(d)); diff != "" {
 			t.Errorf("two seconds after the store recovered: %s", diff)
 		}
 	})
@@ -166,7 +166,7 @@
 		s.writeConfig(1, "k")
 		s.store.set(gossip.Servers, "x", "v1")
 		s.store.set(gossip.Servers, "y", "v1")
-		k := s.startDaemon("a")
+		d := s.startDaemon("a")
 		advance(time.Second)
 		s.links["a"].fail(errDown)
 		advance(5 * time.Second)
@@ -175,7 +175,7 @@
 		advance(2500 * time.Millisecond)
 		s.store.set(gossip.Servers, "x", "")
 		advance(1500 * time.Millisecond)
-		if diff := cmp.Diff([]string{"y"}, serverIDs(k)); diff != "" {
+		if diff := cmp.Diff([]string{"y"}, serverIDs(d)); diff != "" {
 			t.Error(diff)
 		}
 	})
@@ -187,11 +187,11 @@
 		s.writeConfig(1, "k")
 		s.store.set(gossip.Servers, "x", "v1")
 		s.store.set(gossip.Servers, "y", "v1")
-		k := s.startDaemon("a")
+		d := s.startDaemon("a")
 		advance(5 * time.Second)
 		s.store.set(gossip.Servers, "x", "")
 		advance(200 * time.Millisecond)
-		if diff := cmp.Diff([]string{"y"}, serverIDs(k)); diff != "" {
+		if diff := cmp.Diff([]string{"y"}, serverIDs(d)); diff != "" {
 			t.Error(diff)
 		}
 	})
@@ -201,10 +201,10 @@
 	inBubble(t, func(t *testing.T) {
 		s := newCluster(t)
 		s.writeConfig(1, "k")
-		k := s.startDaemon("a")
+		d := s.startDaemon("a")
 		advance(time.Minute)
 		// Two calls a second for the configuration, one in six seconds for each other topic.
-		if calls := k.Calls.Load(); calls > 160 {
+		if calls := d.Calls.Load(); calls > 160 {
 			t.Errorf("%d store calls in a minute", calls)
 		}
 	})
@@ -223,13 +223,13 @@
 		}
 		advance(15 * time.Second)
 		before := map[string]int64{}
-		for id, k := range syncers {
-			before[id] = k.Calls.Load()
+		for id, d := range syncers {
+			before[id] = d.Calls.Load()
 		}
 		advance(20 * time.Second)
 		var reader string
-		for id, k := range syncers {
-			switch calls := k.Calls.Load() - before[id]; {
+		for id, d := range syncers {
+			switch calls := d.Calls.Load() - before[id]; {
 			case calls > 60:
 				t.Errorf("%s made %d calls in 20 s", id, calls)
 			case calls > 2 && reader != "":
@@ -237,7 +237,7 @@
 			case calls > 2:
 				reader = id
 			}
-			if age := k.View().ConfigAge(time.Now()); age > 3*time.Second {
+			if age := d.View().ConfigAge(time.Now()); age > 3*time.Second {
 				t.Errorf("%s: age of the configuration is %v", id, age)
 			}
 		}
@@ -251,9 +251,9 @@
 		s.links[reader].fail(errDown)
 		s.writeConfig(2, "k")
 		advance(2 * time.Second)
-		for id, k := range syncers {
-			if id != reader && k.View().Map.Number != 2 {
-				t.Errorf("%s has configuration %d", id, k.View().Map.Number)
+		for id, d := range syncers {
+			if id != reader && d.View().Map.Number != 2 {
+				t.Errorf("%s has configuration %d", id, d.View().Map.Number)
 			}
 		}
 	})
@@ -273,8 +273,8 @@
 		for _, id := range ids {
 			s.links[id].fail(errDown)
 			advance(5 * time.Second)
-			for other, k := range syncers {
-				if age := k.View().ConfigAge(time.Now()); age > 4*time.Second {
+			for other, d := range syncers {
+				if age := d.View().ConfigAge(time.Now()); age > 4*time.Second {
 					t.Errorf("with %s rejected by the store, %s: age of the configuration is %v", id, other, age)
 				}
 			}
@@ -301,9 +301,9 @@
 			s.links[id].setUnresponsive(true)
 			s.writeConfig(uint64(i+2), "k")
 			advance(2 * time.Second)
-			for other, k := range syncers {
-				if other != id && k.View().Map.Number != uint64(i+2) {
-					t.Errorf("with %s cut off, %s has configuration %d instead of %d", id, other, k.View().Map.Number, i+2)
+			for other, d := range syncers {
+				if other != id && d.View().Map.Number != uint64(i+2) {
+					t.Errorf("with %s cut off, %s has configuration %d instead of %d", id, other, d.View().Map.Number, i+2)
 				}
 			}
 			s.links[id].setUnresponsive(false)
