--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -122,7 +122,7 @@
 	s := g.Settings
 	g.settings.Store(s)
 	g.log, g.logWriter = newLogger(s.LogLevel)
-	keys, err := peer.NewOwnKeys(s.ID)
+	keys, err := peer.NewSelfSignedKeys(s.ID)
 	if err != nil {
 		return err
 	}
--- a/daemon/peer/keys.go
+++ b/daemon/peer/keys.go
@@ -17,7 +17,7 @@
 const protocol = "ladderridge/1"
 
 // Identity authenticates this daemon to others and verifies them: Keys or
-// OwnKeys.
+// SelfSignedKeys.
 type Identity interface {
 	// server returns the TLS configuration for incoming connections.
 	server() *tls.Config
--- a/daemon/peer/own_keys.go
+++ b/daemon/peer/self_signed_keys.go
@@ -14,11 +14,12 @@
 	"github.com/quic-go/quic-go"
 )
 
-// OwnKeys is a key pair with a self-signed certificate that a daemon generates
-// at its start, for VMs without persistent files. Other daemons are verified
-// against the public keys that they have published in a place that only daemons
-// can write to; all others are refused. Create it with NewOwnKeys.
-type OwnKeys struct {
+// SelfSignedKeys is a key pair with a self-signed certificate that a daemon
+// generates at its start, for VMs without persistent files. Other daemons are
+// verified against the public keys that they have published in a place that
+// only daemons can write to; all others are refused. Create it with
+// NewSelfSignedKeys.
+type SelfSignedKeys struct {
 	// Trusted returns the public key that a daemon has published, or nil.
 	Trusted func(id string) ed25519.PublicKey
 
@@ -31,8 +32,8 @@
 // is valid for as long as its process runs.
 const certValidity = 10 * 365 * 24 * time.Hour
 
-// NewOwnKeys generates a key pair for the daemon with the given id.
-func NewOwnKeys(id string) (*OwnKeys, error) {
+// NewSelfSignedKeys generates a key pair for the daemon with the given id.
+func NewSelfSignedKeys(id string) (*SelfSignedKeys, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return nil, &Error{Op: "make keys", Kind: BadKeys, Err: err}
@@ -45,14 +46,14 @@
 	if err != nil {
 		return nil, &Error{Op: "make keys", Kind: BadKeys, Err: err}
 	}
-	return &OwnKeys{
+	return &SelfSignedKeys{
 		pair:  tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private},
 		reset: quic.StatelessResetKey(sha256.Sum256(append([]byte("ladderridge stateless reset "), private...))),
 	}, nil
 }
 
 // Public returns the public key to publish.
-func (k *OwnKeys) Public() ed25519.PublicKey {
+func (k *SelfSignedKeys) Public() ed25519.PublicKey {
 	private, ok := k.pair.PrivateKey.(ed25519.PrivateKey)
 	if !ok {
 		return nil
@@ -61,9 +62,9 @@
 	return public
 }
 
-func (k *OwnKeys) resetKey() (quic.StatelessResetKey, error) { return k.reset, nil } //nolint:unparam // Identity.
+func (k *SelfSignedKeys) resetKey() (quic.StatelessResetKey, error) { return k.reset, nil } //nolint:unparam // Identity.
 
-func (k *OwnKeys) server() *tls.Config {
+func (k *SelfSignedKeys) server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, NextProtos: []string{protocol},
 		Certificates: []tls.Certificate{k.pair}, ClientAuth: tls.RequireAnyClientCert,
@@ -71,7 +72,7 @@
 	}
 }
 
-func (k *OwnKeys) client(id string) (*tls.Config, error) { //nolint:unparam // Identity.
+func (k *SelfSignedKeys) client(id string) (*tls.Config, error) { //nolint:unparam // Identity.
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, NextProtos: []string{protocol}, ServerName: id,
 		Certificates: []tls.Certificate{k.pair},
@@ -84,7 +85,7 @@
 
 // verify checks that the peer's key is the one published by the daemon that its
 // certificate names. If want is not empty, that daemon must be want.
-func (k *OwnKeys) verify(s tls.ConnectionState, want string) error {
+func (k *SelfSignedKeys) verify(s tls.ConnectionState, want string) error {
 	if len(s.PeerCertificates) == 0 {
 		return fmt.Errorf("the peer sent no certificate")
 	}
--- a/daemon/peer/own_keys_test.go
+++ b/daemon/peer/self_signed_keys_test.go
@@ -35,7 +35,7 @@
 // startSelfSigned starts a transport with generated keys.
 func startSelfSigned(t *testing.T, p *published, id string) (*peer.Transport, chan peer.Incoming, ed25519.PublicKey) {
 	t.Helper()
-	keys, err := peer.NewOwnKeys(id)
+	keys, err := peer.NewSelfSignedKeys(id)
 	if err != nil {
 		t.Fatal(err)
 	}
