--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -179,8 +179,8 @@
 // SendAll implements storesync.Sender.
 func (s sender) SendAll(to map[string]string, m any) { s.peers.SendAll(to, m) }
 
-// Forget implements storesync.Sender.
-func (s sender) Forget(id string) { s.peers.Forget(id) }
+// CloseConnections implements storesync.Sender.
+func (s sender) CloseConnections(id string) { s.peers.CloseConnections(id) }
 
 // bodyLimit returns the largest request body that the current configuration allows, in bytes.
 func (g *Gateway) bodyLimit() int64 {
--- a/daemon/peer/transport.go
+++ b/daemon/peer/transport.go
@@ -380,9 +380,9 @@
 // headerBytes is the size of the IPv4 and UDP headers of a packet.
 const headerBytes = 28
 
-// Forget closes the connections to a daemon whose process may have lost their
-// state. The next message to it opens a new one.
-func (t *Transport) Forget(id string) {
+// CloseConnections closes the connections to a daemon whose process may have
+// lost their state. The next message to it opens a new one.
+func (t *Transport) CloseConnections(id string) {
 	t.mu.Lock()
 	l := t.links[id]
 	t.mu.Unlock()
--- a/daemon/storesync/harness_test.go
+++ b/daemon/storesync/harness_test.go
@@ -377,7 +377,7 @@
 	}
 }
 
-func (s sender) Forget(string) {}
+func (s sender) CloseConnections(string) {}
 
 // cluster is a store with daemons that follow it.
 type cluster struct {
--- a/daemon/storesync/members.go
+++ b/daemon/storesync/members.go
@@ -81,7 +81,7 @@
 		}
 		members[m.ID] = m
 		if was, ok := (*sy.members.Load())[m.ID]; ok && was.Start != m.Start {
-			sy.Peers.Forget(m.ID)
+			sy.Peers.CloseConnections(m.ID)
 		}
 	}
 	sy.members.Store(&members)
--- a/daemon/storesync/peers.go
+++ b/daemon/storesync/peers.go
@@ -20,7 +20,7 @@
 	newlySilent, still := sy.readers.expire(now)
 	for _, id := range still {
 		// The daemon may have restarted and not know the connection.
-		sy.Peers.Forget(id)
+		sy.Peers.CloseConnections(id)
 	}
 	for _, id := range newlySilent {
 		sy.Log.Warn().Str("reader", id).Msg("storesync: reader of this hall does not answer")
--- a/daemon/storesync/syncer.go
+++ b/daemon/storesync/syncer.go
@@ -44,8 +44,8 @@
 	Send(id, addr string, m any)
 	// SendAll sends one message to several daemons, by ID and address.
 	SendAll(to map[string]string, m any)
-	// Forget closes the connections to a daemon.
-	Forget(id string)
+	// CloseConnections closes the connections to a daemon.
+	CloseConnections(id string)
 }
 
 // Syncer follows the store and publishes views of it. Create it with New, set the exported
