--- a/daemon/wire/wire.go
+++ b/daemon/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire has the headers and bodies that ladderridge exchanges with
-// callers and with backend servers. docs/API.md describes them.
+// Package wire defines the HTTP headers and JSON bodies that ladderridge
+// exchanges with callers and with backend servers. docs/API.md describes them.
 package wire
 
 import (
@@ -7,7 +7,7 @@
 	"errors"
 )
 
-// Paths towards callers and backend servers.
+// Paths of the HTTP APIs for callers and of backend servers.
 const (
 	PathChat    = "/v1/chat/completions"
 	PathModels  = "/v1/models"
@@ -20,20 +20,23 @@
 const (
 	// HeaderSession names the caller's session; SessionNew asks for a new one.
 	HeaderSession = "Ladderridge-Session"
-	// HeaderPin carries the sealed token of a session, both ways.
+	// HeaderPin carries the sealed token of a session, in both directions.
 	HeaderPin = "Ladderridge-Session-Pin"
-	// HeaderKey is the caller's key of a request that it may send again.
+	// HeaderKey is the caller's idempotency key for a request that it may send
+	// again.
 	HeaderKey = "Idempotency-Key"
-	// HeaderRepeat says "no" for a request that may not be repeated.
+	// HeaderRepeat with the value RepeatNo marks a request that must not be
+	// repeated.
 	HeaderRepeat = "Ladderridge-Repeat"
 	// HeaderDeadline is how long the caller waits, in milliseconds.
 	HeaderDeadline = "Ladderridge-Deadline-Ms"
 )
 
-// HeaderKind names the kind of a request, as ratings do.
+// HeaderKind is the kind of a request, as used in ratings.
 const HeaderKind = "Ladderridge-Kind"
 
-// HeaderPriority orders a caller's own requests: high, normal or low.
+// HeaderPriority is the priority among the caller's own requests: high, normal
+// or low.
 const (
 	HeaderPriority = "Ladderridge-Priority"
 	PriorityHigh   = "high"
@@ -41,10 +44,10 @@
 	PriorityLow    = "low"
 )
 
-// SessionNew in HeaderSession asks for a new session of the daemon's naming.
+// SessionNew in HeaderSession asks for a new session, which the daemon names.
 const SessionNew = "new"
 
-// RepeatNo in HeaderRepeat marks a request that may not be repeated.
+// RepeatNo in HeaderRepeat marks a request that must not be repeated.
 const RepeatNo = "no"
 
 // Headers to callers.
@@ -55,7 +58,8 @@
 	HeaderRun = "Ladderridge-Run"
 	// HeaderVersion is the model and version that answered.
 	HeaderVersion = "Ladderridge-Version"
-	// HeaderReplayed marks the recorded outcome of an earlier request.
+	// HeaderReplayed marks a response that repeats the recorded outcome of an
+	// earlier request.
 	HeaderReplayed = "Ladderridge-Replayed"
 )
 
@@ -65,28 +69,28 @@
 	HeaderAttempt = "Ladderridge-Attempt"
 	// HeaderOffset is the index of the first token to stream.
 	HeaderOffset = "Ladderridge-Offset"
-	// HeaderDeclined on a 503 says that nothing ran, and why.
+	// HeaderDeclined on a 503 says that the request did not run, and why.
 	HeaderDeclined = "Ladderridge-Declined"
-	// HeaderLoad is the number of requests the server has under way.
+	// HeaderLoad is the number of requests in flight on the server.
 	HeaderLoad = "Ladderridge-Load"
-	// HeaderLeaving says, with LeavingYes, that the server ends soon and is to get no new
-	// work; an answer with it is as good as others.
+	// HeaderLeaving with the value LeavingYes says that the server shuts down
+	// soon and must get no new requests. The response that carries it is valid.
 	HeaderLeaving = "Ladderridge-Leaving"
 	LeavingYes    = "1"
-	// HeaderRest is how long the server wants no requests from the daemon that it turns
-	// away, in seconds.
+	// HeaderRest is how long, in seconds, the daemon whose request the server
+	// rejects should send it no further requests.
 	HeaderRest = "Retry-After"
 )
 
-// What HeaderDeclined says: the server takes no new work at all, has no place
-// now, or has not loaded the version.
+// Values of HeaderDeclined: the server accepts no new requests at all, has no
+// free slot now, or has not loaded the version.
 const (
 	DeclinedLeaving   = "leaving"
 	DeclinedFull      = "full"
 	DeclinedNotLoaded = "not_loaded"
 )
 
-// The kinds of object in answers.
+// Values of the object field in answers.
 const (
 	ObjectAnswer = "chat.completion"
 	ObjectChunk  = "chat.completion.chunk"
@@ -101,9 +105,8 @@
 	Content Text   `json:"content"`
 }
 
-// Text is the text of a message. In requests it may also come as a list of
-// parts, of which those of type text count here; the body is passed on as it
-// came.
+// Text is the text of a message. In a request it may also be a list of parts,
+// whose texts are joined here; the request body is forwarded unchanged.
 type Text string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -128,8 +131,8 @@
 	return nil
 }
 
-// ChatRequest has the fields of a chat request that ladderridge looks at; the
-// others are passed on as they came.
+// ChatRequest has the fields of a chat request that ladderridge reads. The
+// other fields are forwarded unchanged.
 type ChatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -144,25 +147,26 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Choice is the answer of a chat request that is not streamed.
+// Choice is one answer in the response to a chat request that is not streamed.
 type Choice struct {
 	Index        int     `json:"index"`
 	Message      Message `json:"message"`
 	FinishReason string  `json:"finish_reason"`
 }
 
-// ChatAnswer is the body that answers a chat request that is not streamed.
+// ChatAnswer is the response body of a chat request that is not streamed.
 type ChatAnswer struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Model   string   `json:"model"`
 	Choices []Choice `json:"choices"`
 	Usage   Usage    `json:"usage"`
-	// Quality is the engine's own signal in [0,1]; 0 is none.
+	// Quality is the engine's own quality score in [0,1]; 0 means that there is
+	// none.
 	Quality float64 `json:"quality,omitempty"`
 }
 
-// ChunkChoice is a piece of a streamed answer.
+// ChunkChoice is the part of an answer in one event of a stream.
 type ChunkChoice struct {
 	Index        int     `json:"index"`
 	Delta        Message `json:"delta"`
@@ -174,13 +178,14 @@
 	ID     string `json:"id,omitempty"`
 	Object string `json:"object,omitempty"`
 	Model  string `json:"model,omitempty"`
-	// Index counts the tokens of the whole answer, for resuming at an offset.
+	// Index counts tokens from the start of the whole answer, for resuming at
+	// an offset.
 	Index   int           `json:"ladderridge_index"`
 	Choices []ChunkChoice `json:"choices"`
 	Usage   *Usage        `json:"usage,omitempty"`
 }
 
-// ModelList answers /v1/models.
+// ModelList is the response body of /v1/models.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
@@ -193,12 +198,12 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ErrorBody is the body of every refusal and failure.
+// ErrorBody is the response body of every refused or failed request.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what went wrong.
+// ErrorDetail describes an error.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
@@ -207,27 +212,30 @@
 	// Run says whether the request ran: not_run, done or unknown.
 	Run     string `json:"run"`
 	Request string `json:"request,omitempty"`
-	// RetryAfterMS says when coming back helps; 0 means that it won't.
+	// RetryAfterMS is the time after which a retry may succeed; 0 means that a
+	// retry does not help.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// LoadReport is what a backend server says of itself.
+// LoadReport is the load that a backend server reports.
 type LoadReport struct {
 	ID       string `json:"id"`
 	InFlight int    `json:"in_flight"`
-	// Capacity is how many requests it runs at once; 0 is unknown.
+	// Capacity is the number of requests that the server runs concurrently; 0
+	// means unknown.
 	Capacity int      `json:"capacity"`
 	Leaving  bool     `json:"leaving"`
 	Loaded   []Loaded `json:"loaded,omitempty"`
-	// Loading are the versions whose weights are being read.
+	// Loading lists the versions that are being loaded.
 	Loading []Loaded `json:"loading,omitempty"`
-	// Slots is how many versions fit; 0 is unknown.
+	// Slots is the number of versions that can be loaded at the same time; 0
+	// means unknown.
 	Slots int `json:"slots,omitempty"`
 }
 
 // EngineOrder tells an engine to load or unload a version. An engine that
-// checks fences answers 409 to a number below the highest it has seen, and
-// obeys each number once.
+// checks fencing tokens answers 409 to a number below the highest that it has
+// seen, and executes each number once.
 type EngineOrder struct {
 	Fence   uint64 `json:"fence"`
 	Action  string `json:"action"`
--- a/daemon/wire/wire_test.go
+++ b/daemon/wire/wire_test.go
@@ -21,11 +21,11 @@
 	}
 	var m wire.Message
 	if err := json.Unmarshal([]byte(`{"content":7}`), &m); err == nil {
-		t.Error("a number passes as content")
+		t.Error("a number is accepted as content")
 	}
 }
 
-func TestClosingChunkHasAListOfChoices(t *testing.T) {
+func TestFinalChunkHasAnEmptyListOfChoices(t *testing.T) {
 	data, err := json.Marshal(wire.ChatChunk{ID: "x", Object: wire.ObjectChunk, Choices: []wire.ChunkChoice{}, Usage: &wire.Usage{}})
 	if err != nil {
 		t.Fatal(err)
