--- a/daemon/standin/engine.go
+++ b/daemon/standin/engine.go
@@ -208,7 +208,7 @@
 		e.decline(w, wire.DeclinedLeaving)
 		return f, false
 	case f.RestS > 0:
-		w.Header().Set(wire.HeaderRest, strconv.FormatFloat(f.RestS, 'f', -1, 64))
+		w.Header().Set(wire.HeaderRetryAfter, strconv.FormatFloat(f.RestS, 'f', -1, 64))
 		e.decline(w, wire.DeclinedFull)
 		return f, false
 	case e.Batch > 0 && int(e.inFlight.Load()) > e.Batch:
--- a/daemon/standin/service.go
+++ b/daemon/standin/service.go
@@ -134,7 +134,7 @@
 		w.Header().Set(wire.HeaderLeaving, wire.LeavingYes)
 	}
 	if rest > 0 {
-		w.Header().Set(wire.HeaderRest, strconv.FormatFloat(rest, 'f', -1, 64))
+		w.Header().Set(wire.HeaderRetryAfter, strconv.FormatFloat(rest, 'f', -1, 64))
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
--- a/daemon/wire/wire.go
+++ b/daemon/wire/wire.go
@@ -77,9 +77,9 @@
 	// soon and must get no new requests. The response that carries it is valid.
 	HeaderLeaving = "Ladderridge-Leaving"
 	LeavingYes    = "1"
-	// HeaderRest is how long, in seconds, the daemon whose request the server
-	// rejects should send it no further requests.
-	HeaderRest = "Retry-After"
+	// HeaderRetryAfter is how long, in seconds, the daemon whose request the
+	// server rejects should send it no further requests.
+	HeaderRetryAfter = "Retry-After"
 )
 
 // Values of HeaderDeclined: the server accepts no new requests at all, has no
