--- a/daemon/channel/channel.go
+++ b/daemon/channel/channel.go
@@ -1,8 +1,8 @@
-// Package channel exchanges HTTP/1.1 requests with backend servers over
-// connections whose state it owns. Every end of an exchange is classified:
-// nothing was sent, the answer is whole, or nobody knows. A request goes out at
-// most once: nothing is sent again behind the caller's back, as a general HTTP
-// client does on a kept connection that broke.
+// Package channel sends HTTP/1.1 requests to backend servers over connections
+// whose state it tracks. Every outcome is classified: nothing was sent, the
+// answer is complete, or it is unknown whether the request ran. A request is
+// sent at most once: unlike a general HTTP client, the package never resends a
+// request after a reused connection broke.
 package channel
 
 import (
@@ -24,45 +24,45 @@
 // a stream are small, and a daemon has hundreds of connections.
 const readBuffer = 4 << 10
 
-// channel is one connection to a server. One goroutine at a time uses it.
-type channel struct {
+// persistentConn is a connection to a server. One goroutine at a time uses it.
+type persistentConn struct {
 	conn net.Conn
 	read *bufio.Reader
-	// written counts the bytes that have left for the server.
+	// written counts the bytes sent to the server.
 	written atomic.Int64
-	// rested is when the last answer ended; keep is how long the server then
-	// keeps the connection, 0 if it does not say.
-	rested time.Time
-	keep   time.Duration
+	// idleSince is when the last answer ended. keepAlive is how long the server
+	// keeps an idle connection from then on, or 0 if it does not say.
+	idleSince time.Time
+	keepAlive time.Duration
 }
 
-func newChannel(conn net.Conn) *channel {
-	return &channel{conn: conn, read: bufio.NewReaderSize(conn, readBuffer)}
+func newPersistentConn(conn net.Conn) *persistentConn {
+	return &persistentConn{conn: conn, read: bufio.NewReaderSize(conn, readBuffer)}
 }
 
-// Write counts what leaves; it implements io.Writer.
-func (c *channel) Write(p []byte) (int, error) {
+// Write counts the bytes that it writes; it implements io.Writer.
+func (c *persistentConn) Write(p []byte) (int, error) {
 	n, err := c.conn.Write(p)
 	c.written.Add(int64(n))
 	return n, err
 }
 
-func (c *channel) close() { _ = c.conn.Close() }
+func (c *persistentConn) close() { _ = c.conn.Close() }
 
-// fresh reports whether the connection may carry another request: it has not
-// rested too long, no byte that belongs to no request has come, and the server
-// has not closed it.
-func (c *channel) fresh(now time.Time, longest time.Duration) bool {
-	limit := longest
-	if c.keep > 0 {
-		limit = min(limit, c.keep-keepMargin)
+// reusable reports whether the connection may carry another request: it has not
+// been idle for too long, no unread bytes are buffered, and the server has
+// neither sent more bytes nor closed it.
+func (c *persistentConn) reusable(now time.Time, maxIdle time.Duration) bool {
+	limit := maxIdle
+	if c.keepAlive > 0 {
+		limit = min(limit, c.keepAlive-keepAliveMargin)
 	}
-	return now.Sub(c.rested) < limit && c.read.Buffered() == 0 && c.silent()
+	return now.Sub(c.idleSince) < limit && c.read.Buffered() == 0 && c.nothingReceived()
 }
 
-// silent reports whether neither bytes nor an end have come from the server. It
-// looks without waiting and without taking anything.
-func (c *channel) silent() bool {
+// nothingReceived reports whether the server has neither sent bytes nor closed
+// the connection. It does not block and consumes no bytes.
+func (c *persistentConn) nothingReceived() bool {
 	sys, ok := c.conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -71,18 +71,19 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// keepTime reads how long the server keeps a resting connection.
-func keepTime(h http.Header) time.Duration {
+// keepAliveTimeout returns how long the server keeps an idle connection, or 0
+// if it does not say.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
@@ -92,7 +93,8 @@
 	return 0
 }
 
-// RestAsked is the rest that an answer asks for: only one that turns its request away does.
+// RestAsked returns the back-off that an answer asks for. Only an answer that
+// rejects its request can ask for one.
 func RestAsked(status int, h http.Header) time.Duration {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
@@ -100,9 +102,9 @@
 	return notice.ParseSeconds(h.Get("Retry-After"))
 }
 
-// writeRequest writes a request whole. Head and body leave in one write if they
-// are short.
-func (c *channel) writeRequest(x Request) error {
+// writeRequest writes a complete request. Head and body are sent in one write
+// if they are short.
+func (c *persistentConn) writeRequest(x Request) error {
 	w := bufio.NewWriterSize(c, writeBuffer)
 	_, _ = w.WriteString(x.Method + " " + x.Target + " HTTP/1.1\r\nHost: " + x.Host + "\r\n")
 	if err := x.Header.Write(w); err != nil {
@@ -118,11 +120,12 @@
 	return w.Flush()
 }
 
-// writeBuffer holds a usual request whole, in bytes.
+// writeBuffer is the size of the write buffer in bytes; a typical request fits
+// into it.
 const writeBuffer = 32 << 10
 
-// readHead reads the head of an answer and passes over interim ones.
-func (c *channel) readHead(method string) (*http.Response, error) {
+// readHead reads the head of an answer and skips interim (1xx) responses.
+func (c *persistentConn) readHead(method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.read, &http.Request{Method: method})
 		if err != nil {
@@ -135,14 +138,16 @@
 	}
 }
 
-// discard reads an answer that belongs to no request here.
+// discard reads and drops an answer that belongs to no request on this
+// connection.
 func discard(resp *http.Response) error {
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSurplus+1))
-	if err == nil && n > maxSurplus {
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSurplusBytes+1))
+	if err == nil && n > maxSurplusBytes {
 		err = errors.New("the surplus answer is too long")
 	}
 	return err
 }
 
-// maxSurplus bounds the surplus answer that is read past, in bytes.
-const maxSurplus = 64 << 10
+// maxSurplusBytes is the maximum size in bytes of a surplus answer that is
+// discarded.
+const maxSurplusBytes = 64 << 10
--- a/daemon/channel/error.go
+++ b/daemon/channel/error.go
@@ -8,26 +8,27 @@
 	"ladderridge.example/core/fault"
 )
 
-// Kind says what sort of error the package met, and with that whether the
-// request may have run.
+// Kind classifies the errors of this package, and with that whether the request
+// may have run.
 type Kind string
 
 // The kinds of error.
 const (
-	// Unreachable is a server to which no connection came about.
+	// Unreachable means that no connection to the server was established.
 	Unreachable Kind = "server unreachable"
-	// Unsent is a request of which no byte left this process.
+	// Unsent means that no byte of the request left this process.
 	Unsent Kind = "nothing was sent"
-	// Gated is a request that its sender stopped at the last moment.
+	// Gated means that the sender stopped the request just before its first
+	// byte was sent.
 	Gated Kind = "stopped at the gate"
-	// Broken is an answer that broke off or never came: the request may have
-	// run.
+	// Broken means that the answer broke off or never came: the request may
+	// have run.
 	Broken Kind = "answer broken"
-	// Crossed is an answer to another request.
+	// Crossed means that an answer to another request came.
 	Crossed Kind = "answer to another request"
 )
 
-// String names the kind.
+// String implements fmt.Stringer.
 func (k Kind) String() string { return string(k) }
 
 // NotRun reports whether an error of that kind proves that the server has not
@@ -37,12 +38,12 @@
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
 
-// ConnectionRefused reports whether an error says that nobody listens at the server's
-// address any more: its machine is there, the server is not.
+// ConnectionRefused reports whether an error says that nothing listens at the
+// server's address: its machine is up, but the server is not running.
 func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// TimedOut reports whether an error says that the server's machine gave no sign
-// of itself, as one that is cut off or has no power.
+// TimedOut reports whether an error says that the server's machine did not
+// respond, because it is disconnected or has no power.
 func TimedOut(err error) bool {
 	if errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH) {
 		return true
--- a/daemon/channel/silence_test.go
+++ b/daemon/channel/keepalive_test.go
@@ -12,10 +12,11 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
 const tcpUserTimeout = 18
 
-// A connection may fall silent for good without a reset, while new ones work. The
-// system ends it: by the time for which bytes may stay unconfirmed, and by probes
-// while it only waits. Neither is left to the deadline of a request.
-func TestConnectionsThatFallSilentEndByThemselves(t *testing.T) {
+// A connection may stop responding for good without a reset, while new ones
+// work. The system closes it: after the time for which bytes may remain
+// unacknowledged, and by keep-alive probes while it only waits. Neither depends
+// on the deadline of a request.
+func TestDeadConnectionsAreClosedByTheSystem(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -31,9 +32,9 @@
 		level, option int
 		least, most   int
 	}{
-		{"unconfirmed bytes, in ms", syscall.IPPROTO_TCP, tcpUserTimeout, 1, int(time.Second.Milliseconds())},
+		{"unacknowledged bytes, in ms", syscall.IPPROTO_TCP, tcpUserTimeout, 1, int(time.Second.Milliseconds())},
 		{"probes are sent", syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1, 1},
-		{"rest before a probe, in s", syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, 1, 1},
+		{"idle time before a probe, in s", syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, 1, 1},
 		{"time between probes, in s", syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL, 1, 1},
 		{"probes that may be lost", syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, 1, 2},
 	} {
@@ -43,7 +44,7 @@
 	}
 }
 
-// option reads an option of a connection's socket.
+// option returns a socket option of a connection.
 func option(t *testing.T, conn net.Conn, level, name int) int {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
--- a/daemon/channel/pool.go
+++ b/daemon/channel/pool.go
@@ -18,99 +18,104 @@
 
 const opExchange = "exchange with server"
 
-// The bounds of connections.
+// Limits of connections.
 const (
-	// dialTimeout is the longest that a connection may take to come up: a hall
-	// away is a few milliseconds. A lost packet is sent again only after a
-	// second; by then another server has answered.
+	// dialTimeout limits the time to establish a connection: the round trip to
+	// another hall takes a few milliseconds. A lost packet is sent again only
+	// after a second; by then another server has answered.
 	dialTimeout = 400 * time.Millisecond
-	// longestRest is how long a connection is kept without a request. Servers
-	// close idle ones after a time of their own; the shorter wins.
-	longestRest = 10 * time.Second
-	// keepMargin is taken off the time that a server says it keeps one, so that
-	// a request does not meet the close.
-	keepMargin = 500 * time.Millisecond
-	// unackedTimeout ends a connection whose bytes the other end's machine does
-	// not confirm: it has lost power or is cut off. Two packets lost in a row
-	// are sent again within it. Probes find the same on a connection that only
-	// waits; the system counts them by whole seconds.
-	unackedTimeout = 900 * time.Millisecond
-	probeAfter     = time.Second
-	probeEvery     = time.Second
-	probes         = 1
-	// shortBody is the length of a body that the system's buffers take at once,
-	// in bytes; it is written before the answer is waited for.
+	// defaultMaxIdle is how long an idle connection is kept. Servers close idle
+	// connections after a time of their own; the shorter time applies.
+	defaultMaxIdle = 10 * time.Second
+	// keepAliveMargin is subtracted from the keep-alive time that a server
+	// announces, so that no request is sent while the server closes the
+	// connection.
+	keepAliveMargin = 500 * time.Millisecond
+	// userTimeout closes a connection whose bytes the other machine does not
+	// acknowledge, because it has lost power or is disconnected. Two packets
+	// lost in a row are retransmitted within it. Keep-alive probes detect the
+	// same on a connection that only waits for an answer; the system counts
+	// their times in whole seconds.
+	userTimeout       = 900 * time.Millisecond
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 1
+	// shortBody is the length in bytes up to which a body fits into the socket
+	// buffers. Such a request is written before the answer is read.
 	shortBody = 2 << 10
-	// writeGrace is how long the end of a longer write may be reported after
-	// the end of its answer, for the connection to be kept.
+	// writeGrace is how long after the end of an answer the write of a longer
+	// request may still return for the connection to be kept.
 	writeGrace = 50 * time.Millisecond
-	// surplusAnswers is how many answers to earlier requests are read past.
-	surplusAnswers = 2
+	// maxSurplusAnswers is the number of answers to earlier requests that are
+	// discarded.
+	maxSurplusAnswers = 2
 )
 
-// OnceRest is how long a connection may have rested that carries a request that
-// may not be sent twice: on one that rests longer, the server's close is likelier
-// to be on its way, and whether the request ran would then not be known.
+// OnceRest is the maximum idle time of a connection that carries a request that
+// must not be sent twice. If a connection has been idle for longer, the server
+// is more likely to be closing it, and it would then be unknown whether the
+// request ran.
 const OnceRest = 2 * time.Second
 
 // Request is one request to a server.
 type Request struct {
 	Addr   string
 	Method string
-	// Target is the path with its query, as it came.
+	// Target is the path with its query, unchanged.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Sized sends a length for an empty body too.
+	// Sized sends a Content-Length for an empty body too.
 	Sized bool
-	// RestAtMost bounds how long the connection may have rested; 0 is the
-	// standard.
+	// RestAtMost limits how long the connection may have been idle; 0 means the
+	// default.
 	RestAtMost time.Duration
-	// Gate, if set, is asked once the connection is there, at the last moment
-	// before a byte leaves; its error stops the request.
+	// Gate, if set, is called once the connection is established, just before
+	// the first byte is sent; its error stops the request.
 	Gate func() error
-	// Belongs reports whether an answer's head belongs to this request; nil is
-	// any.
+	// Belongs reports whether the head of an answer belongs to this request;
+	// nil accepts any answer.
 	Belongs func(http.Header) bool
 }
 
-// Pool keeps connections to servers.
+// Pool keeps idle connections to servers for further requests.
 type Pool struct {
 	// Dial opens a connection; NewPool sets one over TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// Listed, if set before Run, returns what tells whether a server is listed
-	// at an address.
+	// Listed must be set before Run. It returns a function that reports whether
+	// a server is listed at an address.
 	Listed func() func(addr string) bool
 
-	// Opened counts new connections, Reused requests on kept ones, and Surplus
-	// the answers that belonged to no request.
+	// Opened counts new connections, Reused requests on idle ones, and Surplus
+	// answers that belonged to no request.
 	Opened  atomic.Int64
 	Reused  atomic.Int64
 	Surplus atomic.Int64
 
 	mu   sync.Mutex
-	idle map[string][]*channel
+	idle map[string][]*persistentConn
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns an empty pool.
 func NewPool() *Pool {
 	dialer := net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probes},
-		Control:         limitUnacked,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
+		Control:         setUserTimeout,
 	}
 	return &Pool{
-		idle: map[string][]*channel{},
+		idle: map[string][]*persistentConn{},
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
 	}
 }
 
-// limitUnacked sets the time after which unconfirmed bytes end a connection.
-func limitUnacked(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets the time after which unacknowledged bytes close a
+// connection.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
+		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -121,8 +126,9 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
 const tcpUserTimeout = 18
 
-// take returns a kept connection that may carry another request, or nil.
-func (p *Pool) take(addr string, longest time.Duration) *channel {
+// takeIdle removes and returns an idle connection that may carry another
+// request, or nil.
+func (p *Pool) takeIdle(addr string, maxIdle time.Duration) *persistentConn {
 	now := time.Now()
 	for {
 		p.mu.Lock()
@@ -134,28 +140,28 @@
 		c := kept[len(kept)-1]
 		p.idle[addr] = kept[:len(kept)-1]
 		p.mu.Unlock()
-		if c.fresh(now, longest) {
+		if c.reusable(now, maxIdle) {
 			return c
 		}
 		c.close()
 	}
 }
 
-// keep takes a connection back whose answer has ended whole.
-func (p *Pool) keep(addr string, c *channel) {
-	c.rested = time.Now()
+// putIdle returns a connection to the pool after a complete answer.
+func (p *Pool) putIdle(addr string, c *persistentConn) {
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[addr] = append(p.idle[addr], c)
 }
 
-// sweepEvery is the time between two looks at connections that rest.
-const sweepEvery = 2 * time.Second
+// sweepInterval is the interval between two sweeps of idle connections.
+const sweepInterval = 2 * time.Second
 
-// Run closes connections that have rested too long or lead to servers that are
-// no longer listed, until ctx ends.
+// Run closes connections that have been idle for too long or lead to servers
+// that are no longer listed, until ctx ends.
 func (p *Pool) Run(ctx context.Context) error {
-	tick := clock.NewTicker(sweepEvery)
+	tick := clock.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -167,19 +173,19 @@
 	}
 }
 
-// Sweep closes connections that have rested too long, and all connections to
-// addresses that keep reports false for.
+// Sweep closes connections that have been idle for too long, and all
+// connections to addresses for which wanted returns false.
 func (p *Pool) Sweep(wanted func(addr string) bool) {
 	now := time.Now()
-	var old []*channel
+	var expired []*persistentConn
 	p.mu.Lock()
 	for addr, kept := range p.idle {
-		var left []*channel
+		var left []*persistentConn
 		for _, c := range kept {
-			if now.Sub(c.rested) < longestRest && wanted(addr) {
+			if now.Sub(c.idleSince) < defaultMaxIdle && wanted(addr) {
 				left = append(left, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
 		if len(left) == 0 {
@@ -189,12 +195,12 @@
 		p.idle[addr] = left
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.close()
 	}
 }
 
-// Drop closes the connections that rest to an address.
+// Drop closes the idle connections to an address.
 func (p *Pool) Drop(addr string) {
 	p.mu.Lock()
 	kept := p.idle[addr]
@@ -205,7 +211,7 @@
 	}
 }
 
-// Idle is the number of connections that rest.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -216,23 +222,24 @@
 	return n
 }
 
-func (p *Pool) open(ctx context.Context, addr string) (*channel, error) {
+func (p *Pool) open(ctx context.Context, addr string) (*persistentConn, error) {
 	conn, err := p.Dial(ctx, addr)
 	if err != nil {
 		return nil, &Error{Op: opExchange, Kind: Unreachable, Err: merry.Wrap(err)}
 	}
 	p.Opened.Add(1)
-	return newChannel(conn), nil
+	return newPersistentConn(conn), nil
 }
 
-// Send sends a request once and returns the answer's head, its body still to be
-// read. When ctx ends, the connection is closed, and with it the server's work.
+// Send sends a request once and returns the head of its answer, with the body
+// still to be read. When ctx ends, the connection is closed, which also ends
+// the server's work on the request.
 func (p *Pool) Send(ctx context.Context, x Request) (*Reply, error) {
-	rest := longestRest
+	maxIdle := defaultMaxIdle
 	if x.RestAtMost > 0 {
-		rest = x.RestAtMost
+		maxIdle = x.RestAtMost
 	}
-	c := p.take(x.Addr, rest)
+	c := p.takeIdle(x.Addr, maxIdle)
 	if c != nil {
 		p.Reused.Add(1)
 	} else {
@@ -247,19 +254,19 @@
 			return nil, &Error{Op: opExchange, Kind: Gated, Err: err}
 		}
 	}
-	r := &Reply{pool: p, addr: x.Addr, channel: c, sent: make(chan written, 1)}
+	r := &Reply{pool: p, addr: x.Addr, conn: c, sent: make(chan writeResult, 1)}
 	r.release = context.AfterFunc(ctx, c.close)
 	before := c.written.Load()
 	if len(x.Body) <= shortBody {
-		r.sent <- written{err: c.writeRequest(x)}
+		r.sent <- writeResult{err: c.writeRequest(x)}
 	} else {
 		// A server may answer before it has read a long body.
-		go func() { r.sent <- written{err: c.writeRequest(x)} }()
+		go func() { r.sent <- writeResult{err: c.writeRequest(x)} }()
 	}
 	if err := r.head(x); err != nil {
 		r.Close()
 		if c.written.Load() == before {
-			// Close has ended the write, so nothing can leave any more.
+			// Close has ended the write, so nothing more can be sent.
 			return nil, &Error{Op: opExchange, Kind: Unsent, Err: merry.Wrap(err)}
 		}
 		return nil, err
@@ -267,8 +274,8 @@
 	return r, nil
 }
 
-// written is how the writing of a request ended.
-type written struct{ err error }
+// writeResult is the result of writing a request.
+type writeResult struct{ err error }
 
 // Reply is an answer whose body is still to be read.
 type Reply struct {
@@ -276,35 +283,36 @@
 	Header http.Header
 	// Length is the body's length in bytes, or -1 if it is not known.
 	Length int64
-	// Framed tells that the answer shows its own end: another one ends with its
-	// connection, however that ends.
+	// Framed reports whether the answer marks its own end, by its length or by
+	// chunked encoding. Any other answer ends with its connection, however that
+	// ends.
 	Framed bool
 
 	body    io.ReadCloser
 	pool    *Pool
 	addr    string
-	channel *channel
-	sent    chan written
+	conn    *persistentConn
+	sent    chan writeResult
 	release func() bool
-	// whole tells that the body has ended as it should.
-	whole bool
-	// keepable tells that the connection may carry another request then.
-	keepable bool
+	// complete is set once the body has ended as it should.
+	complete bool
+	// reusable is set if the connection may carry another request after that.
+	reusable bool
 	closed   bool
 }
 
 // head reads the head of the answer to a request.
 func (r *Reply) head(x Request) error {
-	for range surplusAnswers + 1 {
-		resp, err := r.channel.readHead(x.Method) //nolint:bodyclose // The Reply owns the body.
+	for range maxSurplusAnswers + 1 {
+		resp, err := r.conn.readHead(x.Method) //nolint:bodyclose // The Reply owns the body.
 		if err != nil {
 			return &Error{Op: opExchange, Kind: Broken, Err: merry.Wrap(err)}
 		}
 		if x.Belongs == nil || x.Belongs(resp.Header) {
 			r.Status, r.Header, r.Length, r.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
-			r.channel.keep = keepTime(resp.Header)
+			r.conn.keepAlive = keepAliveTimeout(resp.Header)
 			r.Framed = resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-			r.keepable = !resp.Close && r.Framed
+			r.reusable = !resp.Close && r.Framed
 			return nil
 		}
 		r.pool.Surplus.Add(1)
@@ -315,12 +323,12 @@
 	return &Error{Op: opExchange, Kind: Crossed, Err: merry.New("only answers to other requests came")}
 }
 
-// Read reads the body. io.EOF tells that it is whole.
+// Read reads the body. io.EOF means that the body is complete.
 func (r *Reply) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	switch {
 	case err == io.EOF: //nolint:errorlint // io.Reader returns io.EOF itself.
-		r.whole = true
+		r.complete = true
 		return n, io.EOF
 	case err != nil:
 		return n, &Error{Op: "read answer", Kind: Broken, Err: merry.Wrap(err)}
@@ -328,31 +336,32 @@
 	return n, nil
 }
 
-// Close ends the exchange. The connection is kept if the answer is whole and
-// nothing came behind it; otherwise it is closed, so that the server drops the
+// Close ends the exchange. The connection is kept if the answer is complete and
+// no bytes followed it; otherwise it is closed, so that the server aborts the
 // request.
 func (r *Reply) Close() {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	mine := r.release == nil || r.release()
-	if mine && r.whole && r.keepable && r.wasSent() && r.channel.read.Buffered() == 0 {
-		r.pool.keep(r.addr, r.channel)
+	connOpen := r.release == nil || r.release()
+	if connOpen && r.complete && r.reusable && r.wasSent() && r.conn.read.Buffered() == 0 {
+		r.pool.putIdle(r.addr, r.conn)
 		return
 	}
-	r.channel.close()
+	r.conn.close()
 	if !r.wasSent() {
 		// The closed connection ends the write.
 		<-r.sent
 	}
 }
 
-// wasSent reports whether the request has left whole. Behind a whole answer it
-// waits a moment for that: the answer may be read before the write has returned.
+// wasSent reports whether the request was written completely. After a complete
+// answer it waits for that up to writeGrace, because the answer may be read
+// before the write returns.
 func (r *Reply) wasSent() bool {
 	wait := time.Duration(0)
-	if r.whole {
+	if r.complete {
 		wait = writeGrace
 	}
 	select {
--- a/daemon/channel/pool_test.go
+++ b/daemon/channel/pool_test.go
@@ -14,8 +14,9 @@
 	"ladderridge.example/daemon/channel"
 )
 
-// serve answers connections at an address, each by script, until the test ends.
-func serve(t *testing.T, script func(c net.Conn, r *bufio.Reader)) string {
+// startServer listens until the test ends and runs script on each connection.
+// It returns the address.
+func startServer(t *testing.T, script func(c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,9 +38,9 @@
 	return l.Addr().String()
 }
 
-// newPool returns a pool whose connections take as long as they take: on a busy machine
-// one to this very process may take longer than a pool allows for one to another VM.
-// TestConnectionsThatFallSilentEndByThemselves has a pool as it is.
+// newPool returns a pool without a dial timeout: on a busy machine a connection
+// within this process may take longer than a pool allows for one to another VM.
+// TestDeadConnectionsAreClosedByTheSystem uses the pool's own dialer.
 func newPool() *channel.Pool {
 	p := channel.NewPool()
 	p.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
@@ -48,8 +49,8 @@
 	return p
 }
 
-// take reads a request whole and returns its id.
-func take(r *bufio.Reader) (string, error) {
+// readRequest reads a complete request and returns its id.
+func readRequest(r *bufio.Reader) (string, error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return "", err
@@ -65,7 +66,7 @@
 	}
 }
 
-// exchange sends a request and returns the whole body of its answer.
+// exchange sends a request and returns the complete body of its answer.
 func exchange(t *testing.T, p *channel.Pool, x channel.Request) (string, error) {
 	t.Helper()
 	reply, err := p.Send(t.Context(), x)
@@ -83,10 +84,10 @@
 
 func itoa(n int) string { return string([]byte{byte('0' + n/10%10), byte('0' + n%10)}) }
 
-func TestKeptConnectionCarriesTheNextRequest(t *testing.T) {
-	addr := serve(t, func(c net.Conn, r *bufio.Reader) {
+func TestIdleConnectionIsReused(t *testing.T) {
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
 		for {
-			id, err := take(r)
+			id, err := readRequest(r)
 			if err != nil {
 				return
 			}
@@ -104,12 +105,13 @@
 	}
 }
 
-// The gate is asked once the connection is there: a process that was paused while
-// it came up once sent requests on that its gate would have stopped by then.
-func TestGateIsTheLastMoment(t *testing.T) {
+// BeforeSend is called once the connection is established. A process that was
+// paused while it connected once sent requests that BeforeSend would have
+// stopped by then.
+func TestBeforeSendRunsAfterTheDial(t *testing.T) {
 	arrived := make(chan error, 1)
-	addr := serve(t, func(_ net.Conn, r *bufio.Reader) {
-		_, err := take(r)
+	addr := startServer(t, func(_ net.Conn, r *bufio.Reader) {
+		_, err := readRequest(r)
 		arrived <- err
 	})
 	p := newPool()
@@ -117,7 +119,7 @@
 	stop := errors.New("stop")
 	x.Gate = func() error {
 		if p.Opened.Load() != 1 {
-			t.Error("the gate was asked before there was a connection")
+			t.Error("BeforeSend was called before there was a connection")
 		}
 		return stop
 	}
@@ -127,17 +129,18 @@
 		t.Errorf("%v", err)
 	}
 	if err := <-arrived; err == nil {
-		t.Error("the server has the request")
+		t.Error("the server received the request")
 	}
 }
 
-func TestSurplusAnswerBelongsToNoRequest(t *testing.T) {
+func TestSurplusAnswerIsDiscarded(t *testing.T) {
 	second := make(chan struct{})
-	addr := serve(t, func(c net.Conn, r *bufio.Reader) {
-		id, _ := take(r)
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+		id, _ := readRequest(r)
 		_, _ = io.WriteString(c, answer(id, "first"))
-		// A second answer to the first request comes in place of the next one.
-		if id, err := take(r); err == nil {
+		// A second answer to the first request comes before the answer to the
+		// next one.
+		if id, err := readRequest(r); err == nil {
 			_, _ = io.WriteString(c, answer("a", "stray")+answer(id, "second"))
 		}
 		<-second
@@ -155,11 +158,11 @@
 	}
 }
 
-func TestBytesBehindAnAnswerCloseTheConnection(t *testing.T) {
-	addr := serve(t, func(c net.Conn, r *bufio.Reader) {
-		id, _ := take(r)
+func TestBytesAfterAnAnswerCloseTheConnection(t *testing.T) {
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+		id, _ := readRequest(r)
 		_, _ = io.WriteString(c, answer(id, "whole")+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
-		_, _ = take(r)
+		_, _ = readRequest(r)
 	})
 	p := newPool()
 	for _, id := range []string{"a", "b"} {
@@ -168,22 +171,22 @@
 		}
 	}
 	if p.Reused.Load() != 0 {
-		t.Error("a connection with bytes of nobody's was used again")
+		t.Error("a connection with unexpected bytes was reused")
 	}
 }
 
-func TestEndsAreToldApart(t *testing.T) {
+func TestTruncatedAnswerIsInterrupted(t *testing.T) {
 	for name, script := range map[string]string{
-		"cut within its length":       "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",
-		"cut within a chunk":          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
-		"cut before the last chunk":   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
-		"cut within the head":         "HTTP/1.1 200 OK\r\nConte",
-		"no answer in the protocol":   "\x00\x01\x02 nothing\r\n\r\n",
-		"closed without a single one": "",
+		"cut within its length":      "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",
+		"cut within a chunk":         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
+		"cut before the last chunk":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+		"cut within the head":        "HTTP/1.1 200 OK\r\nConte",
+		"an answer that is not HTTP": "\x00\x01\x02 nothing\r\n\r\n",
+		"closed without an answer":   "",
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr := serve(t, func(c net.Conn, r *bufio.Reader) {
-				_, _ = take(r)
+			addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+				_, _ = readRequest(r)
 				_, _ = io.WriteString(c, script)
 			})
 			x := request(addr, "a")
@@ -201,8 +204,8 @@
 }
 
 func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
-	addr := serve(t, func(c net.Conn, r *bufio.Reader) {
-		_, _ = take(r)
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+		_, _ = readRequest(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: a\r\n\r\nall of it")
 	})
 	if got, err := exchange(t, newPool(), request(addr, "a")); err != nil || got != "all of it" {
@@ -210,9 +213,9 @@
 	}
 }
 
-func TestResetAnswerWithoutLengthIsNotWhole(t *testing.T) {
-	addr := serve(t, func(c net.Conn, r *bufio.Reader) {
-		_, _ = take(r)
+func TestResetAnswerWithoutLengthIsInterrupted(t *testing.T) {
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+		_, _ = readRequest(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: a\r\n\r\npart")
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
@@ -223,10 +226,10 @@
 	}
 }
 
-func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	closed := make(chan struct{}, 2)
-	addr := serve(t, func(c net.Conn, r *bufio.Reader) {
-		id, _ := take(r)
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+		id, _ := readRequest(r)
 		_, _ = io.WriteString(c, answer(id, "once"))
 		_ = c.Close()
 		closed <- struct{}{}
@@ -240,7 +243,7 @@
 	}
 }
 
-func TestNobodyListensIsNotRun(t *testing.T) {
+func TestRefusedConnectionIsNotRun(t *testing.T) {
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -254,9 +257,9 @@
 	}
 }
 
-func TestAnswerBeforeTheBodyWasRead(t *testing.T) {
+func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
 	release := make(chan struct{})
-	addr := serve(t, func(c net.Conn, r *bufio.Reader) {
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -272,14 +275,14 @@
 		t.Fatalf("%q, %v", got, err)
 	}
 	if p.Idle() != 0 {
-		t.Error("a connection on which a body is still due was kept")
+		t.Error("a connection with an unfinished request body was kept")
 	}
 }
 
 func TestEndedContextClosesTheConnection(t *testing.T) {
 	gone := make(chan error, 1)
-	addr := serve(t, func(c net.Conn, r *bufio.Reader) {
-		id, _ := take(r)
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+		id, _ := readRequest(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
 		_, err := r.ReadByte()
 		gone <- err
@@ -291,7 +294,7 @@
 	}
 	cancel()
 	if err := <-gone; err == nil {
-		t.Error("the server did not see the end")
+		t.Error("the server did not see the connection close")
 	}
 	reply.Close()
 }
--- a/daemon/channel/look.go
+++ b/daemon/channel/probe.go
@@ -6,9 +6,10 @@
 	"ladderridge.example/core/quarantine"
 )
 
-// Look finds out whether a server that broke off is there, without waiting: one look at a
-// place at a time. The connection is kept for the next request; ended is told of a server
-// that refuses it.
+// Look checks in the background whether a server that interrupted an answer is
+// still running, with at most one probe of an instance at a time. The
+// connection is kept for the next request. If the server refuses the
+// connection, ended is called.
 func (p *Pool) Look(runs *quarantine.Tracker, at quarantine.Instance, ended func(quarantine.Instance)) {
 	if !runs.BeginProbe(at) {
 		return
@@ -17,7 +18,7 @@
 		defer runs.EndProbe(at)
 		c, err := p.open(context.Background(), at.Addr)
 		if err == nil {
-			p.keep(at.Addr, c)
+			p.putIdle(at.Addr, c)
 			return
 		}
 		if ConnectionRefused(err) {
--- a/daemon/wire/wire.go
+++ b/daemon/wire/wire.go
@@ -178,8 +178,8 @@
 	ID     string `json:"id,omitempty"`
 	Object string `json:"object,omitempty"`
 	Model  string `json:"model,omitempty"`
-	// Index counts tokens from the start of the whole answer, for resuming at
-	// an offset.
+	// Index is the position of the chunk in the whole answer, in tokens, for
+	// resuming at an offset.
 	Index   int           `json:"ladderridge_index"`
 	Choices []ChunkChoice `json:"choices"`
 	Usage   *Usage        `json:"usage,omitempty"`
