--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -97,7 +97,7 @@
 	declines := status == http.StatusServiceUnavailable && h.Get(wire.HeaderDeclined) == wire.DeclinedLeaving
 	return notice.Notice{
 		Leaving: declines || h.Get(wire.HeaderLeaving) == wire.LeavingYes,
-		Backoff: channel.RestAsked(status, h),
+		Backoff: channel.RequestedBackoff(status, h),
 	}
 }
 
--- a/daemon/channel/channel.go
+++ b/daemon/channel/channel.go
@@ -93,9 +93,9 @@
 	return 0
 }
 
-// RestAsked returns the back-off that an answer asks for. Only an answer that
+// RequestedBackoff returns the back-off that an answer asks for. Only an answer that
 // rejects its request can ask for one.
-func RestAsked(status int, h http.Header) time.Duration {
+func RequestedBackoff(status int, h http.Header) time.Duration {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
 	}
--- a/daemon/channel/probe.go
+++ b/daemon/channel/probe.go
@@ -6,11 +6,11 @@
 	"ladderridge.example/core/quarantine"
 )
 
-// Look checks in the background whether a server that interrupted an answer is
+// Probe checks in the background whether a server that interrupted an answer is
 // still running, with at most one probe of an instance at a time. The
 // connection is kept for the next request. If the server refuses the
 // connection, ended is called.
-func (p *Pool) Look(runs *quarantine.Tracker, at quarantine.Instance, ended func(quarantine.Instance)) {
+func (p *Pool) Probe(runs *quarantine.Tracker, at quarantine.Instance, ended func(quarantine.Instance)) {
 	if !runs.BeginProbe(at) {
 		return
 	}
--- a/daemon/proxy/ended.go
+++ b/daemon/proxy/ended.go
@@ -56,7 +56,7 @@
 }
 
 // look finds out whether a server that broke off is there.
-func (e *Engine) look(p quarantine.Instance) { e.Channels.Look(e.runs, p, e.serverEnded) }
+func (e *Engine) look(p quarantine.Instance) { e.Channels.Probe(e.runs, p, e.serverEnded) }
 
 func (e *Engine) lookLater(p quarantine.Instance) { time.AfterFunc(lookAfter, func() { e.look(p) }) }
 
