--- a/daemon/backend/backend.go
+++ b/daemon/backend/backend.go
@@ -126,7 +126,7 @@
 func (c *Client) Send(ctx context.Context, x Exchange) (*Reply, error) {
 	x.Server.State.InFlight.Add(1)
 	answer, err := c.Pool.Send(ctx, x.request())
-	if fault.Is(err, channel.Gated) {
+	if fault.Is(err, channel.StoppedBeforeSend) {
 		x.Server.State.InFlight.Add(-1)
 		return nil, &Error{Op: opSend, Kind: StoppedBeforeSend, Err: err}
 	}
@@ -153,7 +153,7 @@
 	if x.Offset > 0 {
 		h.Set(wire.HeaderOffset, strconv.Itoa(x.Offset))
 	}
-	r := channel.Request{Gate: x.checkBeforeSend, Addr: x.Server.Addr, Host: x.Server.Addr, Method: x.Method, Target: x.Target, Header: h, Body: x.Body, Sized: x.Method == http.MethodPost || x.Method == http.MethodPut}
+	r := channel.Request{BeforeSend: x.checkBeforeSend, Addr: x.Server.Addr, Host: x.Server.Addr, Method: x.Method, Target: x.Target, Header: h, Body: x.Body, Sized: x.Method == http.MethodPost || x.Method == http.MethodPut}
 	if x.Once {
 		r.RestAtMost = channel.OnceRest
 	}
--- a/daemon/channel/error.go
+++ b/daemon/channel/error.go
@@ -18,9 +18,9 @@
 	Unreachable Kind = "server unreachable"
 	// Unsent means that no byte of the request left this process.
 	Unsent Kind = "nothing was sent"
-	// Gated means that the sender stopped the request just before its first
+	// StoppedBeforeSend means that the sender stopped the request just before its first
 	// byte was sent.
-	Gated Kind = "stopped at the gate"
+	StoppedBeforeSend Kind = "stopped at the gate"
 	// Broken means that the answer broke off or never came: the request may
 	// have run.
 	Broken Kind = "answer broken"
@@ -33,7 +33,7 @@
 
 // NotRun reports whether an error of that kind proves that the server has not
 // run the request.
-func (k Kind) NotRun() bool { return k == Unreachable || k == Unsent || k == Gated }
+func (k Kind) NotRun() bool { return k == Unreachable || k == Unsent || k == StoppedBeforeSend }
 
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
--- a/daemon/channel/pool.go
+++ b/daemon/channel/pool.go
@@ -71,9 +71,9 @@
 	// RestAtMost limits how long the connection may have been idle; 0 means the
 	// default.
 	RestAtMost time.Duration
-	// Gate, if set, is called once the connection is established, just before
+	// BeforeSend, if set, is called once the connection is established, just before
 	// the first byte is sent; its error stops the request.
-	Gate func() error
+	BeforeSend func() error
 	// Belongs reports whether the head of an answer belongs to this request;
 	// nil accepts any answer.
 	Belongs func(http.Header) bool
@@ -248,10 +248,10 @@
 			return nil, err
 		}
 	}
-	if x.Gate != nil {
-		if err := x.Gate(); err != nil {
+	if x.BeforeSend != nil {
+		if err := x.BeforeSend(); err != nil {
 			c.close()
-			return nil, &Error{Op: opExchange, Kind: Gated, Err: err}
+			return nil, &Error{Op: opExchange, Kind: StoppedBeforeSend, Err: err}
 		}
 	}
 	r := &Reply{pool: p, addr: x.Addr, conn: c, sent: make(chan writeResult, 1)}
--- a/daemon/channel/pool_test.go
+++ b/daemon/channel/pool_test.go
@@ -117,7 +117,7 @@
 	p := newPool()
 	x := request(addr, "a")
 	stop := errors.New("stop")
-	x.Gate = func() error {
+	x.BeforeSend = func() error {
 		if p.Opened.Load() != 1 {
 			t.Error("BeforeSend was called before there was a connection")
 		}
@@ -125,7 +125,7 @@
 	}
 	_, err := exchange(t, p, x)
 	var e *channel.Error
-	if !errors.As(err, &e) || e.Kind != channel.Gated || !e.Kind.NotRun() || !errors.Is(err, stop) {
+	if !errors.As(err, &e) || e.Kind != channel.StoppedBeforeSend || !e.Kind.NotRun() || !errors.Is(err, stop) {
 		t.Errorf("%v", err)
 	}
 	if err := <-arrived; err == nil {
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -178,7 +178,7 @@
 	x := channel.Request{
 		Addr: a.server.Addr, Method: r.Method, Target: r.Target, Host: r.Host, Header: j.engine.Dialect.Compose(attempt),
 		Body: r.Body, Sized: r.HasBody, Belongs: func(h http.Header) bool { return j.engine.Dialect.Matches(r.ID, h) },
-		Gate: func() error { return j.mayArrive(a) },
+		BeforeSend: func() error { return j.mayArrive(a) },
 	}
 	if !j.route.MayRepeat() {
 		x.RestAtMost = channel.OnceRest
