--- a/daemon/channel/error.go
+++ b/daemon/channel/error.go
@@ -21,11 +21,11 @@
 	// StoppedBeforeSend means that the sender stopped the request just before its first
 	// byte was sent.
 	StoppedBeforeSend Kind = "stopped at the gate"
-	// Broken means that the answer broke off or never came: the request may
+	// Interrupted means that the answer broke off or never came: the request may
 	// have run.
-	Broken Kind = "answer broken"
-	// Crossed means that an answer to another request came.
-	Crossed Kind = "answer to another request"
+	Interrupted Kind = "answer broken"
+	// Mismatched means that an answer to another request came.
+	Mismatched Kind = "answer to another request"
 )
 
 // String implements fmt.Stringer.
--- a/daemon/channel/pool.go
+++ b/daemon/channel/pool.go
@@ -74,9 +74,9 @@
 	// BeforeSend, if set, is called once the connection is established, just before
 	// the first byte is sent; its error stops the request.
 	BeforeSend func() error
-	// Belongs reports whether the head of an answer belongs to this request;
+	// Matches reports whether the head of an answer belongs to this request;
 	// nil accepts any answer.
-	Belongs func(http.Header) bool
+	Matches func(http.Header) bool
 }
 
 // Pool keeps idle connections to servers for further requests.
@@ -306,9 +306,9 @@
 	for range maxSurplusAnswers + 1 {
 		resp, err := r.conn.readHead(x.Method) //nolint:bodyclose // The Reply owns the body.
 		if err != nil {
-			return &Error{Op: opExchange, Kind: Broken, Err: merry.Wrap(err)}
+			return &Error{Op: opExchange, Kind: Interrupted, Err: merry.Wrap(err)}
 		}
-		if x.Belongs == nil || x.Belongs(resp.Header) {
+		if x.Matches == nil || x.Matches(resp.Header) {
 			r.Status, r.Header, r.Length, r.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
 			r.conn.keepAlive = keepAliveTimeout(resp.Header)
 			r.Framed = resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
@@ -317,10 +317,10 @@
 		}
 		r.pool.Surplus.Add(1)
 		if err := discard(resp); err != nil || resp.Close {
-			return &Error{Op: opExchange, Kind: Crossed, Err: fmt.Errorf("an answer to another request came: %w", merry.Prepend(err, "discard"))}
+			return &Error{Op: opExchange, Kind: Mismatched, Err: fmt.Errorf("an answer to another request came: %w", merry.Prepend(err, "discard"))}
 		}
 	}
-	return &Error{Op: opExchange, Kind: Crossed, Err: merry.New("only answers to other requests came")}
+	return &Error{Op: opExchange, Kind: Mismatched, Err: merry.New("only answers to other requests came")}
 }
 
 // Read reads the body. io.EOF means that the body is complete.
@@ -331,7 +331,7 @@
 		r.complete = true
 		return n, io.EOF
 	case err != nil:
-		return n, &Error{Op: "read answer", Kind: Broken, Err: merry.Wrap(err)}
+		return n, &Error{Op: "read answer", Kind: Interrupted, Err: merry.Wrap(err)}
 	}
 	return n, nil
 }
--- a/daemon/channel/pool_test.go
+++ b/daemon/channel/pool_test.go
@@ -62,7 +62,7 @@
 func request(addr, id string) channel.Request {
 	return channel.Request{
 		Addr: addr, Method: http.MethodPost, Target: "/a?b=c", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte("body"),
-		Belongs: func(h http.Header) bool { return h.Get("Id") == id },
+		Matches: func(h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
@@ -190,9 +190,9 @@
 				_, _ = io.WriteString(c, script)
 			})
 			x := request(addr, "a")
-			x.Belongs = nil
+			x.Matches = nil
 			_, err := exchange(t, newPool(), x)
-			if !fault.Is(err, channel.Broken) {
+			if !fault.Is(err, channel.Interrupted) {
 				t.Errorf("the error is %v", err)
 			}
 			var e *channel.Error
@@ -221,7 +221,7 @@
 			_ = tcp.SetLinger(0)
 		}
 	})
-	if got, err := exchange(t, newPool(), request(addr, "a")); !fault.Is(err, channel.Broken) {
+	if got, err := exchange(t, newPool(), request(addr, "a")); !fault.Is(err, channel.Interrupted) {
 		t.Errorf("%q, %v", got, err)
 	}
 }
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -152,7 +152,7 @@
 		if a.err == nil {
 			a.reply.Close()
 		}
-		a.err = &channel.Error{Op: "wait for server", Kind: channel.Broken, Err: errSilent}
+		a.err = &channel.Error{Op: "wait for server", Kind: channel.Interrupted, Err: errSilent}
 		j.pay()
 	}
 	j.judge(a)
@@ -177,7 +177,7 @@
 	}
 	x := channel.Request{
 		Addr: a.server.Addr, Method: r.Method, Target: r.Target, Host: r.Host, Header: j.engine.Dialect.Compose(attempt),
-		Body: r.Body, Sized: r.HasBody, Belongs: func(h http.Header) bool { return j.engine.Dialect.Matches(r.ID, h) },
+		Body: r.Body, Sized: r.HasBody, Matches: func(h http.Header) bool { return j.engine.Dialect.Matches(r.ID, h) },
 		BeforeSend: func() error { return j.mayArrive(a) },
 	}
 	if !j.route.MayRepeat() {
