--- a/daemon/channel/channel.go
+++ b/daemon/channel/channel.go
@@ -110,7 +110,7 @@
 	if err := x.Header.Write(w); err != nil {
 		return err
 	}
-	if len(x.Body) > 0 || x.Sized {
+	if len(x.Body) > 0 || x.SendLength {
 		_, _ = w.WriteString("Content-Length: " + strconv.Itoa(len(x.Body)) + "\r\n")
 	}
 	_, _ = w.WriteString("\r\n")
--- a/daemon/channel/pool.go
+++ b/daemon/channel/pool.go
@@ -51,11 +51,11 @@
 	maxSurplusAnswers = 2
 )
 
-// OnceRest is the maximum idle time of a connection that carries a request that
+// NonRepeatableMaxIdle is the maximum idle time of a connection that carries a request that
 // must not be sent twice. If a connection has been idle for longer, the server
 // is more likely to be closing it, and it would then be unknown whether the
 // request ran.
-const OnceRest = 2 * time.Second
+const NonRepeatableMaxIdle = 2 * time.Second
 
 // Request is one request to a server.
 type Request struct {
@@ -66,11 +66,11 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Sized sends a Content-Length for an empty body too.
-	Sized bool
-	// RestAtMost limits how long the connection may have been idle; 0 means the
+	// SendLength sends a Content-Length for an empty body too.
+	SendLength bool
+	// MaxIdle limits how long the connection may have been idle; 0 means the
 	// default.
-	RestAtMost time.Duration
+	MaxIdle time.Duration
 	// BeforeSend, if set, is called once the connection is established, just before
 	// the first byte is sent; its error stops the request.
 	BeforeSend func() error
@@ -200,8 +200,8 @@
 	}
 }
 
-// Drop closes the idle connections to an address.
-func (p *Pool) Drop(addr string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	kept := p.idle[addr]
 	delete(p.idle, addr)
@@ -236,8 +236,8 @@
 // the server's work on the request.
 func (p *Pool) Send(ctx context.Context, x Request) (*Reply, error) {
 	maxIdle := defaultMaxIdle
-	if x.RestAtMost > 0 {
-		maxIdle = x.RestAtMost
+	if x.MaxIdle > 0 {
+		maxIdle = x.MaxIdle
 	}
 	c := p.takeIdle(x.Addr, maxIdle)
 	if c != nil {
@@ -283,10 +283,10 @@
 	Header http.Header
 	// Length is the body's length in bytes, or -1 if it is not known.
 	Length int64
-	// Framed reports whether the answer marks its own end, by its length or by
+	// SelfDelimited reports whether the answer marks its own end, by its length or by
 	// chunked encoding. Any other answer ends with its connection, however that
 	// ends.
-	Framed bool
+	SelfDelimited bool
 
 	body    io.ReadCloser
 	pool    *Pool
@@ -311,8 +311,8 @@
 		if x.Matches == nil || x.Matches(resp.Header) {
 			r.Status, r.Header, r.Length, r.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
 			r.conn.keepAlive = keepAliveTimeout(resp.Header)
-			r.Framed = resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-			r.reusable = !resp.Close && r.Framed
+			r.SelfDelimited = resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
+			r.reusable = !resp.Close && r.SelfDelimited
 			return nil
 		}
 		r.pool.Surplus.Add(1)
--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -177,11 +177,11 @@
 	}
 	x := channel.Request{
 		Addr: a.server.Addr, Method: r.Method, Target: r.Target, Host: r.Host, Header: j.engine.Dialect.Compose(attempt),
-		Body: r.Body, Sized: r.HasBody, Matches: func(h http.Header) bool { return j.engine.Dialect.Matches(r.ID, h) },
+		Body: r.Body, SendLength: r.HasBody, Matches: func(h http.Header) bool { return j.engine.Dialect.Matches(r.ID, h) },
 		BeforeSend: func() error { return j.mayArrive(a) },
 	}
 	if !j.route.MayRepeat() {
-		x.RestAtMost = channel.OnceRest
+		x.MaxIdle = channel.NonRepeatableMaxIdle
 	}
 	return x
 }
--- a/daemon/proxy/ended.go
+++ b/daemon/proxy/ended.go
@@ -44,7 +44,7 @@
 // frame is no proof: the end of its server looks like its own.
 func (j *job) answeredWhole(a *attempt) {
 	a.done = true
-	if a.reply.Framed {
+	if a.reply.SelfDelimited {
 		j.engine.StoreSync.Answered(j.content)
 	}
 }
@@ -64,7 +64,7 @@
 // nothing of that. Of one that was not to leave it counts as what was there when it ended.
 func (e *Engine) ServerRestarted(was *fleet.Server) {
 	p := placeOf(was)
-	e.Channels.Drop(p.Addr)
+	e.Channels.CloseIdle(p.Addr)
 	e.runs.CancelAll(p)
 	if contents := e.runs.TakeSuspects(p, time.Now()); len(contents) > 0 && was.Usable() {
 		e.StoreSync.RecordServerExit(p.Server, contents)
