--- a/daemon/channel/channel.go
+++ b/daemon/channel/channel.go
@@ -93,8 +93,8 @@
 	return 0
 }
 
-// RequestedBackoff returns the back-off that an answer asks for. Only an answer that
-// rejects its request can ask for one.
+// RequestedBackoff returns the back-off that an answer asks for. Only an answer
+// that rejects its request can ask for one.
 func RequestedBackoff(status int, h http.Header) time.Duration {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
--- a/daemon/channel/error.go
+++ b/daemon/channel/error.go
@@ -18,8 +18,8 @@
 	Unreachable Kind = "server unreachable"
 	// Unsent means that no byte of the request left this process.
 	Unsent Kind = "nothing was sent"
-	// StoppedBeforeSend means that the sender stopped the request just before its first
-	// byte was sent.
+	// StoppedBeforeSend means that BeforeSend stopped the request before its
+	// first byte was sent.
 	StoppedBeforeSend Kind = "stopped at the gate"
 	// Interrupted means that the answer broke off or never came: the request may
 	// have run.
--- a/daemon/channel/pool.go
+++ b/daemon/channel/pool.go
@@ -51,10 +51,10 @@
 	maxSurplusAnswers = 2
 )
 
-// NonRepeatableMaxIdle is the maximum idle time of a connection that carries a request that
-// must not be sent twice. If a connection has been idle for longer, the server
-// is more likely to be closing it, and it would then be unknown whether the
-// request ran.
+// NonRepeatableMaxIdle is the maximum idle time of a connection that carries a
+// request that must not be sent twice. If a connection has been idle for
+// longer, the server is more likely to be closing it, and it would then be
+// unknown whether the request ran.
 const NonRepeatableMaxIdle = 2 * time.Second
 
 // Request is one request to a server.
@@ -71,8 +71,8 @@
 	// MaxIdle limits how long the connection may have been idle; 0 means the
 	// default.
 	MaxIdle time.Duration
-	// BeforeSend, if set, is called once the connection is established, just before
-	// the first byte is sent; its error stops the request.
+	// BeforeSend, if set, is called once the connection is established, just
+	// before the first byte is sent; its error stops the request.
 	BeforeSend func() error
 	// Matches reports whether the head of an answer belongs to this request;
 	// nil accepts any answer.
@@ -283,9 +283,9 @@
 	Header http.Header
 	// Length is the body's length in bytes, or -1 if it is not known.
 	Length int64
-	// SelfDelimited reports whether the answer marks its own end, by its length or by
-	// chunked encoding. Any other answer ends with its connection, however that
-	// ends.
+	// SelfDelimited reports whether the answer marks its own end, by its length
+	// or by chunked encoding. Any other answer ends with its connection,
+	// however that ends.
 	SelfDelimited bool
 
 	body    io.ReadCloser
