--- a/daemon/storesync/harness_test.go
+++ b/daemon/storesync/harness_test.go
@@ -136,7 +136,7 @@
 	// down is the error of all calls, answerDelay the delay before the answer to a read.
 	down        error
 	answerDelay time.Duration
-	// unresponsive leaves calls unanswered.
+	// unresponsive leaves calls to Read and Follow unanswered; Write and Put still work.
 	unresponsive bool
 	// loseWrites applies writes, but returns an error for them.
 	loseWrites bool
@@ -150,7 +150,8 @@
 	l.down = err
 }
 
-// setUnresponsive sets whether calls stay unanswered, including those under way.
+// setUnresponsive sets whether reads stay unanswered. A call to Follow under way then gets no answer
+// to a later change; if there is none, it is still answered when its time is over.
 func (l *link) setUnresponsive(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
