--- a/daemon/cmd/ladderridged/cmd_gateway.go
+++ b/daemon/cmd/ladderridged/cmd_gateway.go
@@ -67,7 +67,7 @@
 	g.Platform = gateway.Platform{
 		Store: store, DutyRows: store, Decoder: platform.Rows{}, Dialect: platform.Dialect{}, ReadyPath: platform.ReadyPath,
 		FrontEnd: func(cfg gateway.FrontEndConfig) http.Handler {
-			return &platform.Door{Engine: cfg.Engine, BodyLimit: cfg.BodyLimit, Closing: cfg.Closing}
+			return &platform.FrontEnd{Engine: cfg.Engine, BodyLimit: cfg.BodyLimit, Closing: cfg.Closing}
 		},
 	}
 	takeDuties(g, s)
