--- a/daemon/cmd/ladderridged/cmd_gateway.go
+++ b/daemon/cmd/ladderridged/cmd_gateway.go
@@ -18,48 +18,48 @@
 	"ladderridge.example/platform"
 )
 
-// gatewayCommand serves routed services on the users' platform.
+// gatewayCommand returns the command that serves the routed services of a platform.
 func gatewayCommand() *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
 		Use:   "gateway",
-		Short: "Serve the routed services of a platform that hands out the configuration",
+		Short: "Serve the routed services of a platform that distributes the configuration",
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return serveGateway(cmd.Context(), path) },
 	}
-	standard := platform.SettingsFile()
-	if standard == "" {
-		standard = "/etc/ladderridge/gateway.ini"
+	defaultPath := platform.SettingsFile()
+	if defaultPath == "" {
+		defaultPath = "/etc/ladderridge/gateway.ini"
 	}
-	cmd.PersistentFlags().StringVarP(&path, "config", "c", standard, "settings file")
+	cmd.PersistentFlags().StringVarP(&path, "config", "c", defaultPath, "settings file")
 	cmd.AddCommand(&cobra.Command{
 		Use:   "check-config",
-		Short: "Check a gateway's settings file and list all of its faults",
+		Short: "Check a gateway's settings file and list all of its errors",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if _, err := settings.LoadGateway(path); err != nil {
 				return err
 			}
-			cmd.Println(path + " is right")
+			cmd.Println(path + " is valid")
 			return nil
 		},
 	})
 	return cmd
 }
 
-// garbagePercent is how much garbage may gather before it is collected, in terms
-// of what is in use: a gateway holds little, so that half of the standard saves a
-// tenth of its memory for a fifth more of the little processor time it takes.
-const garbagePercent = 50
+// gcPercent is the garbage collector's target percentage (GOGC). The live heap
+// of a gateway is small: half of the default saves a tenth of its memory and costs
+// a fifth more processor time, of which a gateway uses little.
+const gcPercent = 50
 
-// serveGateway runs the daemon. SIGUSR1 writes its state to the log, SIGHUP has
-// the settings read again.
+// serveGateway runs the daemon until ctx ends. SIGUSR1 writes its state to the log,
+// SIGHUP reloads the settings.
 func serveGateway(ctx context.Context, path string) error {
 	s, err := settings.LoadGateway(path)
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 	g := gateway.New(s)
 	g.Start = uint64(time.Now().UnixNano())
 	g.Load = func() (*settings.Gateway, error) { return settings.LoadGateway(path) }
@@ -70,7 +70,7 @@
 			return &platform.FrontEnd{Engine: cfg.Engine, BodyLimit: cfg.BodyLimit, Closing: cfg.Closing}
 		},
 	}
-	takeDuties(g, s)
+	configureDuties(g, s)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -87,14 +87,15 @@
 	return g.Run(ctx)
 }
 
-// takeDuties hands the daemon the platform's interface for duties, if there is one.
-func takeDuties(g *gateway.Gateway, s *settings.Gateway) {
+// configureDuties connects the daemon to the platform's interface for duties if the
+// settings name one.
+func configureDuties(g *gateway.Gateway, s *settings.Gateway) {
 	if s.DutiesURL == "" || s.Duties == "" {
 		return
 	}
 	names, unknown := platform.DutyNames(strings.Split(s.Duties, ","))
 	if len(unknown) > 0 {
-		fmt.Fprintf(os.Stderr, "ladderridged: duties that are not known are left alone: %s\n", strings.Join(unknown, ", "))
+		fmt.Fprintf(os.Stderr, "ladderridged: ignoring unknown duties: %s\n", strings.Join(unknown, ", "))
 	}
 	g.Platform.Duties, g.Platform.DutyNames = platform.NewDuties(s.DutiesURL), names
 }
--- a/daemon/cmd/ladderridged/main.go
+++ b/daemon/cmd/ladderridged/main.go
@@ -1,5 +1,5 @@
-// Ladderridged is the daemon: it serves callers and acts together with the
-// other daemons.
+// Ladderridged is the daemon that routes callers' requests to backend servers. It
+// coordinates with the other daemons.
 package main
 
 import (
@@ -19,7 +19,7 @@
 // version is set by the build from version.txt.
 var version = "unknown"
 
-// The exit codes; docs/OPERATIONS.md lists them.
+// Exit codes, documented in docs/OPERATIONS.md.
 const (
 	exitOK       = 0
 	exitFailed   = 1
@@ -32,11 +32,11 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	err := rootCommand().ExecuteContext(ctx)
-	var bad *settings.Error
+	var settingsErr *settings.Error
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.As(err, &bad):
+	case errors.As(err, &settingsErr):
 		fmt.Fprintln(os.Stderr, "ladderridged:", err)
 		return exitSettings
 	default:
@@ -59,20 +59,20 @@
 	root.PersistentFlags().StringVarP(&path, "config", "c", "/etc/ladderridge/ladderridged.ini", "settings file")
 	root.AddCommand(gatewayCommand(), &cobra.Command{
 		Use:   "check-config",
-		Short: "Check the settings file and list all of its faults",
+		Short: "Check the settings file and list all of its errors",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if _, err := settings.Load(path); err != nil {
 				return err
 			}
-			cmd.Println(path + " is right")
+			cmd.Println(path + " is valid")
 			return nil
 		},
 	})
 	return root
 }
 
-// serve runs the daemon; SIGUSR1 writes its state to the log.
+// serve runs the daemon until ctx ends. SIGUSR1 writes its state to the log.
 func serve(ctx context.Context, path string) error {
 	s, err := settings.Load(path)
 	if err != nil {
