--- a/daemon/cmd/ladderridge/ask.go
+++ b/daemon/cmd/ladderridge/client.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// askTimeout bounds one question to a daemon.
-const askTimeout = 5 * time.Second
+// requestTimeout is the timeout of one request to a daemon.
+const requestTimeout = 5 * time.Second
 
-// ask gets a JSON answer from a daemon's admin address.
-func ask[T any](ctx context.Context, addr, path string) (T, error) {
+// getJSON fetches a path from a daemon's admin address and decodes the JSON answer.
+func getJSON[T any](ctx context.Context, addr, path string) (T, error) {
 	var out T
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -37,12 +37,12 @@
 	return out, json.Unmarshal(data, &out)
 }
 
-// askAny asks daemons in turn until one answers.
-func askAny[T any](ctx context.Context, addrs []string, path string) (T, error) {
+// getJSONFromAny sends the request to the daemons one after another until one answers.
+func getJSONFromAny[T any](ctx context.Context, addrs []string, path string) (T, error) {
 	var out T
-	errs := []error{usageError("no daemon answered: name some with --admin or " + envAdmin)}
+	errs := []error{usageError("no daemon answered: set their addresses with --admin or " + envAdmin)}
 	for _, addr := range addrs {
-		out, err := ask[T](ctx, addr, path)
+		out, err := getJSON[T](ctx, addr, path)
 		if err == nil {
 			return out, nil
 		}
--- a/daemon/cmd/ladderridge/cmd_bills.go
+++ b/daemon/cmd/ladderridge/cmd_bills.go
@@ -17,24 +17,24 @@
 	"ladderridge.example/daemon/platform"
 )
 
-// billPage is how many bills are read at once.
-const billPage = 1000
+// billPageSize is the number of bills in one page of a listing.
+const billPageSize = 1000
 
-// billSum adds up bills.
+// billSum is the total of several bills.
 type billSum struct {
 	requests int
 	tokens   int64
 	cost     int64
 }
 
-// billLine names what bills are added up by.
-type billLine struct {
+// billKey is the key that bills are grouped by.
+type billKey struct {
 	organisation string
-	what         string
+	item         string
 }
 
 func billsCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "bills", Short: "Add up the bills that the platform has, by organisation and version", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "bills", Short: "Sum the bills stored on the platform by organisation and version", Args: cobra.NoArgs}
 	url := platformFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		store, err := openStore(*url)
@@ -45,17 +45,17 @@
 		if err != nil {
 			return err
 		}
-		showBills(sums)
+		printBills(sums)
 		return nil
 	}
 	return cmd
 }
 
-func sumBills(ctx context.Context, client *platform.Client) (map[billLine]billSum, error) {
-	sums := map[billLine]billSum{}
+func sumBills(ctx context.Context, client *platform.Client) (map[billKey]billSum, error) {
+	sums := map[billKey]billSum{}
 	after := ""
 	for {
-		entries, err := client.List(ctx, control.BillPrefix, after, billPage)
+		entries, err := client.List(ctx, control.BillPrefix, after, billPageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -64,34 +64,34 @@
 			if err := json.Unmarshal(e.Value, &b); err != nil {
 				return nil, err
 			}
-			key := billLine{organisation: b.Organisation, what: b.Model}
+			key := billKey{organisation: b.Organisation, item: b.Model}
 			if b.Version != "" {
-				key.what += "@" + b.Version
+				key.item += "@" + b.Version
 			}
 			s := sums[key]
 			sums[key] = billSum{requests: s.requests + 1, tokens: s.tokens + b.Tokens, cost: s.cost + b.Cost}
 			after = e.Key
 		}
-		if len(entries) < billPage {
+		if len(entries) < billPageSize {
 			return sums, nil
 		}
 	}
 }
 
-func showBills(sums map[billLine]billSum) {
+func printBills(sums map[billKey]billSum) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintln(w, "ORGANISATION\tBILLED FOR\tREQUESTS\tTOKENS\tCOST")
 	total := billSum{}
-	lines := slices.SortedFunc(maps.Keys(sums), func(a, b billLine) int {
+	keys := slices.SortedFunc(maps.Keys(sums), func(a, b billKey) int {
 		if a.organisation != b.organisation {
 			return strings.Compare(a.organisation, b.organisation)
 		}
-		return strings.Compare(a.what, b.what)
+		return strings.Compare(a.item, b.item)
 	})
-	for _, l := range lines {
-		s := sums[l]
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\n", l.organisation, l.what, s.requests, s.tokens, s.cost)
+	for _, k := range keys {
+		s := sums[k]
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\n", k.organisation, k.item, s.requests, s.tokens, s.cost)
 		total = billSum{requests: total.requests + s.requests, tokens: total.tokens + s.tokens, cost: total.cost + s.cost}
 	}
 	fmt.Fprintf(w, "all\t\t%d\t%d\t%d\n", total.requests, total.tokens, total.cost)
--- a/daemon/cmd/ladderridge/cmd_call.go
+++ b/daemon/cmd/ladderridge/cmd_call.go
@@ -18,7 +18,7 @@
 	var headers []string
 	cmd := &cobra.Command{
 		Use:   "call URL",
-		Short: "Send one request to a daemon and show its answer",
+		Short: "Send one request to a daemon and print its answer",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			r, err := http.NewRequestWithContext(cmd.Context(), method, args[0], strings.NewReader(data))
@@ -33,27 +33,27 @@
 				}
 				r.Header.Set(strings.TrimSpace(name), strings.TrimSpace(value))
 			}
-			return showAnswer(r)
+			return printAnswer(r)
 		},
 	}
 	cmd.Flags().StringVar(&key, "key", "", "the organisation's key")
-	cmd.Flags().StringVarP(&method, "method", "X", http.MethodPost, "the method")
-	cmd.Flags().StringVarP(&data, "data", "d", "", "the body")
+	cmd.Flags().StringVarP(&method, "method", "X", http.MethodPost, "the HTTP method")
+	cmd.Flags().StringVarP(&data, "data", "d", "", "the request body")
 	cmd.Flags().StringArrayVarP(&headers, "header", "H", nil, "a header, as 'Name: value'")
 	return cmd
 }
 
-// shownHeaders are the answer's headers that are worth seeing.
-var shownHeaders = []string{wire.HeaderRequest, wire.HeaderRun, wire.HeaderVersion, wire.HeaderSession, wire.HeaderReplayed, "Retry-After"}
+// printedHeaders are the headers of the answer that are printed.
+var printedHeaders = []string{wire.HeaderRequest, wire.HeaderRun, wire.HeaderVersion, wire.HeaderSession, wire.HeaderReplayed, "Retry-After"}
 
-func showAnswer(r *http.Request) error {
+func printAnswer(r *http.Request) error {
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	fmt.Println(resp.Status)
-	for _, name := range slices.Sorted(slices.Values(shownHeaders)) {
+	for _, name := range slices.Sorted(slices.Values(printedHeaders)) {
 		if v := resp.Header.Get(name); v != "" {
 			fmt.Printf("%s: %s\n", name, v)
 		}
--- a/daemon/cmd/ladderridge/cmd_dump.go
+++ b/daemon/cmd/ladderridge/cmd_dump.go
@@ -11,14 +11,14 @@
 )
 
 func dumpCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "dump", Short: "Write the whole state of daemons as JSON", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "dump", Short: "Print the complete state of daemons as JSON", Args: cobra.NoArgs}
 	admins := adminFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if len(*admins) == 0 {
-			return usageError("name daemons with --admin or " + envAdmin)
+			return usageError("set the daemons' addresses with --admin or " + envAdmin)
 		}
 		for _, addr := range *admins {
-			state, err := ask[json.RawMessage](cmd.Context(), addr, admin.PathDump)
+			state, err := getJSON[json.RawMessage](cmd.Context(), addr, admin.PathDump)
 			if err != nil {
 				return err
 			}
--- a/daemon/cmd/ladderridge/cmd_duties.go
+++ b/daemon/cmd/ladderridge/cmd_duties.go
@@ -15,41 +15,42 @@
 )
 
 func dutiesCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "duties", Short: "Show who does what one gateway does for all, by which token, and what was told last", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "duties", Short: "Show the lease holder of each duty, its fencing token and its last report or order", Args: cobra.NoArgs}
 	admins := adminFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		found, err := askDuties(cmd.Context(), *admins)
+		found, err := fetchDuties(cmd.Context(), *admins)
 		if err != nil {
 			return err
 		}
 		for _, s := range found {
-			cmd.Println(showDuty(s))
+			cmd.Println(formatDuty(s))
 		}
 		return nil
 	}
 	return cmd
 }
 
-// askDuties asks all daemons: only those that read the store for others know who holds a duty.
-func askDuties(ctx context.Context, admins []string) ([]duties.Status, error) {
+// fetchDuties asks all daemons, as only those that read the store for others know the
+// lease holder of a duty.
+func fetchDuties(ctx context.Context, admins []string) ([]duties.Status, error) {
 	known := map[duty.Name]duties.Status{}
 	answered := false
-	var last error = usageError("no daemon answered: name some with --admin or " + envAdmin)
+	var lastErr error = usageError("no daemon answered: set their addresses with --admin or " + envAdmin)
 	for _, addr := range admins {
-		found, err := ask[[]duties.Status](ctx, addr, gateway.PathDuties)
+		found, err := getJSON[[]duties.Status](ctx, addr, gateway.PathDuties)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		answered = true
 		for _, s := range found {
-			if was, ok := known[s.Duty]; !ok || s.Token > was.Token || s.Held {
+			if old, ok := known[s.Duty]; !ok || s.Token > old.Token || s.Held {
 				known[s.Duty] = s
 			}
 		}
 	}
 	if !answered {
-		return nil, last
+		return nil, lastErr
 	}
 	var out []duties.Status
 	for _, s := range known {
@@ -59,47 +60,47 @@
 	return out, nil
 }
 
-func showDuty(s duties.Status) string {
+func formatDuty(s duties.Status) string {
 	if s.Holder == "" {
-		return fmt.Sprintf("  %-8s nobody is known to hold it: ask the daemons that read for their halls", s.Duty)
+		return fmt.Sprintf("  %-8s no lease holder is known: ask the daemons that read the store for their halls", s.Duty)
 	}
-	held := "was the last to hold it as far as is known"
+	held := "is the last known lease holder"
 	if s.Held {
-		held = "holds it"
+		held = "holds the lease"
 	}
-	return fmt.Sprintf("  %-8s %s %s, token %d; %s", s.Duty, s.Holder, held, s.Token, showState(s))
+	return fmt.Sprintf("  %-8s %s %s, token %d; %s", s.Duty, s.Holder, held, s.Token, formatState(s))
 }
 
-// showState says what a holder has told last.
-func showState(s duties.Status) string {
+// formatState describes the state that the lease holder stored last.
+func formatState(s duties.Status) string {
 	if s.Duty != duty.Usage {
-		return "ordered: " + showOrders(s.State)
+		return "ordered: " + formatOrders(s.State)
 	}
-	book, err := usage.DecodeReportLog(s.State)
+	log, err := usage.DecodeReportLog(s.State)
 	if err != nil {
 		return err.Error()
 	}
-	last, ok := book.Last()
+	last, ok := log.Last()
 	if !ok {
-		return "no window is reported yet"
+		return "no window reported yet"
 	}
-	waiting := 0
-	for _, r := range book.Reports {
+	unconfirmed := 0
+	for _, r := range log.Reports {
 		if !r.Accepted {
-			waiting++
+			unconfirmed++
 		}
 	}
-	return fmt.Sprintf("last window %d, next %d, %d not yet known to be taken", last, last+1, waiting)
+	return fmt.Sprintf("last window %d, next %d, %d not confirmed as accepted", last, last+1, unconfirmed)
 }
 
-// showOrders says what stands in the row of orders.
-func showOrders(state string) string {
-	book, err := duties.DecodeOrders(state)
+// formatOrders lists the orders in a stored order log.
+func formatOrders(state string) string {
+	log, err := duties.DecodeOrders(state)
 	if err != nil {
 		return err.Error()
 	}
 	var out []string
-	for _, o := range book.Orders {
+	for _, o := range log.Orders {
 		out = append(out, fmt.Sprintf("%s %s %s %d", o.Service, o.Hall, o.Kind, o.Count))
 	}
 	if len(out) == 0 {
--- a/daemon/cmd/ladderridge/cmd_keys.go
+++ b/daemon/cmd/ladderridge/cmd_keys.go
@@ -18,7 +18,7 @@
 const pinKeySize = 32
 
 func keysCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "keys", Short: "Make the keys that daemons and organisations need"}
+	cmd := &cobra.Command{Use: "keys", Short: "Create keys for daemons and organisations"}
 	cmd.AddCommand(keysAuthority(), keysDaemon(), keysPin(), keysHash())
 	return cmd
 }
@@ -27,11 +27,11 @@
 	var dir string
 	cmd := &cobra.Command{
 		Use:   "authority",
-		Short: "Make the authority that signs daemons' certificates",
+		Short: "Create the authority that signs the daemons' certificates",
 		Args:  cobra.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return keys.MakeAuthority(dir) },
 	}
-	cmd.Flags().StringVar(&dir, "dir", ".", "where to write authority.pem and authority.key")
+	cmd.Flags().StringVar(&dir, "dir", ".", "directory to write authority.pem and authority.key to")
 	return cmd
 }
 
@@ -39,18 +39,18 @@
 	var dir string
 	cmd := &cobra.Command{
 		Use:   "daemon ID",
-		Short: "Make the certificate of the daemon with that id",
+		Short: "Create the certificate of the daemon with that ID",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(_ *cobra.Command, args []string) error { return keys.MakeDaemon(dir, args[0]) },
 	}
-	cmd.Flags().StringVar(&dir, "dir", ".", "where authority.pem and authority.key are, and the new files go")
+	cmd.Flags().StringVar(&dir, "dir", ".", "directory of authority.pem and authority.key, and of the new files")
 	return cmd
 }
 
 func keysPin() *cobra.Command {
 	return &cobra.Command{
 		Use:   "pin",
-		Short: "Make a key that seals session tokens",
+		Short: "Create a key that seals session tokens",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			key := make([]byte, pinKeySize)
@@ -66,7 +66,7 @@
 func keysHash() *cobra.Command {
 	return &cobra.Command{
 		Use:   "hash",
-		Short: "Read an organisation's key from standard input and write its hash for the table",
+		Short: "Read an organisation's key from standard input and print its hash for the table",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			key, err := bufio.NewReader(os.Stdin).ReadString('\n')
--- a/daemon/cmd/ladderridge/cmd_standin.go
+++ b/daemon/cmd/ladderridge/cmd_standin.go
@@ -18,7 +18,7 @@
 )
 
 func standinCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "standin", Short: "Run a small stand-in for the platform, an engine or a plain service"}
+	cmd := &cobra.Command{Use: "standin", Short: "Run a test stand-in for the platform, an engine or a plain service"}
 	cmd.AddCommand(standinPlatform(), standinEngine(), standinService(), standinFault(), standinSite(), standinCallers())
 	return cmd
 }
@@ -59,8 +59,8 @@
 			return serveHTTP(cmd.Context(), addr, p.Handler())
 		},
 	}
-	cmd.Flags().StringVar(&addr, "listen", "127.0.0.1:9000", "where to listen")
-	cmd.Flags().StringVar(&vms, "vms", "", "a JSON file with the first list of VMs")
+	cmd.Flags().StringVar(&addr, "listen", "127.0.0.1:9000", "address to listen on")
+	cmd.Flags().StringVar(&vms, "vms", "", "JSON file with the initial list of VMs")
 	return cmd
 }
 
@@ -84,19 +84,19 @@
 			return serveHTTP(cmd.Context(), addr, e.Handler())
 		},
 	}
-	cmd.Flags().StringVar(&addr, "listen", "127.0.0.1:9100", "where to listen")
-	cmd.Flags().StringVar(&e.ID, "id", "engine", "the VM's id")
+	cmd.Flags().StringVar(&addr, "listen", "127.0.0.1:9100", "address to listen on")
+	cmd.Flags().StringVar(&e.ID, "id", "engine", "ID of the VM")
 	cmd.Flags().StringVar(&e.Model, "model", "roster", "the model")
 	cmd.Flags().StringVar(&e.Version, "model-version", "v1", "the version")
 	cmd.Flags().DurationVar(&e.TokenPace, "pace", 5*time.Millisecond, "time between two tokens")
 	cmd.Flags().DurationVar(&e.Prefill, "prefill", 0, "time to the first token of a prompt that is not cached")
-	cmd.Flags().IntVar(&e.Prefixes, "prefixes", 0, "how many prompts' beginnings the prefix cache holds")
-	cmd.Flags().DurationVar(&e.ReportLag, "report-lag", 0, "how old the load in a report may be")
-	cmd.Flags().IntVar(&e.Slots, "slots", 0, "how many versions fit; 0 is unknown")
-	cmd.Flags().DurationVar(&e.LoadTime, "load-time", 0, "how long a version takes to load")
-	cmd.Flags().BoolVar(&e.ChecksFence, "checks-fence", false, "refuse orders with an old fence")
-	cmd.Flags().IntVar(&e.Batch, "batch", 0, "requests at once; 0 is no limit")
-	cmd.Flags().Float64Var(&e.Quality, "quality", 0.9, "quality of its answers, from 0 to 1")
+	cmd.Flags().IntVar(&e.Prefixes, "prefixes", 0, "number of prompt prefixes that the prefix cache holds")
+	cmd.Flags().DurationVar(&e.ReportLag, "report-lag", 0, "maximum age of the load in a report")
+	cmd.Flags().IntVar(&e.Slots, "slots", 0, "number of versions that fit; 0 is unknown")
+	cmd.Flags().DurationVar(&e.LoadTime, "load-time", 0, "time to load a version")
+	cmd.Flags().BoolVar(&e.ChecksFence, "checks-fence", false, "refuse orders with an outdated fencing token")
+	cmd.Flags().IntVar(&e.Batch, "batch", 0, "maximum number of concurrent requests; 0 is no limit")
+	cmd.Flags().Float64Var(&e.Quality, "quality", 0.9, "quality of the answers, from 0 to 1")
 	return cmd
 }
 
@@ -111,8 +111,8 @@
 			return serveHTTP(cmd.Context(), addr, s.Handler())
 		},
 	}
-	cmd.Flags().StringVar(&addr, "listen", "127.0.0.1:9200", "where to listen")
-	cmd.Flags().StringVar(&s.ID, "id", "service", "the VM's id")
+	cmd.Flags().StringVar(&addr, "listen", "127.0.0.1:9200", "address to listen on")
+	cmd.Flags().StringVar(&s.ID, "id", "service", "ID of the VM")
 	return cmd
 }
 
--- a/daemon/cmd/ladderridge/cmd_standin_site.go
+++ b/daemon/cmd/ladderridge/cmd_standin_site.go
@@ -11,7 +11,8 @@
 	"ladderridge.example/daemon/standin"
 )
 
-// standinSite plays a platform for gateways: its store and its servers.
+// standinSite returns the command that runs a stand-in platform for gateways: its
+// store and its servers.
 func standinSite() *cobra.Command {
 	s := &standin.Site{}
 	var servers string
@@ -30,13 +31,14 @@
 	return cmd
 }
 
-// standinCallers asks gateways of such a site.
+// standinCallers returns the command that sends requests to the gateways of such a
+// platform and checks the answers.
 func standinCallers() *cobra.Command {
 	var targets string
 	var n int
 	cmd := &cobra.Command{
 		Use:   "callers",
-		Short: "Ask gateways of a stand-in site, and fail unless every answer is whole",
+		Short: "Send requests to the gateways of a stand-in site, and fail unless every answer is complete",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			t := standin.AskSite(cmd.Context(), strings.Split(targets, ","), n)
@@ -45,12 +47,12 @@
 				cmd.Printf("%d times: %s\n", t.Others[what], what)
 			}
 			if t.Whole != t.Sent {
-				return errors.New("not every answer is whole: see the gateways' logs for the requests' ids")
+				return errors.New("not every request got a complete answer: look for the request IDs in the gateways' logs")
 			}
 			return nil
 		},
 	}
 	cmd.Flags().StringVar(&targets, "target", "127.0.0.1:8080", "addresses of the gateways")
-	cmd.Flags().IntVarP(&n, "requests", "n", 100, "how many requests")
+	cmd.Flags().IntVarP(&n, "requests", "n", 100, "number of requests")
 	return cmd
 }
--- a/daemon/cmd/ladderridge/cmd_table.go
+++ b/daemon/cmd/ladderridge/cmd_table.go
@@ -27,7 +27,7 @@
 func tableShow(url *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show",
-		Short: "Show the newest table for people to read",
+		Short: "Show the newest table in readable form",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			t, h, err := loadNewest(cmd.Context(), *url)
@@ -35,13 +35,13 @@
 				return err
 			}
 			fmt.Printf("generation %d by %s at %s\n", h.Number, h.Author, h.At.Format(time.RFC3339))
-			showTable(t)
+			printTable(t)
 			return nil
 		},
 	}
 }
 
-func showTable(t *table.Table) {
+func printTable(t *table.Table) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintln(w, "\nVERSION\tSTATUS\tPRICE\tQUALITY\tSTAGE")
@@ -78,7 +78,7 @@
 	var generation uint64
 	cmd := &cobra.Command{
 		Use:   "export",
-		Short: "Write a table as a CSV file to standard output, to be edited",
+		Short: "Write a table as CSV to standard output for editing",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			store, err := openStore(*url)
@@ -101,7 +101,7 @@
 			return err
 		},
 	}
-	cmd.Flags().Uint64Var(&generation, "generation", 0, "an earlier generation instead of the newest")
+	cmd.Flags().Uint64Var(&generation, "generation", 0, "generation to export instead of the newest")
 	return cmd
 }
 
@@ -116,14 +116,14 @@
 func tableCheck() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a table file and list all of its faults",
+		Short: "Check a table file and list all of its errors",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			t, err := readTable(args[0])
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%s is right: %d organisations, %d versions, %d allow rows, %d call rows\n",
+			fmt.Printf("%s is valid: %d organisations, %d versions, %d allow rows, %d call rows\n",
 				args[0], len(t.Organisations), len(t.Versions), len(t.Allows), len(t.CallRules))
 			return nil
 		},
@@ -145,23 +145,23 @@
 				return err
 			}
 			fmt.Printf("against generation %d:\n", h.Number)
-			showChanges(newest, edited)
+			printChanges(newest, edited)
 			return nil
 		},
 	}
 }
 
-func showChanges(from, to *table.Table) {
+func printChanges(from, to *table.Table) {
 	changes := table.Diff(from, to)
 	for _, c := range changes {
 		fmt.Println("  " + c.String())
 	}
 	if len(changes) == 0 {
-		fmt.Println("  nothing differs")
+		fmt.Println("  no differences")
 	}
 }
 
-// edit is what `table apply` is asked to do.
+// edit holds the options of `table apply`.
 type edit struct {
 	from   uint64
 	note   string
@@ -173,7 +173,7 @@
 	var e edit
 	cmd := &cobra.Command{
 		Use:   "apply --from GENERATION FILE",
-		Short: "Store a file as the next generation and say in which data halls it is in force",
+		Short: "Store a file as the next generation and show in which data halls it is in force",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			store, err := openStore(*url)
@@ -184,8 +184,8 @@
 		},
 	}
 	cmd.Flags().Uint64Var(&e.from, "from", 0, "the generation that the edit was made from; 0 for the first")
-	cmd.Flags().StringVar(&e.note, "note", "", "why, for the history")
-	cmd.Flags().DurationVar(&e.wait, "wait", 10*time.Second, "how long to wait for the data halls")
+	cmd.Flags().StringVar(&e.note, "note", "", "reason for the change, for the history")
+	cmd.Flags().DurationVar(&e.wait, "wait", 10*time.Second, "maximum time to wait for the data halls")
 	e.admins = adminFlag(cmd)
 	return cmd
 }
@@ -204,13 +204,14 @@
 	}
 	fmt.Printf("accepted as generation %d\n", h.Number)
 	if len(*e.admins) == 0 {
-		fmt.Println("name a daemon with --admin to see where it is in force")
+		fmt.Println("set a daemon's address with --admin to see where it is in force")
 		return nil
 	}
-	return awaitForce(ctx, *e.admins, h.Number, e.wait)
+	return awaitInForce(ctx, *e.admins, h.Number, e.wait)
 }
 
-// conflict shows the loser of a race what the winner changed.
+// conflict handles an edit whose base generation is no longer the newest: it prints
+// what others changed meanwhile and what this edit would change.
 func (e edit) conflict(ctx context.Context, store *tablestore.Store, mine *table.Table, newest tablestore.Head, cause error) error {
 	fmt.Fprintf(os.Stderr, "nothing was changed: %v\n", cause)
 	base, err := loadGeneration(ctx, store, e.from)
@@ -222,9 +223,9 @@
 		return err
 	}
 	fmt.Printf("since generation %d, %s changed:\n", e.from, newest.Author)
-	showChanges(base, theirs)
+	printChanges(base, theirs)
 	fmt.Println("your file would change:")
-	showChanges(base, mine)
+	printChanges(base, mine)
 	return usageError(fmt.Sprintf("export generation %d, make your edit again and apply it with --from %d", newest.Number, newest.Number))
 }
 
@@ -255,7 +256,7 @@
 	var limit int
 	cmd := &cobra.Command{
 		Use:   "history",
-		Short: "List the generations, the newest first",
+		Short: "List the generations, newest first",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			store, err := openStore(*url)
@@ -280,6 +281,6 @@
 			return nil
 		},
 	}
-	cmd.Flags().IntVar(&limit, "limit", 20, "how many to list")
+	cmd.Flags().IntVar(&limit, "limit", 20, "number of generations to list")
 	return cmd
 }
--- a/daemon/cmd/ladderridge/cmd_trace.go
+++ b/daemon/cmd/ladderridge/cmd_trace.go
@@ -17,21 +17,21 @@
 )
 
 func traceCommand() *cobra.Command {
-	var lasts time.Duration
-	cmd := &cobra.Command{Use: "trace", Short: "Write a daemon's decisions to standard output, to be replayed", Args: cobra.NoArgs}
+	var duration time.Duration
+	cmd := &cobra.Command{Use: "trace", Short: "Write a daemon's decisions to standard output for replay", Args: cobra.NoArgs}
 	admins := adminFlag(cmd)
-	cmd.Flags().DurationVar(&lasts, "for", 10*time.Second, "how long")
+	cmd.Flags().DurationVar(&duration, "for", 10*time.Second, "duration of the trace")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if len(*admins) != 1 {
-			return usageError("name one daemon with --admin or " + envAdmin)
+			return usageError("set one daemon's address with --admin or " + envAdmin)
 		}
-		return copyTrace(cmd.Context(), (*admins)[0], lasts)
+		return copyTrace(cmd.Context(), (*admins)[0], duration)
 	}
 	return cmd
 }
 
-func copyTrace(ctx context.Context, addr string, lasts time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, lasts)
+func copyTrace(ctx context.Context, addr string, duration time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+admin.PathTrace, nil)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return copyLines(resp.Body)
 }
 
-// copyLines copies whole lines until the trace's time is over, which may cut
-// the last one short.
+// copyLines copies complete lines until the duration of the trace is over. It drops
+// the last line if it is incomplete.
 func copyLines(from io.Reader) error {
 	lines := bufio.NewReader(from)
 	for {
@@ -66,7 +66,7 @@
 func replayCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "replay FILE",
-		Short: "Decide the requests of a trace again and show the first that comes out otherwise",
+		Short: "Replay the decisions of a trace and show the first one that differs",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			f, err := os.Open(args[0])
@@ -78,7 +78,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%d requests by %d views come out as stated\n", res.Requests, res.Views)
+			fmt.Printf("%d requests on %d views replayed: all decisions match the trace\n", res.Requests, res.Views)
 			return nil
 		},
 	}
--- a/daemon/cmd/ladderridge/cmd_watch.go
+++ b/daemon/cmd/ladderridge/cmd_watch.go
@@ -16,7 +16,7 @@
 	"ladderridge.example/daemon/record"
 )
 
-// filter says which decisions to watch; empty fields match all.
+// filter selects the decisions to watch; empty fields match all.
 type filter struct {
 	organisation string
 	version      string
@@ -26,15 +26,15 @@
 
 func watchCommand() *cobra.Command {
 	var f filter
-	cmd := &cobra.Command{Use: "watch", Short: "Show decisions as they are made", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "watch", Short: "Print decisions as they are made", Args: cobra.NoArgs}
 	admins := adminFlag(cmd)
 	cmd.Flags().StringVar(&f.organisation, "organisation", "", "only this organisation")
 	cmd.Flags().StringVar(&f.version, "version", "", "only this version, such as roster@v2")
 	cmd.Flags().StringVar(&f.run, "run", "", "only this outcome: not_run, done or unknown")
-	cmd.Flags().BoolVar(&f.asJSON, "json", false, "one JSON object a line")
+	cmd.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object per line")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if len(*admins) == 0 {
-			return usageError("name daemons with --admin or " + envAdmin)
+			return usageError("set the daemons' addresses with --admin or " + envAdmin)
 		}
 		return f.watchAll(cmd.Context(), *admins)
 	}
@@ -52,7 +52,7 @@
 	if ctx.Err() == nil {
 		return errors.Join(errs...)
 	}
-	// An interrupt is how a watch ends.
+	// The user ends the command with an interrupt, which is no error.
 	return nil
 }
 
@@ -78,20 +78,20 @@
 		if f.asJSON {
 			fmt.Println(lines.Text())
 		} else {
-			fmt.Println(line(rec))
+			fmt.Println(formatLine(rec))
 		}
 		mu.Unlock()
 	}
 	return lines.Err()
 }
 
-// line shows a record on one line.
-func line(r record.Record) string {
-	what := r.Model
+// formatLine formats a record as one formatLine.
+func formatLine(r record.Record) string {
+	target := r.Model
 	if r.Service != "" {
-		what = r.Service
+		target = r.Service
 	}
-	out := fmt.Sprintf("%s %s %-10s %s", r.At.Format("15:04:05.000"), r.Request, r.Organisation, what)
+	out := fmt.Sprintf("%s %s %-10s %s", r.At.Format("15:04:05.000"), r.Request, r.Organisation, target)
 	if r.Version != "" {
 		out += " -> " + r.Version
 	}
--- a/daemon/cmd/ladderridge/main.go
+++ b/daemon/cmd/ladderridge/main.go
@@ -1,5 +1,5 @@
-// Ladderridge is the operators' tool: it edits the table, shows decisions and
-// the state of daemons, makes keys, and runs the stand-ins.
+// Ladderridge is the operators' command-line tool. It edits the table, shows
+// decisions and the state of daemons, creates keys, and runs stand-ins for tests.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	defer cancel()
 	root := &cobra.Command{
 		Use:           "ladderridge",
-		Short:         "Edit the table and watch what the daemons decide",
+		Short:         "Edit the table and watch the daemons' decisions",
 		Version:       version,
 		SilenceUsage:  true,
 		SilenceErrors: true,
--- a/daemon/cmd/ladderridge/platform.go
+++ b/daemon/cmd/ladderridge/platform.go
@@ -10,34 +10,35 @@
 	"ladderridge.example/daemon/tablestore"
 )
 
-// The environment variables that stand in for flags.
+// Environment variables that set the defaults of flags.
 const (
 	envPlatform = "LADDERRIDGE_PLATFORM"
 	envAdmin    = "LADDERRIDGE_ADMIN"
 )
 
-// platformFlag adds the flag that names the platform.
+// platformFlag adds the flag for the platform's URL.
 func platformFlag(cmd *cobra.Command) *string {
 	return cmd.PersistentFlags().String("platform", os.Getenv(envPlatform), "the platform's URL (or "+envPlatform+")")
 }
 
-// adminFlag adds the flag that names daemons' admin addresses.
+// adminFlag adds the flag for the daemons' admin addresses.
 func adminFlag(cmd *cobra.Command) *[]string {
-	var standard []string
+	var defaults []string
 	if env := os.Getenv(envAdmin); env != "" {
-		standard = append(standard, splitList(env)...)
+		defaults = append(defaults, splitList(env)...)
 	}
-	return cmd.Flags().StringSlice("admin", standard, "daemons' admin addresses (or "+envAdmin+")")
+	return cmd.Flags().StringSlice("admin", defaults, "daemons' admin addresses (or "+envAdmin+")")
 }
 
 func openStore(url string) (*tablestore.Store, error) {
 	if url == "" {
-		return nil, usageError("name the platform with --platform or " + envPlatform)
+		return nil, usageError("set the platform's URL with --platform or " + envPlatform)
 	}
 	return &tablestore.Store{Platform: &platform.Client{URL: url, HTTP: &http.Client{}}}, nil
 }
 
-// usageError is a command line that cannot be carried out.
+// usageError reports a command that cannot be carried out, for example because a
+// flag is missing.
 type usageError string
 
 // Error implements the error interface.
