--- a/daemon/gateway/limits.go
+++ b/daemon/gateway/limits.go
@@ -11,9 +11,9 @@
 
 // onLimitChange logs a changed rate limit that a server announced in an answer to this daemon,
 // and announces it to the other daemons.
-func (g *Gateway) onLimitChange(s *fleet.Server, was, is notice.LimitState) {
-	g.reporter.logLimitChange(s, was, is)
-	if is.Rate != was.Rate {
+func (g *Gateway) onLimitChange(s *fleet.Server, old, current notice.LimitState) {
+	g.reporter.logLimitChange(s, old, current)
+	if current.Rate != old.Rate {
 		g.syncer.AnnounceLimit(s)
 	}
 }
--- a/daemon/gateway/report.go
+++ b/daemon/gateway/report.go
@@ -119,21 +119,21 @@
 }
 
 // logLimitChange logs that the rate limit of a server begins, changes or ends.
-func (r *reporter) logLimitChange(s *fleet.Server, was, is notice.LimitState) {
+func (r *reporter) logLimitChange(s *fleet.Server, old, current notice.LimitState) {
 	e, message := r.log.Info(), "server: rate limit changed"
 	switch {
-	case is.Rate == was.Rate:
+	case current.Rate == old.Rate:
 		e, message = r.log.Warn(), "server: announced a malformed rate limit: the previous limit stays"
-	case was.Rate == 0:
+	case old.Rate == 0:
 		message = "server: announced a rate limit"
-	case is.Rate == 0:
+	case current.Rate == 0:
 		message = "server: rate limit ended"
 	}
-	if was.Rate > 0 {
-		e.Dur("stood", is.ReceivedAt.Sub(was.Since))
+	if old.Rate > 0 {
+		e.Dur("stood", current.ReceivedAt.Sub(old.Since))
 	}
-	e.Str("server", s.Incarnation().String()).Str("service", s.Service).Float64("per_second", is.Rate).Float64("was", was.Rate).
-		Str("told_by", is.From).Str("malformed", is.Malformed).Msg(message)
+	e.Str("server", s.Incarnation().String()).Str("service", s.Service).Float64("per_second", current.Rate).Float64("was", old.Rate).
+		Str("told_by", current.From).Str("malformed", current.Malformed).Msg(message)
 }
 
 // countNotices counts the notices that servers announced in their answers.
@@ -154,7 +154,7 @@
 	}
 }
 
-// logRequest writes a request's logRequest.
+// logRequest writes the log line of a finished request.
 func (r *reporter) logRequest(rep proxy.Report, name, reason string) {
 	e := r.log.Info()
 	if name != "answered" && name != "caller_gone" {
@@ -175,9 +175,9 @@
 }
 
 // attemptsText formats the attempts of a request for its log line.
-func attemptsText(tries []proxy.AttemptReport) string {
+func attemptsText(attempts []proxy.AttemptReport) string {
 	var b strings.Builder
-	for i, t := range tries {
+	for i, t := range attempts {
 		if i > 0 {
 			b.WriteString("; ")
 		}
