--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -84,8 +84,8 @@
 	Rate float64
 }
 
-// Knowledge provides the current view of the platform's store.
-type Knowledge interface {
+// StoreSync provides the current view of the platform's store.
+type StoreSync interface {
 	View() *storesync.View
 	// ReadsStore reports whether this daemon reads the store for the others of its data hall.
 	ReadsStore() bool
@@ -99,7 +99,7 @@
 	Settings  Settings
 	Rows      Rows
 	Platform  Platform
-	Knowledge Knowledge
+	Knowledge StoreSync
 	// SuspendClock returns how long the VM has been suspended in total; nil means never.
 	SuspendClock suspend.Clock
 	Log          log.Logger
