--- a/daemon/duties/duties.go
+++ b/daemon/duties/duties.go
@@ -99,7 +99,7 @@
 	Settings  Settings
 	Rows      Rows
 	Platform  Platform
-	Knowledge StoreSync
+	StoreSync StoreSync
 	// SuspendClock returns how long the VM has been suspended in total; nil means never.
 	SuspendClock suspend.Clock
 	Log          log.Logger
@@ -294,10 +294,10 @@
 // not with the daemons. While the store is unreachable from a hall, all of its daemons try to read
 // it; none of them contends then.
 func (d *Leaseholder) contends(now time.Time) bool {
-	if now.Sub(d.startedAt) < contendDelay || !d.Knowledge.ReadsStore() {
+	if now.Sub(d.startedAt) < contendDelay || !d.StoreSync.ReadsStore() {
 		return false
 	}
-	v := d.Knowledge.View()
+	v := d.StoreSync.View()
 	return v.Ready() && v.ConfigAge(now) < d.Settings.Lease
 }
 
--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -276,7 +276,7 @@
 	s := &cluster{store: &table{rows: map[string]gossip.Row{}}, platform: newPlatform(t)}
 	for i := range daemons {
 		d := &daemon{Leaseholder: duties.New(), link: &storeLink{table: s.store}}
-		d.Self, d.Start, d.Rows, d.Platform, d.Knowledge = "entry-"+strconv.Itoa(i), uint64(i+1), d.link, s.platform, fixedView{view: view(4)}
+		d.Self, d.Start, d.Rows, d.Platform, d.StoreSync = "entry-"+strconv.Itoa(i), uint64(i+1), d.link, s.platform, fixedView{view: view(4)}
 		d.Log = log.Logger{Level: log.PanicLevel}
 		d.Settings = duties.Settings{Names: names, Lease: lease, Window: window, ReportDeadline: late}
 		d.Prepare()
--- a/daemon/duties/leaseholder_test.go
+++ b/daemon/duties/leaseholder_test.go
@@ -231,7 +231,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newCluster(t, 2, duty.Usage)
 		for _, d := range s.daemons {
-			d.Knowledge = fixedView{view: view(4), age: 2 * lease}
+			d.StoreSync = fixedView{view: view(4), age: 2 * lease}
 		}
 		s.start(t.Context())
 		time.Sleep(20 * time.Second)
--- a/daemon/duties/order.go
+++ b/daemon/duties/order.go
@@ -147,7 +147,7 @@
 
 // order decides how many servers are needed, and sends due orders once the store holds them.
 func (d *Leaseholder) order(ctx context.Context, ds *dutyState, w *orderTask, now time.Time) {
-	v := d.Knowledge.View()
+	v := d.StoreSync.View()
 	if v.Map == nil || v.Servers == nil || ds.calling {
 		return
 	}
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -165,7 +165,7 @@
 	g.leaseholder = duties.New()
 	g.leaseholder.Self, g.leaseholder.Start, g.leaseholder.Log, g.leaseholder.SuspendClock = s.ID, g.Start, g.log, suspend.TotalSuspended
 	g.leaseholder.Settings = duties.Settings{Names: g.Platform.DutyNames, Lease: s.DutyLease, Window: s.UsageWindow, ReportDeadline: s.UsageDeadline, Rate: s.DutyRate}
-	g.leaseholder.Rows, g.leaseholder.Platform, g.leaseholder.Knowledge = g.Platform.DutyRows, g.Platform.Duties, g.syncer
+	g.leaseholder.Rows, g.leaseholder.Platform, g.leaseholder.StoreSync = g.Platform.DutyRows, g.Platform.Duties, g.syncer
 	g.leaseholder.Prepare()
 	g.syncer.Usage, g.engine.OnStart = g.leaseholder, g.leaseholder.CountRequest
 }
