--- a/daemon/cmd/ladderridged/cmd_gateway.go
+++ b/daemon/cmd/ladderridged/cmd_gateway.go
@@ -62,7 +62,7 @@
 	debug.SetGCPercent(gcPercent)
 	g := gateway.New(s)
 	g.Start = uint64(time.Now().UnixNano())
-	g.Load = func() (*settings.Gateway, error) { return settings.LoadGateway(path) }
+	g.ReadSettings = func() (*settings.Gateway, error) { return settings.LoadGateway(path) }
 	store := platform.NewStore(s.StoreURL)
 	g.Platform = gateway.Platform{
 		Store: store, DutyRows: store, Decoder: platform.Rows{}, Dialect: platform.Dialect{}, ReadyPath: platform.ReadyPath,
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -66,9 +66,9 @@
 // Gateway is one daemon. Get one from New, set the exported fields, then Run.
 type Gateway struct {
 	Settings *settings.Gateway
-	// Load reads the settings again for a reload; nil disables reloads.
-	Load     func() (*settings.Gateway, error)
-	Platform Platform
+	// ReadSettings reads the settings again for a reload; nil disables reloads.
+	ReadSettings func() (*settings.Gateway, error)
+	Platform     Platform
 	// Start identifies this process among the successive processes of one
 	// daemon; any number that differs between them will do.
 	Start uint64
--- a/daemon/gateway/reload.go
+++ b/daemon/gateway/reload.go
@@ -41,11 +41,11 @@
 // that they need a restart. If the file is invalid, the current settings stay.
 // With requested set, it also logs that nothing has changed.
 func (g *Gateway) reload(requested bool) {
-	if g.Load == nil {
+	if g.ReadSettings == nil {
 		return
 	}
 	old := g.settings.Load()
-	now, err := g.Load()
+	now, err := g.ReadSettings()
 	if err != nil {
 		if g.lastReloadError != err.Error() {
 			g.lastReloadError = err.Error()
