--- a/daemon/duties/harness_test.go
+++ b/daemon/duties/harness_test.go
@@ -235,14 +235,14 @@
 	age  time.Duration
 }
 
-// View implements duties.Knowledge.
+// View implements duties.StoreSync.
 func (k fixedView) View() *storesync.View {
 	v := *k.view
 	v.ConfigAt = time.Now().Add(-k.age)
 	return &v
 }
 
-// ReadsStore implements duties.Knowledge.
+// ReadsStore implements duties.StoreSync.
 func (fixedView) ReadsStore() bool { return true }
 
 // view returns a view with one service in two data halls, with the given number of servers in each.
