--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -15,72 +15,70 @@
 	"ladderridge.example/daemon/channel"
 )
 
-// verdict is what came of an attempt.
-type verdict int
+// attemptResult is the result of an attempt.
+type attemptResult int
 
-// The verdicts.
 const (
-	// answered is a head that says that the server took the request on.
-	answered verdict = iota
-	// declined is a server that has not run the request and will not.
+	// answered: the response head shows that the server accepted the request.
+	answered attemptResult = iota
+	// declined: the server has not run the request and will not.
 	declined
-	// lost is an attempt that may have run.
-	lost
+	// unknown: the server may have run the request.
+	unknown
 )
 
-// attempt is one request to one server.
+// attempt is one request sent to one server.
 type attempt struct {
-	server  *fleet.Server
-	model   string
-	reply   *channel.Reply
-	head    Head
-	verdict verdict
-	err     error
-	sent    time.Time
-	// cancel ends the attempt at the server.
+	server *fleet.Server
+	model  string
+	reply  *channel.Reply
+	head   Head
+	result attemptResult
+	err    error
+	sent   time.Time
+	// cancel aborts the attempt at the server.
 	cancel context.CancelFunc
 	ended  bool
-	// visit is the request at its server, once it may have reached it; done tells that the
-	// server has answered it whole or declined it.
-	visit *quarantine.Run
-	done  bool
-	// kind is what times are compared by: the route and the model.
-	kind string
-	// relative is how long the first part took in terms of the usual, 0 if that
-	// is not known.
+	// run tracks the request at its server from the time when it may have reached it; complete
+	// is set when the server has answered completely or declined.
+	run      *quarantine.Run
+	complete bool
+	// latencyKey identifies the latency estimate of the attempt: route and model.
+	latencyKey string
+	// relative is the time to the first part divided by the typical time, 0 if that is unknown.
 	relative float64
-	// prompt is what the model is to read, shared how much of it other requests share
-	// and this daemon had not sent to the server, in pieces.
+	// prompt is the prompt for the model. shared is the length, in blocks, of the part of it
+	// that other requests share and that this daemon had not yet sent to the server.
 	prompt prefixcache.Prompt
 	shared float64
-	// weight is how much of the server's work the attempt is.
+	// weight is the load that the attempt adds to the server.
 	weight float64
-	// first is how long the first part took in terms of what the settled version
-	// takes for the like, 0 if that is not known.
-	first float64
+	// firstRatio is the time to the first part divided by the time that the version not in
+	// roll-out takes for a similar request, 0 if that is unknown.
+	firstRatio float64
 }
 
-// choose finds a server for the next attempt: one that has not failed the
-// request, or else one that has.
+// choose selects a server for the next attempt, preferably one that has not failed the
+// request.
 func (j *job) choose(now time.Time) (*fleet.Server, bool) {
-	j.look()
-	j.prompt, j.piece = prefixcache.NewPrompt(j.model(), j.request.Prompt), j.pieceWork()
+	j.refreshView()
+	j.prompt, j.blockCost = prefixcache.NewPrompt(j.model(), j.request.Prompt), j.computeBlockCost()
 	if len(j.failed) > 0 {
-		if s, ok := j.chooseBut(slices.Concat(j.avoid, j.failed), now); ok {
+		if s, ok := j.chooseExcept(slices.Concat(j.avoid, j.failed), now); ok {
 			return s, true
 		}
 	}
-	return j.chooseBut(j.avoid, now)
+	return j.chooseExcept(j.avoid, now)
 }
 
-// chooseBut finds a server that is not among those to avoid.
-func (j *job) chooseBut(avoid []fleet.Incarnation, now time.Time) (*fleet.Server, bool) {
+// chooseExcept selects a server that is not in avoid.
+func (j *job) chooseExcept(avoid []fleet.Incarnation, now time.Time) (*fleet.Server, bool) {
 	want := fleet.Criteria{
-		Service: j.service, Affinity: j.request.affinity(), Prompt: j.prompt, BlockCost: j.piece,
-		Hall: j.engine.Hall, KeepInHall: j.request.sharesLittle(), Exclude: avoid, TimedOutHalls: j.silent,
+		Service: j.service, Affinity: j.request.affinity(), Prompt: j.prompt, BlockCost: j.blockCost,
+		Hall: j.engine.Hall, KeepInHall: j.request.sharesLessThanBlock(), Exclude: avoid, TimedOutHalls: j.timedOutHalls,
 	}
-	if j.route.RestrictsRegions(j.holder) {
-		want.HallAllowed = func(hall string) bool { return j.view.InRegions(j.route, j.holder, hall) }
+	if j.route.RestrictsRegions(j.organisation) {
+		want.HallAllowed = func(hall string) bool { return j.view.InRegions(j.route, j.organisation, hall) }
 	}
 	if j.version != "" {
 		want.Allowed = func(v string) bool { return v == j.version }
@@ -100,12 +98,12 @@
 	return j.view.Servers.Choose(want, now)
 }
 
-// allowed is the last check before an attempt leaves: whether the newest
-// configuration still lets the request reach the service. An answer that the
-// caller has a part of is finished under the one that it began under, and a
-// request that was accepted under this one is not asked for its key again.
-func (j *job) allowed(now time.Time) Outcome {
-	if j.begun {
+// recheck verifies, immediately before an attempt is sent, that the latest configuration
+// still routes the request to the service. A response that the caller has received in part is
+// completed under the configuration under which it started, and the key is not checked again
+// under a configuration that has already accepted it.
+func (j *job) recheck(now time.Time) Outcome {
+	if j.responseStarted {
 		return nil
 	}
 	route, ok := j.view.Map.Match(j.request.Host, j.request.Path)
@@ -117,13 +115,13 @@
 		j.report.Service = j.service
 	}
 	j.route = route
-	if j.view.Map.Number == j.accepted {
+	if j.view.Map.Number == j.acceptedConfig {
 		return nil
 	}
 	return j.authenticate(now)
 }
 
-// model is the model of the present step, or "" if the caller has named one.
+// model returns the model of the current cascade step, or "" if the caller has chosen one.
 func (j *job) model() string {
 	if len(j.route.Cascade) == 0 {
 		return ""
@@ -131,20 +129,20 @@
 	return j.route.Cascade[min(j.step.Index, len(j.route.Cascade)-1)]
 }
 
-// open sends the request to a server and reads the head of the answer. It gives
-// up after patience, if that is set and another attempt can be paid for.
-func (j *job) open(ctx context.Context, s *fleet.Server, patience time.Duration) *attempt {
+// open sends the request to a server and reads the response head. It aborts the attempt after
+// timeout, if that is set and the retry budget allows another attempt.
+func (j *job) open(ctx context.Context, s *fleet.Server, timeout time.Duration) *attempt {
 	a := &attempt{server: s, model: j.model(), sent: time.Now()}
-	a.kind = j.kind(a.model)
+	a.latencyKey = j.latencyKeyOf(a.model)
 	j.report.Server, j.report.Version, j.report.Model = s.ID, s.Version, a.model
 	ctx, a.cancel = context.WithCancel(ctx)
-	timer := j.startTimer(a, patience)
+	timer := j.startTimer(a, timeout)
 	if j.route.Sticky {
 		j.engine.StoreSync.RecordSession(j.service, j.request.session(), s.Version)
 	}
 	a.prompt = j.prompt
-	a.shared = pieces(s.State.PrefixCache.MissingTokens(a.prompt, a.sent) - a.prompt.UniqueTokens())
-	a.weight = 1 + j.piece*pieces(a.prompt.UniqueTokens())
+	a.shared = blocks(s.State.PrefixCache.MissingTokens(a.prompt, a.sent) - a.prompt.UniqueTokens())
+	a.weight = 1 + j.blockCost*blocks(a.prompt.UniqueTokens())
 	s.State.PrefixCache.Add(a.prompt, a.sent)
 	s.State.Begin(a.weight)
 	a.reply, a.err = j.engine.Channels.Send(ctx, j.compose(a))
@@ -152,33 +150,33 @@
 		if a.err == nil {
 			a.reply.Close()
 		}
-		a.err = &channel.Error{Op: "wait for server", Kind: channel.Interrupted, Err: errSilent}
-		j.pay()
+		a.err = &channel.Error{Op: "wait for server", Kind: channel.Interrupted, Err: errServerTimeout}
+		j.markPaid()
 	}
-	j.judge(a)
-	if a.verdict != answered {
+	j.evaluate(a)
+	if a.result != answered {
 		if timer.stop() || ctx.Err() != nil {
-			j.observeEnded(a)
+			j.observeAbandoned(a)
 		}
 		j.finish(a)
 	}
 	return a
 }
 
-// compose makes the request for a server.
+// compose builds the request for a server.
 func (j *job) compose(a *attempt) channel.Request {
 	r := j.request
-	attempt := Attempt{Request: r, Server: a.server, Model: a.model, Urgency: j.urgency(), LastEvent: j.after}
-	if j.holder != nil {
-		attempt.Organisation = j.holder.Name
+	attempt := Attempt{Request: r, Server: a.server, Model: a.model, Urgency: j.urgency(), LastEvent: j.lastEvent}
+	if j.organisation != nil {
+		attempt.Organisation = j.organisation.Name
 	}
-	if !j.end.IsZero() {
+	if !j.deadline.IsZero() {
 		attempt.TimeLeft = max(time.Millisecond, j.remaining())
 	}
 	x := channel.Request{
 		Addr: a.server.Addr, Method: r.Method, Target: r.Target, Host: r.Host, Header: j.engine.Dialect.Compose(attempt),
 		Body: r.Body, SendLength: r.HasBody, Matches: func(h http.Header) bool { return j.engine.Dialect.Matches(r.ID, h) },
-		BeforeSend: func() error { return j.mayArrive(a) },
+		BeforeSend: func() error { return j.admit(a) },
 	}
 	if !j.route.MayRepeat() {
 		x.MaxIdle = channel.NonRepeatableMaxIdle
@@ -186,21 +184,21 @@
 	return x
 }
 
-// urgency is the rank of the request, from 0 to 9.
-func (j *job) urgency() int { return min(9, max(0, j.route.RankFor(j.holder))) }
+// urgency returns the rank of the request, from 0 to 9.
+func (j *job) urgency() int { return min(9, max(0, j.route.RankFor(j.organisation))) }
 
-// judge works out what came of an attempt.
-func (j *job) judge(a *attempt) {
+// evaluate determines the result of an attempt.
+func (j *job) evaluate(a *attempt) {
 	now := time.Now()
 	if a.err != nil {
-		j.judgeError(a, now)
+		j.evaluateError(a, now)
 		return
 	}
 	a.head = j.engine.Dialect.ParseHead(a.reply.Status, a.reply.Header)
-	j.hear(a, now)
+	j.observeNotice(a, now)
 	if a.head.NotRun {
-		a.verdict, a.done = declined, true
-		j.made = j.made.With(attempts.NotRun)
+		a.result, a.complete = declined, true
+		j.history = j.history.With(attempts.NotRun)
 		j.avoid = append(j.avoid, a.server.Incarnation())
 		switch {
 		case a.head.WrongServer:
@@ -210,16 +208,16 @@
 		}
 		return
 	}
-	a.verdict = answered
-	j.made = j.made.With(attempts.Unknown)
+	a.result = answered
+	j.history = j.history.With(attempts.Unknown)
 	j.count()
 	if a.head.HasLoad {
 		a.server.State.SetReportedRequests(a.head.Load)
 	}
 }
 
-// count counts the request for its organisation when a server first takes it on: what is told
-// of usage counts requests, not the runs that one takes.
+// count counts the request for its organisation when a server first accepts it: usage reports
+// count requests, not attempts.
 func (j *job) count() {
 	if j.engine.OnStart != nil && !j.counted {
 		j.counted = true
@@ -227,17 +225,19 @@
 	}
 }
 
-// hear keeps what a server says of itself with an answer, whatever becomes of that.
-func (j *job) hear(a *attempt, now time.Time) {
+// observeNotice records what the server reports about itself in a response head, whatever the
+// result of the attempt is.
+func (j *job) observeNotice(a *attempt, now time.Time) {
 	n := a.head.Notice
 	if (n.Leaving || n.Backoff > 0) && a.server.State.Notices.Observe(n, now) && j.engine.OnNotice != nil {
 		j.engine.OnNotice(a.server, n)
 	}
-	j.hearLimit(a, now)
+	j.observeLimit(a, now)
 }
 
-// hearLimit keeps the limit that an answer names: the next request goes by it.
-func (j *job) hearLimit(a *attempt, now time.Time) {
+// observeLimit records the rate limit in a response head, so that it applies from the next
+// request on.
+func (j *job) observeLimit(a *attempt, now time.Time) {
 	was, is := a.server.State.Notices.ObserveLimit(a.head.Notice.Limit, a.sent, now, "")
 	if !is.Differs(was) {
 		return
@@ -248,75 +248,76 @@
 	}
 }
 
-// errLate stops a repeat that would arrive long after it was paid.
-var errLate = errors.New("the repeat is late, and the budget has none left")
+// errRetryExpired stops a retry that would arrive long after it was taken from the budget.
+var errRetryExpired = errors.New("retry was sent too late and the retry budget is used up")
 
-// errNotOpen stops a request whose server has said meanwhile that it takes none.
-var errNotOpen = errors.New("the server takes no new work")
+// errNotOpen stops a request to a server that has meanwhile reported that it takes no more.
+var errNotOpen = errors.New("server takes no new requests")
 
-// mayArrive is the last look at the server, once the connection is there: that may have
-// taken long, on a slow VM most of all, and answers to others have come meanwhile.
-func (j *job) mayArrive(a *attempt) error {
+// admit checks the server again once the connection is established. Connecting may take long,
+// above all on a slow VM, and the server may meanwhile have reported a limit or back-off in
+// responses to other requests.
+func (j *job) admit(a *attempt) error {
 	now := time.Now()
 	if !a.server.Open(now) || !a.server.State.Admit(a.sent, now) {
 		return errNotOpen
 	}
-	if !j.paysFor(now) {
-		return errLate
+	if !j.payIfLate(now) {
+		return errRetryExpired
 	}
-	j.arrive(a)
+	j.beginRun(a)
 	return nil
 }
 
-func (j *job) judgeError(a *attempt, now time.Time) {
-	a.verdict = lost
+func (j *job) evaluateError(a *attempt, now time.Time) {
+	a.result = unknown
 	j.avoid = append(j.avoid, a.server.Incarnation())
 	var e *channel.Error
 	if errors.As(a.err, &e) && e.Kind.NotRun() {
-		a.verdict, a.done = declined, true
+		a.result, a.complete = declined, true
 		if fault.Is(a.err, channel.Unreachable) && j.live() {
-			j.blame(a, a.err, now)
+			j.recordFailure(a, a.err, now)
 		}
 		return
 	}
-	j.made = j.made.With(attempts.Unknown)
+	j.history = j.history.With(attempts.Unknown)
 	if j.live() {
-		j.blame(a, a.err, now)
+		j.recordFailure(a, a.err, now)
 	}
 }
 
-// blame notes with the server how it failed. The way to another hall may be cut,
-// so the next attempt goes to this one's own.
-func (j *job) blame(a *attempt, err error, now time.Time) {
+// recordFailure records the failure with the server. The network between the halls may be
+// interrupted, so after a failure in another hall the next attempt goes to this daemon's own.
+func (j *job) recordFailure(a *attempt, err error, now time.Time) {
 	if a.server.Hall != j.engine.Hall {
-		j.silent = append(j.silent, a.server.Hall)
+		j.timedOutHalls = append(j.timedOutHalls, a.server.Hall)
 	}
 	switch {
 	case channel.TimedOut(err):
 		a.server.State.ConnectTimedOut(now)
-		j.silent = append(j.silent, a.server.Hall)
+		j.timedOutHalls = append(j.timedOutHalls, a.server.Hall)
 	case fault.Is(err, channel.Unreachable):
 		a.server.State.Unreachable(now)
 		if channel.ConnectionRefused(err) {
-			j.engine.serverEnded(placeOf(a.server))
+			j.engine.serverEnded(instanceOf(a.server))
 		}
 	default:
 		a.server.State.NoResponse(now)
-		j.engine.look(placeOf(a.server))
+		j.engine.probe(instanceOf(a.server))
 	}
 }
 
-// remaining is how much time a request with an end has. Its caller has waited while the VM
-// stood still.
+// remaining returns the time until the deadline. The time for which the VM was suspended counts
+// too, since the caller was waiting.
 func (j *job) remaining() time.Duration {
-	return time.Until(j.end) - (j.engine.SuspendClock.Now() - j.stood)
+	return time.Until(j.deadline) - (j.engine.SuspendClock.Now() - j.suspendedBefore)
 }
 
-// live reports whether the request's time is not over and its caller there: else
-// a failure says nothing about the server.
-func (j *job) live() bool { return !j.left() && (j.end.IsZero() || j.remaining() > 0) }
+// live reports whether the deadline has not passed and the caller is still connected.
+// Otherwise a failure says nothing about the server.
+func (j *job) live() bool { return !j.clientGone() && (j.deadline.IsZero() || j.remaining() > 0) }
 
-// finish ends an attempt: the server has its place back.
+// finish ends an attempt and releases its load at the server.
 func (j *job) finish(a *attempt) {
 	if a.ended {
 		return
@@ -327,54 +328,56 @@
 	}
 	a.cancel()
 	a.server.State.End(a.weight)
-	j.depart(a)
+	j.endRun(a)
 }
 
-// note puts an attempt into the report.
-func (j *job) note(a *attempt, result string) {
+// reportAttempt adds an attempt to the report.
+func (j *job) reportAttempt(a *attempt, result string) {
 	j.report.Attempts = append(j.report.Attempts, AttemptReport{Server: a.server.ID, Model: a.model, Result: result, Notice: a.head.Notice, Took: time.Since(a.sent)})
 }
 
-// mostDeclined bounds the servers that may decline a request before it is
-// refused: when several have no place, the next one hardly has.
-const mostDeclined = 3
+// maxDeclined is how many servers may decline a request before it is refused: when several
+// have no free slot, another one is unlikely to have one.
+const maxDeclined = 3
 
-// mayTryAgain reports whether another server may be sent the request. It takes
-// the repeat from the budget.
-func (j *job) mayTryAgain(ctx context.Context) bool {
+// mayRetry reports whether the request may be sent to another server. It takes the retry from
+// the budget.
+func (j *job) mayRetry(ctx context.Context) bool {
 	if ctx.Err() != nil || !j.live() {
 		return false
 	}
-	if !j.made.MayRepeat(!j.route.MayRepeat()) {
+	if !j.history.MayRepeat(!j.route.MayRepeat()) {
 		return false
 	}
-	if j.made.Ran >= max(1, j.route.Attempts) || j.made.Declined >= mostDeclined {
+	if j.history.Ran >= max(1, j.route.Attempts) || j.history.Declined >= maxDeclined {
 		return false
 	}
-	if j.made.Reached() == 0 || j.paid {
+	if j.history.Reached() == 0 || j.paid {
 		j.paid = false
 		return true
 	}
-	return j.spend()
+	return j.spendRetry()
 }
 
-// spend takes a repeat from the budget, for the next attempt or the one that arrives now.
-func (j *job) spend() bool {
-	if !j.engine.spendRepeat(j.service, j.view) {
+// spendRetry takes a retry from the budget, for the next attempt or for one that is about to
+// be sent.
+func (j *job) spendRetry() bool {
+	if !j.engine.spendRetry(j.service, j.view) {
 		return false
 	}
 	j.paidAt = time.Now()
 	return true
 }
 
-// pay notes that the next attempt has been taken from the budget.
-func (j *job) pay() { j.paid, j.paidAt = true, time.Now() }
+// markPaid records that the next attempt has already been taken from the budget.
+func (j *job) markPaid() { j.paid, j.paidAt = true, time.Now() }
 
-// paysFor reports whether a repeat that arrives now is paid. Repeats that were paid over a while
-// and arrive all at once would be more than the budget has in that time: a late one is paid again.
-func (j *job) paysFor(now time.Time) bool {
-	return j.made.Reached() == 0 || now.Sub(j.paidAt) <= paidFor || j.spend()
+// payIfLate reports whether an attempt may be sent under the retry budget. A retry that is sent
+// more than retryPaymentValidity after it was taken from the budget is charged again: retries
+// charged over a period and sent all at once would exceed the budget's rate.
+func (j *job) payIfLate(now time.Time) bool {
+	return j.history.Reached() == 0 || now.Sub(j.paidAt) <= retryPaymentValidity || j.spendRetry()
 }
 
-// paidFor is how long after it was paid a repeat may arrive.
-const paidFor = 300 * time.Millisecond
+// retryPaymentValidity is how long a retry may be sent after it was taken from the budget.
+const retryPaymentValidity = 300 * time.Millisecond
--- /dev/null
+++ b/daemon/proxy/buffered.go
@@ -0,0 +1,140 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"ladderridge.example/core/latency"
+)
+
+// maxBufferedResponse is the size in bytes up to which a response is buffered until it is
+// complete. A longer one is forwarded as it arrives.
+const maxBufferedResponse = 1 << 20
+
+const (
+	// defaultMaxBuffered is the default limit of the bytes of all buffered responses together.
+	defaultMaxBuffered = 16 << 20
+	// assumedLength is the assumed size of a response of unknown length, in bytes.
+	assumedLength = 64 << 10
+)
+
+// BufferedBytes returns how many bytes of complete responses are buffered for callers.
+func (e *Engine) BufferedBytes() int64 { return e.buffered.Load() }
+
+// reserveBuffer reserves buffer space for a response of a length, -1 if that is unknown; ok is
+// false if there is none. Without a limit the responses of slow readers would fill the daemon's
+// memory.
+func (e *Engine) reserveBuffer(length int64) (bytes int64, ok bool) {
+	most := e.MaxBuffered
+	if most == 0 {
+		most = defaultMaxBuffered
+	}
+	bytes = length
+	if bytes < 0 {
+		bytes = assumedLength
+	}
+	if e.buffered.Add(bytes) > most {
+		e.buffered.Add(-bytes)
+		return 0, false
+	}
+	return bytes, true
+}
+
+// bufferedResponse is a server's complete response.
+type bufferedResponse struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// forwardBuffered reads a response to its end and forwards it, or returns the reason why the
+// request is retried.
+func (j *job) forwardBuffered(ctx context.Context, a *attempt) (Outcome, Reason) {
+	defer j.finish(a)
+	held, ok := j.engine.reserveBuffer(a.reply.Length)
+	if !ok {
+		return j.forwardUnbuffered(a, nil)
+	}
+	defer j.engine.buffered.Add(-held)
+	body, err := io.ReadAll(io.LimitReader(a.reply, maxBufferedResponse+1))
+	if err != nil {
+		return j.recordInterruption(a, err)
+	}
+	if len(body) > maxBufferedResponse {
+		return j.forwardUnbuffered(a, body)
+	}
+	took := time.Since(a.sent)
+	a.complete = true
+	w := &bufferedResponse{status: a.reply.Status, header: a.reply.Header, body: body}
+	if w.status >= http.StatusInternalServerError {
+		a.server.State.Failed()
+		j.failed = append(j.failed, a.server.Incarnation())
+		j.observeResponse(a, true)
+		j.reportAttempt(a, fmt.Sprintf("status %d", w.status))
+		j.failedResponse = w
+		if ctx.Err() != nil {
+			return j.sendBuffered(w), ""
+		}
+		return nil, Failed
+	}
+	j.recordComplete(a)
+	j.recordFirstPart(a, took)
+	j.observeResponse(a, false)
+	j.reportAttempt(a, fmt.Sprintf("status %d", w.status))
+	return j.sendBuffered(w), ""
+}
+
+// recordInterruption records a response that broke off before its end.
+func (j *job) recordInterruption(a *attempt, err error) (Outcome, Reason) {
+	j.reportAttempt(a, err.Error())
+	j.avoid = append(j.avoid, a.server.Incarnation())
+	if j.live() {
+		j.recordFailure(a, err, time.Now())
+	}
+	return nil, Failed
+}
+
+// recordFirstPart records that the first part of a successful response arrived, or all of one
+// that is not a stream.
+func (j *job) recordFirstPart(a *attempt, took time.Duration) {
+	j.updateLatency(a, took)
+	j.report.FirstByte = time.Since(j.request.Arrived)
+}
+
+// updateLatency records how long a server took for the first part of a response.
+func (j *job) updateLatency(a *attempt, took time.Duration) {
+	a.relative = j.engine.latencies.get(a.latencyKey).Relative(j.request.size(), took)
+	a.server.State.Answered(a.relative)
+	j.engine.latencies.update(a.latencyKey, func(e latency.Estimate) latency.Estimate { return e.With(j.request.size(), took, time.Now()) })
+	a.firstRatio = j.compareToReference(a, j.referenceKey(a), took)
+}
+
+// sendBuffered sends a complete response to the caller.
+func (j *job) sendBuffered(w *bufferedResponse) Outcome {
+	j.responseStarted = true
+	j.sink.Begin(w.status, j.engine.Dialect.ResponseHeaders(w.header), int64(len(w.body)))
+	if _, err := j.sink.Write(w.body); err != nil {
+		return ClientGone{}
+	}
+	return Answered{Status: w.status}
+}
+
+// forwardUnbuffered forwards a response that is too long to buffer.
+func (j *job) forwardUnbuffered(a *attempt, begun []byte) (Outcome, Reason) {
+	j.responseStarted = true
+	j.sink.Begin(a.reply.Status, j.engine.Dialect.ResponseHeaders(a.reply.Header), a.reply.Length)
+	if _, err := j.sink.Write(begun); err != nil {
+		return ClientGone{}, ""
+	}
+	if _, err := io.Copy(j.sink, a.reply); err != nil {
+		j.reportAttempt(a, err.Error())
+		return Interrupted{Reason: Failed}, ""
+	}
+	j.recordComplete(a)
+	j.recordFirstPart(a, time.Since(a.sent))
+	j.observeResponse(a, false)
+	return Answered{Status: a.reply.Status}, ""
+}
--- a/daemon/proxy/held_test.go
+++ b/daemon/proxy/buffered_test.go
@@ -11,24 +11,24 @@
 	"ladderridge.example/daemon/proxy"
 )
 
-// reader is a caller that takes its answer only when it is let.
+// reader is a caller that blocks until it is allowed to read its response.
 type reader struct {
-	told
+	response
 	let <-chan struct{}
 }
 
 // Write implements proxy.Sink.
 func (r *reader) Write(p []byte) (int, error) {
 	<-r.let
-	return r.told.Write(p)
+	return r.response.Write(p)
 }
 
-// A daemon held every whole answer until its caller had read it, up to a megabyte each: two
-// thousand callers that read slowly would have filled a small VM many times over.
-func TestAnswersOfSlowReadersHaveABoundTogether(t *testing.T) {
+// Each complete response of up to a megabyte is buffered until its caller has read it. Without a
+// common limit, two thousand slow readers would exceed the memory of a small VM many times over.
+func TestBufferedResponsesOfSlowReadersHaveACommonLimit(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		const callers, size, most = 50, 100_000, 1_000_000
-		b := newBench(t)
+		b := newFixture(t)
 		b.engine.MaxBuffered, b.engine.OnComplete = most, nil
 		body := strings.Repeat("x", size)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(http.StatusOK, body)))
@@ -44,7 +44,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		if held := b.engine.BufferedBytes(); held > most || held < most/2 {
-			t.Errorf("%d bytes are held, %d may be", held, most)
+			t.Errorf("%d bytes buffered, limit %d", held, most)
 		}
 		close(let)
 		for range callers {
@@ -58,7 +58,7 @@
 			}
 		}
 		if held := b.engine.BufferedBytes(); held != 0 {
-			t.Errorf("%d bytes are still held", held)
+			t.Errorf("%d bytes still buffered", held)
 		}
 	})
 }
--- a/daemon/proxy/engine.go
+++ b/daemon/proxy/engine.go
@@ -21,19 +21,19 @@
 	"ladderridge.example/daemon/suspend"
 )
 
-// StoreSync is what the engine needs to know.
+// StoreSync is what the engine needs of daemon/storesync.
 type StoreSync interface {
 	View() *storesync.View
 	Observe(f storesync.Observation)
-	// RecordSession notes which version serves a session.
+	// RecordSession records which version serves a session.
 	RecordSession(service string, session uint64, version string)
-	// RecordServerExit counts a server that has ended against what was under way there.
+	// RecordServerExit counts a server's exit against the requests that were in flight there.
 	RecordServerExit(server string, contents []quarantine.Fingerprint)
-	// Answered notes a content that a server has answered whole.
+	// Answered records that a server has answered a request with this content completely.
 	Answered(content quarantine.Fingerprint)
 }
 
-// Engine serves requests. Set the exported fields, then Serve.
+// Engine proxies requests. Set the exported fields, then Serve.
 type Engine struct {
 	StoreSync StoreSync
 	Channels  *channel.Pool
@@ -41,64 +41,64 @@
 	Budget    *retry.Budget
 	// Hall is this daemon's data hall.
 	Hall string
-	// SuspendClock tells how long the VM has stood still; nil is never.
+	// SuspendClock returns the total time for which the VM has been suspended; nil means never.
 	SuspendClock suspend.Clock
-	// OnComplete is told of each request that has ended; nil is nobody.
+	// OnComplete is called with the report of each finished request; may be nil.
 	OnComplete func(Report)
-	// OnStart is told of each request of an organisation that a server has begun to run; nil is
-	// nobody.
+	// OnStart is called for each request of an organisation that a server has accepted; may be
+	// nil.
 	OnStart func(organisation string)
-	// OnNotice is told of a server that says of itself what was not known; nil is nobody.
+	// OnNotice is called when a server reports something new about itself; may be nil.
 	OnNotice func(s *fleet.Server, n notice.Notice)
-	// OnLimitChange is told of a server whose limit begins, changes or ends; nil is nobody.
+	// OnLimitChange is called when a server's limit starts, changes or ends; may be nil.
 	OnLimitChange func(s *fleet.Server, was, is notice.LimitState)
 
-	// MaxBuffered bounds the bytes of whole answers that are held for callers, of all requests
-	// together; 0 is standardHold. Beyond it answers are passed on as they come.
+	// MaxBuffered is the limit in bytes of the complete responses that are buffered for callers,
+	// over all requests; 0 means defaultMaxBuffered. Above it responses are forwarded unbuffered.
 	MaxBuffered int64
 
-	// InFlight counts requests under way.
+	// InFlight counts the requests in flight.
 	InFlight atomic.Int64
 
-	// held are the bytes of whole answers that are held now.
-	held atomic.Int64
+	// buffered is the size of the buffered responses in bytes.
+	buffered atomic.Int64
 
-	// ends is when this daemon ends at the latest, if it is about to.
-	ends atomic.Pointer[time.Time]
+	// shutdownBy is the time by which this daemon stops, nil if it is not stopping.
+	shutdownBy atomic.Pointer[time.Time]
 
-	// keyAge is how old the configuration may be for a key to pass or to be refused
-	// as wrong, keyAgeCut how old for one that it knows to pass.
-	keyAge    atomic.Int64
-	keyAgeCut atomic.Int64
-	// paces are what the first parts of answers take.
-	paces *byKind[latency.Estimate]
-	// settled are what answers of versions take that are not in roll-out.
-	settled *byKind[latency.Reference]
-	// runs are the requests at servers.
+	// maxKeyAge is the maximum age of the configuration at which keys are accepted, or refused
+	// as unknown; maxKeyAgeOffline is the maximum age at which known keys are accepted.
+	maxKeyAge        atomic.Int64
+	maxKeyAgeOffline atomic.Int64
+	// latencies estimates the time to the first part of a response, by route and model.
+	latencies *keyed[latency.Estimate]
+	// references has the response times of versions that are not in roll-out.
+	references *keyed[latency.Reference]
+	// runs tracks the requests that are at servers.
 	runs *quarantine.Tracker
 }
 
-// SetKeyAge sets how old the configuration may be for a key to pass or to be
-// refused as wrong, and how old for a key that it knows to pass when no newer one is
-// to be had; until it is called no key passes.
+// SetKeyAge sets the maximum age of the configuration at which keys are accepted or refused as
+// unknown, and the maximum age at which known keys are accepted while no newer configuration
+// is available. Until it is called, no key is accepted.
 //
-// A hall that is cut from the store so goes on serving its callers where operators
-// allow it.
+// If operators allow it, a hall that is disconnected from the store so keeps serving its
+// callers.
 func (e *Engine) SetKeyAge(confirmed, cut time.Duration) {
-	e.keyAge.Store(int64(confirmed))
-	e.keyAgeCut.Store(int64(max(confirmed, cut)))
+	e.maxKeyAge.Store(int64(confirmed))
+	e.maxKeyAgeOffline.Store(int64(max(confirmed, cut)))
 }
 
-// ShutdownBy tells the engine that the daemon ends at a time: from now on it takes only
-// what is over by then.
-func (e *Engine) ShutdownBy(at time.Time) { e.ends.Store(&at) }
+// ShutdownBy tells the engine that the daemon stops at a time: from now on it accepts only
+// requests with a deadline no later than that.
+func (e *Engine) ShutdownBy(at time.Time) { e.shutdownBy.Store(&at) }
 
-// New returns an engine that has served nothing yet.
+// New returns an engine without state.
 func New() *Engine {
-	return &Engine{paces: newByKind[latency.Estimate](), settled: newByKind[latency.Reference](), runs: quarantine.NewTracker()}
+	return &Engine{latencies: newKeyed[latency.Estimate](), references: newKeyed[latency.Reference](), runs: quarantine.NewTracker()}
 }
 
-// Report is what became of a request and why, for logs and metrics.
+// Report is the outcome of a request and its reasons, for logs and metrics.
 type Report struct {
 	Request *Request
 	// Route, Service, Version, Model and Server are the last ones chosen.
@@ -107,47 +107,47 @@
 	Version string
 	Model   string
 	Server  string
-	// Session is the hash of the session, Rollout what part of them the new
-	// version of a roll-out had, or "".
+	// Session is the hash of the session. Rollout describes the share of sessions that the new
+	// version of a roll-out had, or is "".
 	Session uint64
 	Rollout string
-	// Organisation holds the key.
+	// Organisation is the owner of the key.
 	Organisation string
-	// Content tells what the request asks: the same for all attempts of a caller at one
-	// thing. It is 0 if the request was refused before its caller was known.
+	// Content is the fingerprint of what the request asks for: equal for all attempts of a caller
+	// at the same thing. It is 0 if the request was refused before its caller was known.
 	Content quarantine.Fingerprint
-	// Config is the number of the configuration, ConfigAge how old it was.
+	// Config is the number of the configuration, ConfigAge its age.
 	Config    uint64
 	ConfigAge time.Duration
-	// Attempts are the attempts with their outcomes, in order.
+	// Attempts are the attempts in order, with their results.
 	Attempts []AttemptReport
-	// Escalated tells that a smaller model's answer was dropped.
+	// Escalated reports whether a smaller model's response was dropped for a larger model.
 	Escalated bool
 	Outcome   Outcome
 	Took      time.Duration
-	// FirstByte is the time to the first part of the answer.
+	// FirstByte is the time to the first part of the response.
 	FirstByte time.Duration
 }
 
-// AttemptReport is one attempt at a server.
+// AttemptReport describes one attempt at a server.
 type AttemptReport struct {
 	Server string
 	Model  string
-	// Result says what came of it, in a word or an error's text.
+	// Result is the result, as a word or the text of an error.
 	Result string
-	// Notice is what the server said of itself.
+	// Notice is what the server reported about itself.
 	Notice notice.Notice
 	Took   time.Duration
 }
 
-// Serve serves one request and returns how it ended. The sink gets an answer
-// only as a part of Answered or Broken.
+// Serve proxies one request and returns its outcome. The sink receives data only as a part
+// of Answered or Interrupted.
 func (e *Engine) Serve(ctx context.Context, r *Request, sink Sink) Outcome {
 	e.InFlight.Add(1)
 	defer e.InFlight.Add(-1)
-	j := &job{engine: e, request: r, sink: sink, after: r.LastEvent, stood: e.SuspendClock.Now(), report: Report{Request: r}, left: func() bool { return ctx.Err() != nil }}
+	j := &job{engine: e, request: r, sink: sink, lastEvent: r.LastEvent, suspendedBefore: e.SuspendClock.Now(), report: Report{Request: r}, clientGone: func() bool { return ctx.Err() != nil }}
 	out := j.serve(ctx)
-	if _, whole := out.(Answered); j.left() && !whole {
+	if _, complete := out.(Answered); j.clientGone() && !complete {
 		out = ClientGone{}
 	}
 	if e.OnComplete != nil {
@@ -157,62 +157,61 @@
 	return out
 }
 
-// job is a request under way.
+// job is a request in flight.
 type job struct {
 	engine  *Engine
 	request *Request
 	sink    Sink
 	report  Report
 
-	// left reports whether the caller has gone.
-	left func() bool
+	// clientGone reports whether the caller has disconnected.
+	clientGone func() bool
 
-	view   *storesync.View
-	route  *routemap.Route
-	holder *routemap.Organisation
-	// accepted is the configuration under which the key passed.
-	accepted uint64
-	// content tells what the request asks.
+	view         *storesync.View
+	route        *routemap.Route
+	organisation *routemap.Organisation
+	// acceptedConfig is the number of the configuration under which the key was accepted.
+	acceptedConfig uint64
+	// content is the fingerprint of what the request asks for.
 	content quarantine.Fingerprint
 	service string
-	// end is when the request is given up by the steady clock, zero for never; stood is how
-	// long the VM had stood still when it came.
-	end   time.Time
-	stood time.Duration
-	step  cascade.Step
-	// prompt is what the model of the step is to read, piece how much of a server's
-	// work a piece of it is. Each choice of a server renews them.
-	prompt prefixcache.Prompt
-	piece  float64
-	// avoid are servers that declined the request or broke off, failed those
-	// that answered that they failed or were busy: they are taken if there is no
-	// other.
+	// deadline is when the request is given up, on the monotonic clock, zero for never.
+	// suspendedBefore is how long the VM had been suspended when the request arrived.
+	deadline        time.Time
+	suspendedBefore time.Duration
+	step            cascade.Step
+	// prompt is the prompt for the model of the step, blockCost the load that a block of it adds
+	// to a server. Each choice of a server updates them.
+	prompt    prefixcache.Prompt
+	blockCost float64
+	// avoid are servers that declined the request or broke off; failed are servers that answered
+	// with an error or were busy, which are chosen only if there is no other.
 	avoid  []fleet.Incarnation
 	failed []fleet.Incarnation
-	// reserved is the server that is chosen for the next attempt already; nil is none.
+	// reserved is the server already chosen for the next attempt, or nil.
 	reserved *fleet.Server
-	// silent are the other halls whose servers could not be reached or broke
-	// off, and any of which one timed out.
-	silent []string
-	// made is what is known after the attempts so far.
-	made attempts.History
-	// paid tells that the next attempt has been taken from the budget, paidAt when a repeat last
-	// was.
+	// timedOutHalls are other halls with a server that could not be reached or broke off, and
+	// any hall with a server whose connection timed out.
+	timedOutHalls []string
+	// history summarises the attempts so far.
+	history attempts.History
+	// paid reports whether the next attempt has been taken from the budget; paidAt is when a
+	// retry last was.
 	paid   bool
 	paidAt time.Time
-	// counted tells that the request counts as begun for its organisation.
+	// counted reports whether the request has been counted for its organisation.
 	counted bool
-	// begun tells that the caller has a part of an answer.
-	begun bool
-	// after is the last event that the caller has.
-	after int64
-	// version is the one that the answer under way comes from, "" for any.
+	// responseStarted reports whether the caller has received a part of a response.
+	responseStarted bool
+	// lastEvent is the id of the last event that the caller has, or -1.
+	lastEvent int64
+	// version is the version that the current response comes from, "" for any.
 	version string
-	// kept is a failed answer to pass on if there is no better one.
-	kept *whole
+	// failedResponse is an error response to forward if no attempt gives a better one.
+	failedResponse *bufferedResponse
 }
 
-// serve checks a request and has it answered.
+// serve checks a request and proxies it.
 func (j *job) serve(ctx context.Context) Outcome {
 	j.awaitStart(ctx)
 	now := time.Now()
@@ -220,36 +219,35 @@
 		return out
 	}
 	j.engine.Budget.Request(j.service, j.engine.sharers(j.view), j.engine.budgetTime())
-	if !j.end.IsZero() {
+	if !j.deadline.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, j.end)
+		ctx, cancel = context.WithDeadline(ctx, j.deadline)
 		defer cancel()
 	}
 	return j.run(ctx)
 }
 
-// awaitStart waits a moment for the first configuration of a daemon that has just started,
-// or for the one of a VM that stood still to be confirmed: it reads the store at once, and a
-// refusal would cost the caller more.
+// awaitStart waits a moment for the first configuration of a daemon that has just started, or
+// for the configuration to be confirmed after a suspension of the VM. The store is read at once
+// in both cases, and a refusal would cost the caller more.
 func (j *job) awaitStart(ctx context.Context) {
-	end := j.request.Arrived.Add(startWait)
-	for j.look(); !j.view.Current() && ctx.Err() == nil && time.Now().Before(end); j.look() {
-		time.Sleep(startLook)
+	end := j.request.Arrived.Add(maxStartWait)
+	for j.refreshView(); !j.view.Current() && ctx.Err() == nil && time.Now().Before(end); j.refreshView() {
+		time.Sleep(startPollInterval)
 	}
 }
 
 const (
-	// startWait is how long a request waits for the first configuration: about
-	// what a small VM takes to read it. It is less than the objective of the
-	// shortest requests.
-	startWait = 120 * time.Millisecond
-	// startLook is the time between two looks whether it is there.
-	startLook = 5 * time.Millisecond
+	// maxStartWait is how long a request waits for the first configuration: about the time that
+	// a small VM takes to read it, and less than the latency objective of the shortest requests.
+	maxStartWait = 120 * time.Millisecond
+	// startPollInterval is the time between two checks for the configuration.
+	startPollInterval = 5 * time.Millisecond
 )
 
-// prepare finds the route, the key's holder and the service.
+// prepare determines the route, the organisation and the service.
 func (j *job) prepare(now time.Time) Outcome {
-	j.look()
+	j.refreshView()
 	if !j.view.Ready() {
 		return Refused{Reason: NotReady, RetryAfter: notReadyRetry}
 	}
@@ -261,14 +259,14 @@
 	if !ok {
 		return Refused{Reason: NoRoute}
 	}
-	j.route, j.report.Route, j.accepted = route, route.Name, j.view.Map.Number
+	j.route, j.report.Route, j.acceptedConfig = route, route.Name, j.view.Map.Number
 	if out := j.authenticate(now); out != nil {
 		return out
 	}
 	j.content = j.request.fingerprint(j.report.Organisation)
 	j.report.Content = j.content
-	// A request that ends each server that begins to run it would end one after the other, with
-	// all that others have there.
+	// A request that crashes each server that runs it would crash one after the other, along with
+	// the other requests there.
 	if left, ok := j.quarantined(now); ok {
 		return Refused{Reason: Quarantined, RetryAfter: left}
 	}
@@ -280,19 +278,19 @@
 	}
 	j.service = route.Pick(xxhash.Sum64String(j.request.ID))
 	j.report.Service, j.report.Session = j.service, j.request.session()
-	j.end = j.deadline()
-	if at := j.engine.ends.Load(); at != nil && (j.end.IsZero() || j.end.After(*at)) {
-		return Refused{Reason: ShuttingDown, RetryAfter: leavingRetry}
+	j.deadline = j.computeDeadline()
+	if at := j.engine.shutdownBy.Load(); at != nil && (j.deadline.IsZero() || j.deadline.After(*at)) {
+		return Refused{Reason: ShuttingDown, RetryAfter: shutdownRetry}
 	}
 	return nil
 }
 
-// look takes the newest knowledge.
-func (j *job) look() { j.view = j.engine.StoreSync.View() }
+// refreshView takes the latest view.
+func (j *job) refreshView() { j.view = j.engine.StoreSync.View() }
 
-// authenticate finds the holder of the key. A key passes only if the
-// configuration that allows it was in force a moment ago, or if no newer one is to be
-// had and operators let known keys pass for so long.
+// authenticate finds the organisation of the key. A key is accepted only if the configuration
+// that allows it was confirmed recently, or if no newer one is available and operators let known
+// keys outlive the store for that long.
 func (j *job) authenticate(now time.Time) Outcome {
 	if j.route.Anonymous || !j.view.Map.NeedsKeys() {
 		return nil
@@ -303,18 +301,17 @@
 	holder, known := j.view.Map.Organisation(j.request.Key)
 	age := j.view.ConfigAge(now)
 	switch {
-	case age > time.Duration(j.engine.keyAgeCut.Load()), !known && age > time.Duration(j.engine.keyAge.Load()):
+	case age > time.Duration(j.engine.maxKeyAgeOffline.Load()), !known && age > time.Duration(j.engine.maxKeyAge.Load()):
 		return Refused{Reason: Stale, RetryAfter: staleRetry}
 	case !known:
 		return Refused{Reason: WrongKey}
 	}
-	j.holder, j.report.Organisation = holder, holder.Name
+	j.organisation, j.report.Organisation = holder, holder.Name
 	return nil
 }
 
-// deadline is when the request is given up: when its caller does or its route
-// says.
-func (j *job) deadline() time.Time {
+// computeDeadline returns the earlier one of the caller's deadline and the route's, or zero.
+func (j *job) computeDeadline() time.Time {
 	wait := j.request.Timeout
 	if limit := j.route.Timeout; limit > 0 && (wait == 0 || limit < wait) {
 		wait = limit
@@ -325,17 +322,14 @@
 	return j.request.Arrived.Add(wait)
 }
 
-// The times after which a refused request may come back.
+// Retry-after times of refused requests.
 const (
-	// notReadyRetry: a daemon that starts reads the store at once.
+	// notReadyRetry: a daemon reads the store at once when it starts.
 	notReadyRetry = 500 * time.Millisecond
-	// staleRetry: other daemons that reach the store are asked several times
-	// a second.
+	// staleRetry: daemons that reach the store are polled several times a second.
 	staleRetry = 500 * time.Millisecond
-	// leavingRetry: a daemon that ends starts anew, and others are ready, within
-	// about a second.
-	leavingRetry = time.Second
-	// noServerRetry: a server that starts or returns is listed within about a
-	// second.
+	// shutdownRetry: a daemon restarts, and others are ready, within about a second.
+	shutdownRetry = time.Second
+	// noServerRetry: a server that starts or returns is listed within about a second.
 	noServerRetry = time.Second
 )
--- a/daemon/proxy/events.go
+++ b/daemon/proxy/events.go
@@ -8,25 +8,25 @@
 	"strconv"
 )
 
-// eventReader reads a stream event by event. An event ends with an empty line;
-// what is broken off before that is no event.
+// eventReader reads an event stream (SSE) event by event. An event ends with an empty line; an
+// incomplete event at the end of the stream is an error.
 type eventReader struct {
 	r *bufio.Reader
 }
 
-// maxEvent bounds an event, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes is the limit of the size of an event.
+const maxEventBytes = 1 << 20
 
 var (
-	errEventTooLong = errors.New("an event is too long")
-	errEventCut     = errors.New("the stream ended within an event")
+	errEventTooLong   = errors.New("event exceeds the size limit")
+	errEventTruncated = errors.New("stream ended within an event")
 )
 
 func newEventReader(r io.Reader) *eventReader {
 	return &eventReader{r: bufio.NewReaderSize(r, 4<<10)}
 }
 
-// event is one event as it came, with its id, or -1.
+// event is one event as received, with its id, or -1.
 type event struct {
 	raw []byte
 	id  int64
@@ -34,13 +34,13 @@
 
 var idField = []byte("id:")
 
-// next returns the next event; io.EOF is the stream's proper end.
+// next returns the next event, or io.EOF at the regular end of the stream.
 func (e *eventReader) next() (event, error) {
 	out := event{id: -1}
 	for {
 		line, err := e.r.ReadSlice('\n')
 		out.raw = append(out.raw, line...)
-		if len(out.raw) > maxEvent {
+		if len(out.raw) > maxEventBytes {
 			return out, errEventTooLong
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -48,7 +48,7 @@
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) && len(out.raw) > 0 {
-				return out, errEventCut
+				return out, errEventTruncated
 			}
 			return out, err
 		}
@@ -64,5 +64,5 @@
 	}
 }
 
-// waiting reports whether the next event has arrived at least in part.
-func (e *eventReader) waiting() bool { return e.r.Buffered() > 0 }
+// buffered reports whether at least a part of the next event has arrived.
+func (e *eventReader) buffered() bool { return e.r.Buffered() > 0 }
--- a/daemon/proxy/halls_test.go
+++ b/daemon/proxy/halls_test.go
@@ -11,7 +11,7 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-// inHalls gives servers their halls.
+// inHalls sets the hall of servers.
 func inHalls(hall string, servers ...*fleet.Server) []*fleet.Server {
 	for _, s := range servers {
 		s.Hall = hall
@@ -19,8 +19,8 @@
 	return servers
 }
 
-// look replaces what is known of halls.
-func (b *bench) look(change func(v *storesync.View)) {
+// changeView replaces the view by a changed copy.
+func (b *fixture) changeView(change func(v *storesync.View)) {
 	b.known.mu.Lock()
 	defer b.known.mu.Unlock()
 	v := *b.known.view
@@ -28,47 +28,47 @@
 	b.known.view = &v
 }
 
-// With the last hall of a service emptied callers are refused at once, and told so
-// truly; nothing leaves.
-func TestServiceInEmptiedHallsIsRefusedAtOnce(t *testing.T) {
+// When the last hall of a service is drained, callers are refused at once with the true reason,
+// and nothing is sent.
+func TestServiceInDrainedHallsIsRefusedImmediately(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		b.known.set(routemap.New(parts(1, "k")), inHalls("emptied", b.server("a", whole(200, "ok")), b.server("b", whole(200, "ok")))...)
-		b.look(func(v *storesync.View) { v.Servers = v.Servers.WithDrained(map[string]bool{"emptied": true}) })
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
+		b.changeView(func(v *storesync.View) { v.Servers = v.Servers.WithDrained(map[string]bool{"emptied": true}) })
+		got := b.send(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
 		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.NoServer || out.RetryAfter <= 0 {
-			t.Errorf("the outcome is %v", got.outcome)
+			t.Errorf("outcome %v", got.outcome)
 		}
-		if len(b.seen()) > 0 || got.took > 10*time.Millisecond {
-			t.Errorf("%d requests left, the caller waited %v", len(b.seen()), got.took)
+		if len(b.received()) > 0 || got.took > 10*time.Millisecond {
+			t.Errorf("%d requests sent, caller waited %v", len(b.received()), got.took)
 		}
 	})
 }
 
-// A repeat goes to no hall that was emptied after the first attempt had left.
-func TestRepeatLeavesOutAHallThatIsEmptiedMeanwhile(t *testing.T) {
+// A retry is not sent to a hall that was drained after the first attempt was sent.
+func TestRetryAvoidsADrainedHall(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		empty := func(net.Conn, arrival) bool {
-			b.look(func(v *storesync.View) { v.Servers = v.Servers.WithDrained(map[string]bool{"emptied": true}) })
+			b.changeView(func(v *storesync.View) { v.Servers = v.Servers.WithDrained(map[string]bool{"emptied": true}) })
 			return false
 		}
 		near := inHalls("emptied", b.server("a", empty), b.server("b", empty))
 		far := inHalls("away", b.server("c", whole(200, "ok")))
 		b.engine.Hall = "emptied"
 		b.known.set(routemap.New(parts(1, "k")), append(near, far...)...)
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
-		if seen := b.seen(); got.body.String() != "ok" || len(seen) != 2 || seen[1].server != "c" {
-			t.Errorf("%v after %v", got.outcome, seen)
+		got := b.send(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
+		if seen := b.received(); got.body.String() != "ok" || len(seen) != 2 || seen[1].server != "c" {
+			t.Errorf("outcome %v after %v", got.outcome, seen)
 		}
 	})
 }
 
-// A request of a route, or of an organisation, that is bound to regions runs there and
-// nowhere else, repeats as well; without a server there it is refused at once.
-func TestRequestRunsAtHomeOnly(t *testing.T) {
+// A request whose route or organisation is restricted to regions runs only there, including its
+// retries. Without a server there it is refused at once.
+func TestRequestRunsInAllowedRegionsOnly(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		b.engine.Hall = "south-a"
 		p := parts(1, "k")
 		for i := range p.Routes {
@@ -80,22 +80,22 @@
 		north := inHalls("north-a", b.server("b", reset), b.server("c", whole(200, "ok")))
 		regions := func(v *storesync.View) { v.Regions = map[string]string{"south-a": "south", "north-a": "north"} }
 		b.known.set(routemap.New(p), append(south, north...)...)
-		b.look(regions)
+		b.changeView(regions)
 		for range 20 {
-			got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
+			got := b.send(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 			if got.body.String() != "ok" {
-				t.Fatalf("the outcome is %v", got.outcome)
+				t.Fatalf("outcome %v", got.outcome)
 			}
 		}
 		b.known.set(routemap.New(p), south...)
-		b.look(regions)
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
+		b.changeView(regions)
+		got := b.send(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 		if out, ok := got.outcome.(proxy.Refused); !ok || out.Reason != proxy.NoServer {
-			t.Errorf("without a server at home the outcome is %v", got.outcome)
+			t.Errorf("outcome without a server in the allowed regions: %v", got.outcome)
 		}
-		for _, a := range b.seen() {
+		for _, a := range b.received() {
 			if a.server == "a" {
-				t.Fatal("a server of another region got the request")
+				t.Fatal("server of another region received the request")
 			}
 		}
 	})
--- a/daemon/proxy/harness_test.go
+++ b/daemon/proxy/harness_test.go
@@ -28,7 +28,7 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-// dialect is a small one: headers of the tests' own.
+// dialect is a minimal Dialect with headers of its own.
 type dialect struct{}
 
 func (dialect) Compose(a proxy.Attempt) http.Header {
@@ -56,37 +56,38 @@
 
 func (dialect) ResponseHeaders(h http.Header) http.Header { return h }
 
-// known is a fixed knowledge that tests replace.
-type known struct {
-	mu    sync.Mutex
-	view  *storesync.View
-	facts []storesync.Observation
-	// ledger has the crash counts of requests.
-	ledger *quarantine.Registry
+// fakeStore is a fixed StoreSync that tests replace.
+type fakeStore struct {
+	mu       sync.Mutex
+	view     *storesync.View
+	recorded []storesync.Observation
+	// registry has the crash counts of requests.
+	registry *quarantine.Registry
 }
 
-func (k *known) View() *storesync.View {
+func (k *fakeStore) View() *storesync.View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.view
 }
 
-func (k *known) Observe(f storesync.Observation) {
+func (k *fakeStore) Observe(f storesync.Observation) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.facts = append(k.facts, f)
+	k.recorded = append(k.recorded, f)
 }
 
-// told are the facts so far.
-func (k *known) told() []storesync.Observation {
+// observations returns the observations so far.
+func (k *fakeStore) observations() []storesync.Observation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return slices.Clone(k.facts)
+	return slices.Clone(k.recorded)
 }
 
-// last is what was told of the last answer: a stream's two facts are put together.
-func (k *known) last() storesync.Observation {
-	all := k.told()
+// lastObservation returns the observation of the last response. The two observations of a stream are
+// merged.
+func (k *fakeStore) lastObservation() storesync.Observation {
+	all := k.observations()
 	f := all[len(all)-1]
 	if f.Stage == storesync.Remainder {
 		f.FirstRatio = all[len(all)-2].FirstRatio
@@ -94,20 +95,20 @@
 	return f
 }
 
-func (k *known) RecordSession(string, uint64, string) {}
+func (k *fakeStore) RecordSession(string, uint64, string) {}
 
-func (k *known) RecordServerExit(server string, contents []quarantine.Fingerprint) {
-	k.ledger.RecordServerExit(server, contents, time.Now())
+func (k *fakeStore) RecordServerExit(server string, contents []quarantine.Fingerprint) {
+	k.registry.RecordServerExit(server, contents, time.Now())
 }
 
-func (k *known) Answered(f quarantine.Fingerprint) { k.ledger.Answered(f, time.Now()) }
+func (k *fakeStore) Answered(f quarantine.Fingerprint) { k.registry.Answered(f, time.Now()) }
 
-// set replaces the configuration, which is confirmed now.
-func (k *known) set(m *routemap.Map, servers ...*fleet.Server) {
+// set replaces the configuration by one that is confirmed now.
+func (k *fakeStore) set(m *routemap.Map, servers ...*fleet.Server) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	k.view = &storesync.View{Map: m, Servers: fleet.NewList(servers), ConfigAt: now, ServersAt: now, Daemons: 1, Quarantine: k.ledger}
+	k.view = &storesync.View{Map: m, Servers: fleet.NewList(servers), ConfigAt: now, ServersAt: now, Daemons: 1, Quarantine: k.registry}
 	k.view.Sharers = quota.Daemons{Self: "d", ByHall: map[string][]string{"h": {"d"}}}
 }
 
@@ -119,32 +120,32 @@
 	target string
 }
 
-// script answers one request; the connection is closed when it returns false.
+// script answers one request; the connection is closed if it returns false.
 type script func(c net.Conn, a arrival) bool
 
-// bench is an engine with servers that live in pipes.
-type bench struct {
+// fixture is an engine with servers behind in-memory pipes.
+type fixture struct {
 	t      *testing.T
 	engine *proxy.Engine
-	known  *known
+	known  *fakeStore
 	mu     sync.Mutex
 	// scripts are the servers by address.
 	scripts map[string]script
-	// conns are their ends of connections.
+	// conns are the servers' ends of the connections.
 	conns map[string][]net.Conn
-	// ended is how many servers have ended.
+	// ended counts the servers that have exited.
 	ended    atomic.Int64
 	arrivals []arrival
 	reports  []proxy.Report
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	b := &bench{t: t, known: &known{view: &storesync.View{}, ledger: quarantine.NewRegistry()}, scripts: map[string]script{}, conns: map[string][]net.Conn{}}
+	b := &fixture{t: t, known: &fakeStore{view: &storesync.View{}, registry: quarantine.NewRegistry()}, scripts: map[string]script{}, conns: map[string][]net.Conn{}}
 	pool := channel.NewPool()
 	pool.Dial = b.dial
 	t.Cleanup(func() {
-		// A look at a server that broke off may still be on its way.
+		// A probe of a server that broke off may still be under way.
 		synctest.Wait()
 		pool.Sweep(func(string) bool { return false })
 	})
@@ -156,7 +157,7 @@
 	return b
 }
 
-func (b *bench) dial(_ context.Context, addr string) (net.Conn, error) {
+func (b *fixture) dial(_ context.Context, addr string) (net.Conn, error) {
 	b.mu.Lock()
 	s := b.scripts[addr]
 	b.mu.Unlock()
@@ -171,14 +172,14 @@
 	return near, nil
 }
 
-// seen are the requests that have reached servers.
-func (b *bench) seen() []arrival {
+// received returns the requests that have reached servers.
+func (b *fixture) received() []arrival {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.arrivals)
 }
 
-func (b *bench) serve(addr string, c net.Conn, s script) {
+func (b *fixture) serve(addr string, c net.Conn, s script) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
@@ -201,16 +202,16 @@
 }
 
 // server adds a server of the service "s" with a script.
-func (b *bench) server(id string, s script) *fleet.Server {
+func (b *fixture) server(id string, s script) *fleet.Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.scripts[id] = s
 	return &fleet.Server{ID: id, Service: "s", Addr: id, Version: "v1", State: fleet.NewServerState(fleet.NewHallState())}
 }
 
-// mortal is a server that ends some time after a body has reached it: its connections break
-// off and nobody listens there any more.
-func (b *bench) mortal(body string, after time.Duration, s script) script {
+// crashing returns a script that makes the server exit some time after it received a body: its
+// connections break and nobody listens at its address.
+func (b *fixture) crashing(body string, after time.Duration, s script) script {
 	return func(c net.Conn, a arrival) bool {
 		if a.body != body {
 			return s(c, a)
@@ -222,8 +223,8 @@
 	}
 }
 
-// end ends a server: nobody listens there any more, and its connections break off.
-func (b *bench) end(addr string) {
+// end makes a server exit: nobody listens at its address, and its connections break.
+func (b *fixture) end(addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.scripts[addr] != nil {
@@ -235,8 +236,8 @@
 	}
 }
 
-// told is what a caller was sent.
-type told struct {
+// response is the response that a caller received.
+type response struct {
 	status  int
 	header  http.Header
 	body    bytes.Buffer
@@ -245,16 +246,16 @@
 	took    time.Duration
 }
 
-func (t *told) Begin(status int, h http.Header, length int64) {
+func (t *response) Begin(status int, h http.Header, length int64) {
 	t.status, t.header, t.length = status, h, length
 }
 
-func (t *told) Write(p []byte) (int, error) { return t.body.Write(p) }
+func (t *response) Write(p []byte) (int, error) { return t.body.Write(p) }
 
-func (t *told) Flush() error { return nil }
+func (t *response) Flush() error { return nil }
 
-// ask sends a request through the engine.
-func (b *bench) ask(ctx context.Context, r proxy.Request) *told {
+// send sends a request through the engine.
+func (b *fixture) send(ctx context.Context, r proxy.Request) *response {
 	r.Arrived = time.Now()
 	if r.Method == "" {
 		r.Method = http.MethodPost
@@ -267,13 +268,13 @@
 	if r.LastEvent == 0 {
 		r.LastEvent = -1
 	}
-	out := &told{}
+	out := &response{}
 	out.outcome = b.engine.Serve(ctx, &r, out)
 	out.took = time.Since(r.Arrived)
 	return out
 }
 
-// whole answers with a body of a length.
+// whole returns a script that answers with a body of known length.
 func whole(status int, body string, headers ...string) script {
 	return func(c net.Conn, a arrival) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 "+strconv.Itoa(status)+" X\r\nId: "+a.header.Get("Id")+"\r\n"+lines(headers)+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
@@ -289,8 +290,8 @@
 	return b.String()
 }
 
-// events answers with a stream of the events from..to, which ends as it should
-// if whole says so.
+// events returns a script that answers with a stream of the events from..to, which ends properly
+// only if whole is set.
 func events(from, to int, whole bool, headers ...string) script {
 	return func(c net.Conn, a arrival) bool {
 		head := "HTTP/1.1 200 OK\r\nId: " + a.header.Get("Id") + "\r\n" + lines(headers) + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -311,19 +312,20 @@
 	}
 }
 
-// silent takes requests and answers none.
+// silent is a script that accepts requests and answers none.
 func silent(c net.Conn, _ arrival) bool {
 	_, _ = io.Copy(io.Discard, c)
 	return false
 }
 
-// inBubble runs a test on the clock of a bubble.
+// inBubble runs a test with the fake clock of synctest.
 func inBubble(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, f)
 }
 
-// paced answers with a whole stream of n events with a pause between them.
+// paced returns a script that answers with a complete stream of n events with a pause between
+// them.
 func paced(n int, pause time.Duration) script {
 	return func(c net.Conn, a arrival) bool {
 		events(1, 1, false)(c, a)
--- a/daemon/proxy/limit_test.go
+++ b/daemon/proxy/limit_test.go
@@ -18,25 +18,25 @@
 	"ladderridge.example/daemon/proxy"
 )
 
-// limited is a server that names a limit, shared by the daemons of a test.
+// limited is a server that announces a rate limit, shared by the daemons of a test.
 type limited struct {
 	mu sync.Mutex
-	// named is what it names, "" for nothing.
-	named string
+	// limit is the limit that it announces, "" for none.
+	limit string
 	came  []time.Time
 }
 
 func (l *limited) name(limit string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.named = limit
+	l.limit = limit
 }
 
-// serve answers after a while.
+// serve answers after a delay.
 func (l *limited) serve(c net.Conn, a arrival) bool {
 	l.mu.Lock()
 	l.came = append(l.came, time.Now())
-	named := l.named
+	named := l.limit
 	l.mu.Unlock()
 	time.Sleep(50 * time.Millisecond)
 	if named != "" {
@@ -45,7 +45,7 @@
 	return whole(200, "ok")(c, a)
 }
 
-// between counts the requests that have come in a time.
+// between counts the requests that arrived in a period.
 func (l *limited) between(from, to time.Time) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,8 +57,8 @@
 	return n
 }
 
-// worst is the most that came within four seconds, from a time on.
-func (l *limited) worst(from time.Time) (n int) {
+// maxInWindow returns the most requests that arrived within four seconds, from a time on.
+func (l *limited) maxInWindow(from time.Time) (n int) {
 	l.mu.Lock()
 	starts := append([]time.Time(nil), l.came...)
 	l.mu.Unlock()
@@ -70,16 +70,16 @@
 	return n
 }
 
-// daemons are seven engines in three halls, with servers of their own view.
-func daemons(t *testing.T, servers map[string]script) []*bench {
+// daemons returns seven engines in three halls, each with its own view of the servers.
+func daemons(t *testing.T, servers map[string]script) []*fixture {
 	t.Helper()
 	byHall := map[string][]string{}
 	for i := range 7 {
 		byHall[hallOf(i)] = append(byHall[hallOf(i)], strconv.Itoa(i))
 	}
-	var out []*bench
+	var out []*fixture
 	for i := range 7 {
-		b := newBench(t)
+		b := newFixture(t)
 		b.engine.Hall, b.engine.OnComplete = hallOf(i), nil
 		b.engine.SetKeyAge(time.Hour, 0)
 		var all []*fleet.Server
@@ -97,9 +97,9 @@
 
 func hallOf(i int) string { return "h" + strconv.Itoa(i%3) }
 
-// load sends requests of all daemons for a while, ten a second each, and returns how many were
-// not answered.
-func load(t *testing.T, all []*bench, lasts time.Duration) (bad int) {
+// load sends requests from all daemons for a while, ten a second each, and returns how many
+// were not answered.
+func load(t *testing.T, all []*fixture, lasts time.Duration) (bad int) {
 	t.Helper()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -109,7 +109,7 @@
 			var mine sync.WaitGroup
 			for n, end := 0, time.Now().Add(lasts); time.Now().Before(end); n++ {
 				mine.Go(func() {
-					got := b.ask(t.Context(), proxy.Request{ID: fmt.Sprintf("%d-%d-%v", i, n, end), Path: "/once/x", Key: "k", Timeout: time.Second})
+					got := b.send(t.Context(), proxy.Request{ID: fmt.Sprintf("%d-%d-%v", i, n, end), Path: "/once/x", Key: "k", Timeout: time.Second})
 					if got.outcome != (proxy.Answered{Status: http.StatusOK}) {
 						mu.Lock()
 						defer mu.Unlock()
@@ -125,28 +125,29 @@
 	return bad
 }
 
-// Each daemon that keeps a limit for itself alone sends what all may send together. They share it,
-// whoever is told first and also when it changes, and use it.
-func TestDaemonsKeepTheLimitOfAServerTogether(t *testing.T) {
+// Daemons must share a server's limit: if each one kept it on its own, each would send what all
+// together may send. They share it whichever daemon receives it first, also when it changes, and
+// make use of it.
+func TestDaemonsShareAServersLimit(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		one := &limited{}
 		all := daemons(t, map[string]script{"h0-a": one.serve, "h1-a": (&limited{}).serve, "h2-a": (&limited{}).serve})
 		if bad := load(t, all, 3*time.Second); bad > 0 || one.between(time.Time{}, time.Now()) < 60 {
-			t.Fatalf("without a limit: %d not answered, %d at the server", bad, one.between(time.Time{}, time.Now()))
+			t.Fatalf("without a limit: %d not answered, %d received by the server", bad, one.between(time.Time{}, time.Now()))
 		}
 		one.name("1.6")
 		start := time.Now()
 		bad := load(t, all, 60*time.Second)
-		if most := one.worst(start.Add(3 * time.Second)); float64(most) > quota.Factor*1.6*4+quota.Slack || bad > 0 {
+		if most := one.maxInWindow(start.Add(3 * time.Second)); float64(most) > quota.Factor*1.6*4+quota.Slack || bad > 0 {
 			t.Errorf("%d requests in four seconds, %d not answered", most, bad)
 		}
 		if used := float64(one.between(start.Add(10*time.Second), start.Add(60*time.Second))) / 50 / 1.6; used < 0.8 {
-			t.Errorf("%.2f of the limit is used", used)
+			t.Errorf("share of the limit used: %.2f", used)
 		}
 		one.name("0.16")
 		start = time.Now()
 		load(t, all, 20*time.Second)
-		if most := one.worst(start.Add(3 * time.Second)); float64(most) > quota.Factor*0.16*4+quota.Slack {
+		if most := one.maxInWindow(start.Add(3 * time.Second)); float64(most) > quota.Factor*0.16*4+quota.Slack {
 			t.Errorf("after the limit fell to a tenth: %d requests in four seconds", most)
 		}
 		one.name("")
@@ -157,8 +158,8 @@
 	})
 }
 
-// A limit may come with an answer that the caller never gets.
-func TestLimitOfAnAnswerThatIsNotPassedOnCounts(t *testing.T) {
+// A limit also applies if it arrives with a response that is not forwarded to the caller.
+func TestLimitInADroppedResponseCounts(t *testing.T) {
 	const limit = "Limit: 0.5"
 	for name, c := range map[string]struct {
 		path  string
@@ -171,29 +172,29 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
-				b := newBench(t)
+				b := newFixture(t)
 				one, other := b.server("a", c.first), b.server("b", events(1, 3, true, "Confidence: 95"))
 				other.State.Begin(50)
 				b.known.set(routemap.New(parts(1, "k")), one, other)
-				b.ask(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
+				b.send(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 				if q, ok := one.State.Quota(); !ok || q.TotalRate != 0.45 {
-					t.Fatalf("its quota is %+v, %v", q, ok)
+					t.Fatalf("server quota %+v, %v", q, ok)
 				}
-				before := b.at("a")
-				b.ask20("next", c.path)
-				if n := b.at("a"); n > before {
-					t.Errorf("%d more reached it at once", n-before)
+				before := b.requestsAt("a")
+				b.sendTwenty("next", c.path)
+				if n := b.requestsAt("a"); n > before {
+					t.Errorf("%d more requests reached the server at once", n-before)
 				}
 			})
 		})
 	}
 }
 
-// A request that has chosen its server before the limit was heard, and whose connection comes up
-// later, counts against the limit.
-func TestLimitHeardWhileAConnectionComesUpCounts(t *testing.T) {
+// A request whose server was chosen before the limit was received, and whose connection is
+// established later, counts against the limit.
+func TestLimitReceivedWhileConnectingCounts(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		one, other := b.server("a", whole(200, "ok")), b.server("b", whole(200, "ok"))
 		other.State.Begin(50)
 		b.known.set(routemap.New(parts(1, "k")), one, other)
@@ -206,21 +207,21 @@
 			}
 			return dial(ctx, addr)
 		}
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
-		if got.outcome != (proxy.Answered{Status: http.StatusOK}) || b.at("a") != 0 || b.at("b") != 1 {
-			t.Errorf("%v, %d at the one with a limit, %d at the other", got.outcome, b.at("a"), b.at("b"))
+		got := b.send(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
+		if got.outcome != (proxy.Answered{Status: http.StatusOK}) || b.requestsAt("a") != 0 || b.requestsAt("b") != 1 {
+			t.Errorf("outcome %v, %d requests at the server with a limit, %d at the other", got.outcome, b.requestsAt("a"), b.requestsAt("b"))
 		}
 	})
 }
 
-// What can't be served is refused at once, with the time after which a server has room.
-func TestServiceAtItsLimitIsRefusedUntilThereIsRoom(t *testing.T) {
+// Requests above the limit are refused at once, with the time until a server accepts more.
+func TestServiceAtItsLimitIsRefusedWithRetryAfter(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		b.engine.SetKeyAge(time.Hour, 0)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(200, "ok", "Limit: 0.5")), b.server("b", whole(200, "ok", "Limit: 0.2")))
-		ask := func() *told {
-			return b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
+		ask := func() *response {
+			return b.send(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
 		}
 		for range 2 {
 			if got := ask(); got.status != http.StatusOK {
@@ -230,36 +231,37 @@
 		got := ask()
 		refused, ok := got.outcome.(proxy.Refused)
 		if !ok || got.took > 0 || refused.Reason != proxy.RateLimited || refused.RetryAfter <= 0 || refused.RetryAfter > 5*time.Second {
-			t.Fatalf("%+v after %v", got.outcome, got.took)
+			t.Fatalf("outcome %+v after %v", got.outcome, got.took)
 		}
 		time.Sleep(refused.RetryAfter + time.Millisecond)
 		if got := ask(); got.status != http.StatusOK {
-			t.Errorf("after the time that it was told: %v", got.outcome)
+			t.Errorf("outcome after the retry-after time: %v", got.outcome)
 		}
-		if n := len(b.seen()); n != 3 {
+		if n := len(b.received()); n != 3 {
 			t.Errorf("%d requests reached servers", n)
 		}
 	})
 }
 
-// A smaller model's answer is dropped only if a larger one can run: else it is all there is.
-func TestSmallerModelsAnswerIsKeptWhereNoServerHasRoom(t *testing.T) {
+// A smaller model's response is dropped only if a larger model can run.
+func TestSmallerModelsResponseIsKeptWithoutAFreeServer(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", events(1, 3, true, "Confidence: 5", "Limit: 1")))
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
-		if got.outcome != (proxy.Answered{Status: http.StatusOK}) || b.at("a") != 1 {
-			t.Errorf("%v with %d requests", got.outcome, b.at("a"))
+		got := b.send(t.Context(), proxy.Request{ID: "r", Path: "/ladder/x", Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
+		if got.outcome != (proxy.Answered{Status: http.StatusOK}) || b.requestsAt("a") != 1 {
+			t.Errorf("outcome %v with %d requests", got.outcome, b.requestsAt("a"))
 		}
 	})
 }
 
-// Repeats that were paid over a second, and whose connections came up together, reached a service
-// at once, more than the budget has in that time. A late one is paid again or not sent.
-func TestRepeatThatArrivesLateIsPaidAgain(t *testing.T) {
+// Retries that were charged to the budget over a second, and whose connections were established
+// together, reached a service at once and exceeded the budget's rate. A late retry must be
+// charged again or not be sent.
+func TestLateRetryIsChargedAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		slow time.Duration
-		// spent tells that others use up the budget meanwhile.
+		// spent reports that other requests use up the budget meanwhile.
 		spent bool
 		want  int
 	}{
@@ -270,7 +272,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
-				b := newBench(t)
+				b := newFixture(t)
 				fails, other := b.server("a", whole(500, "no")), b.server("b", whole(200, "ok"))
 				other.State.Begin(50)
 				b.known.set(routemap.New(parts(1, "k")), fails, other)
@@ -283,9 +285,9 @@
 					}
 					return dial(ctx, addr)
 				}
-				b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: 1900 * time.Millisecond})
-				if got := b.at("b"); got != c.want {
-					t.Errorf("%d repeats arrived, want %d", got, c.want)
+				b.send(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: 1900 * time.Millisecond})
+				if got := b.requestsAt("b"); got != c.want {
+					t.Errorf("%d retries arrived, want %d", got, c.want)
 				}
 			})
 		})
--- a/daemon/proxy/notice_test.go
+++ b/daemon/proxy/notice_test.go
@@ -19,10 +19,10 @@
 	rests  = "Rest: 3"
 )
 
-// at counts the requests that have reached a server.
-func (b *bench) at(id string) int {
+// requestsAt counts the requests that have reached a server.
+func (b *fixture) requestsAt(id string) int {
 	n := 0
-	for _, a := range b.seen() {
+	for _, a := range b.received() {
 		if a.server == id {
 			n++
 		}
@@ -30,10 +30,10 @@
 	return n
 }
 
-// ask20 sends 20 repeatable requests and returns how many of them were not answered well.
-func (b *bench) ask20(name, path string) (bad int) {
+// sendTwenty sends 20 repeatable requests and returns how many failed.
+func (b *fixture) sendTwenty(name, path string) (bad int) {
 	for n := range 20 {
-		got := b.ask(b.t.Context(), proxy.Request{ID: fmt.Sprintf("%s-%d", name, n), Path: path, Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
+		got := b.send(b.t.Context(), proxy.Request{ID: fmt.Sprintf("%s-%d", name, n), Path: path, Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
 		if got.outcome != (proxy.Answered{Status: http.StatusOK}) {
 			bad++
 		}
@@ -41,9 +41,9 @@
 	return bad
 }
 
-// A server may say that it leaves with an answer that the caller never gets: one that failed
-// and was repeated elsewhere, or that was dropped for a larger model's. The word counts.
-func TestWordWithAnAnswerThatIsNotPassedOnCounts(t *testing.T) {
+// A server may announce that it is leaving with a response that is not forwarded: one that
+// failed and was retried elsewhere, or that was dropped for a larger model's. The notice counts.
+func TestNoticeInADroppedResponseCounts(t *testing.T) {
 	for name, c := range map[string]struct {
 		path  string
 		first script
@@ -56,62 +56,62 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
-				b := newBench(t)
+				b := newFixture(t)
 				leaver := b.server("a", c.first)
-				// The other one is busy, so that the first request goes to the one that leaves.
+				// The other server is busy, so that the first request goes to the leaving one.
 				other := b.server("b", c.other)
 				other.State.Begin(50)
 				b.known.set(routemap.New(parts(1, "k")), leaver, other)
-				b.ask(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
-				if b.at("a") != 1 || leaver.Usable() {
-					t.Fatalf("it got %d requests, usable is %v", b.at("a"), leaver.Usable())
+				b.send(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
+				if b.requestsAt("a") != 1 || leaver.Usable() {
+					t.Fatalf("server received %d requests, usable: %v", b.requestsAt("a"), leaver.Usable())
 				}
-				b.ask20("next", c.path)
-				if n := b.at("a"); n > 1 {
-					t.Errorf("%d more reached it", n-1)
+				b.sendTwenty("next", c.path)
+				if n := b.requestsAt("a"); n > 1 {
+					t.Errorf("%d more requests reached the server", n-1)
 				}
 			})
 		})
 	}
 }
 
-func TestRestEndsAndTheServerIsUsedAgain(t *testing.T) {
+func TestServerIsUsedAgainAfterBackoff(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		var noticed []string
 		b.engine.OnNotice = func(s *fleet.Server, n notice.Notice) { noticed = append(noticed, s.ID+" "+n.String()) }
 		tired := b.server("a", whole(503, "", "Declined: 1", rests))
 		other := b.server("b", whole(200, "ok"))
 		other.State.Begin(50)
 		b.known.set(routemap.New(parts(1, "k")), tired, other)
-		if bad := b.ask20("first", "/once/x"); bad > 0 || b.at("a") != 1 {
-			t.Errorf("%d went wrong, %d reached the server that wants rest", bad, b.at("a"))
+		if bad := b.sendTwenty("first", "/once/x"); bad > 0 || b.requestsAt("a") != 1 {
+			t.Errorf("%d requests failed, %d reached the server that asks for back-off", bad, b.requestsAt("a"))
 		}
 		time.Sleep(3*time.Second - time.Millisecond)
-		if bad := b.ask20("second", "/once/x"); bad > 0 || b.at("a") != 1 {
-			t.Errorf("%d went wrong, %d reached it before its rest was over", bad, b.at("a"))
+		if bad := b.sendTwenty("second", "/once/x"); bad > 0 || b.requestsAt("a") != 1 {
+			t.Errorf("%d requests failed, %d reached the server during its back-off", bad, b.requestsAt("a"))
 		}
 		time.Sleep(time.Millisecond)
-		if bad := b.ask20("third", "/once/x"); bad > 0 || b.at("a") != 2 {
-			t.Errorf("%d went wrong, %d reached it in two rests", bad, b.at("a"))
+		if bad := b.sendTwenty("third", "/once/x"); bad > 0 || b.requestsAt("a") != 2 {
+			t.Errorf("%d requests failed, %d reached the server in two back-off periods", bad, b.requestsAt("a"))
 		}
 		if len(noticed) != 2 || noticed[0] != "a wants rest 3s" {
-			t.Errorf("noticed is %v", noticed)
+			t.Errorf("notices: %v", noticed)
 		}
 	})
 }
 
-// What can't be served is refused at once, however often it is asked, with the time after
-// which the first server takes requests again.
-func TestServiceAtRestIsRefusedAtOnce(t *testing.T) {
+// Requests for a service whose servers are all in back-off are refused at once, however often
+// they are sent, with the time until the first server accepts requests again.
+func TestServiceInBackoffIsRefusedImmediately(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		b.known.set(routemap.New(parts(1, "k")), b.server("a", whole(503, "", "Declined: 1", rests)), b.server("b", whole(503, "", "Declined: 1", "Rest: 8")))
 		ask := func() proxy.Refused {
-			got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
+			got := b.send(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 			refused, ok := got.outcome.(proxy.Refused)
 			if !ok || got.took > time.Millisecond {
-				t.Fatalf("%v after %v", got.outcome, got.took)
+				t.Fatalf("outcome %v after %v", got.outcome, got.took)
 			}
 			return refused
 		}
@@ -119,17 +119,17 @@
 			t.Errorf("%+v", got)
 		}
 		time.Sleep(time.Second)
-		if got := ask(); got.Reason != proxy.Backoff || got.RetryAfter != 2*time.Second || len(b.seen()) != 2 {
-			t.Errorf("%+v with %d requests sent", got, len(b.seen()))
+		if got := ask(); got.Reason != proxy.Backoff || got.RetryAfter != 2*time.Second || len(b.received()) != 2 {
+			t.Errorf("outcome %+v, %d requests sent", got, len(b.received()))
 		}
 	})
 }
 
-// A connection may take long to come up. What the server says meanwhile holds for a request
-// that has chosen it already: it goes elsewhere, and has not reached it.
-func TestWordHeardWhileAConnectionComesUpCounts(t *testing.T) {
+// Connecting may take long. A notice that arrives meanwhile applies to a request that has
+// already chosen the server: it goes to another one and does not count as sent.
+func TestNoticeReceivedWhileConnectingCounts(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		leaver, other := b.server("a", whole(200, "ok")), b.server("b", whole(200, "ok"))
 		other.State.Begin(50)
 		b.known.set(routemap.New(parts(1, "k")), leaver, other)
@@ -141,9 +141,9 @@
 			}
 			return dial(ctx, addr)
 		}
-		got := b.ask(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
-		if got.outcome != (proxy.Answered{Status: http.StatusOK}) || b.at("a") != 0 || b.at("b") != 1 {
-			t.Errorf("%v, %d at the one that leaves, %d at the other", got.outcome, b.at("a"), b.at("b"))
+		got := b.send(t.Context(), proxy.Request{ID: "r", Path: "/once/x", Key: "k", Timeout: time.Second})
+		if got.outcome != (proxy.Answered{Status: http.StatusOK}) || b.requestsAt("a") != 0 || b.requestsAt("b") != 1 {
+			t.Errorf("outcome %v, %d requests at the leaving server, %d at the other", got.outcome, b.requestsAt("a"), b.requestsAt("b"))
 		}
 	})
 }
--- a/daemon/proxy/observe.go
+++ b/daemon/proxy/observe.go
@@ -8,78 +8,77 @@
 	"ladderridge.example/daemon/storesync"
 )
 
-// observe tells what an answer says about the version that gave it. A broken
-// connection says something about a machine or the way to it, not about what
-// runs there, and is not told.
-func (j *job) observe(a *attempt, failed bool) {
-	f := j.fact(a)
-	f.Failed, f.FirstRatio = failed, a.first
+// observeResponse reports what a response shows about its version. Broken connections are not
+// reported: they show something about the machine or the network, not about the version.
+func (j *job) observeResponse(a *attempt, failed bool) {
+	f := j.newObservation(a)
+	f.Failed, f.FirstRatio = failed, a.firstRatio
 	j.engine.StoreSync.Observe(f)
 }
 
-// observeBegun tells of the first part of a stream when it comes: its end may be many seconds
-// away, while other callers meet the same version.
-func (j *job) observeBegun(a *attempt) {
-	f := j.fact(a)
-	f.FirstRatio, f.Stage = a.first, storesync.Started
+// observeFirstPart reports the first part of a stream when it arrives: the stream may end many
+// seconds later, while other callers already get the same version.
+func (j *job) observeFirstPart(a *attempt) {
+	f := j.newObservation(a)
+	f.FirstRatio, f.Stage = a.firstRatio, storesync.Started
 	j.engine.StoreSync.Observe(f)
 }
 
-// observeOver tells of the rest of a stream.
-func (j *job) observeOver(a *attempt, between float64) {
-	f := j.fact(a)
+// observeRemainder reports the rest of a stream.
+func (j *job) observeRemainder(a *attempt, between float64) {
+	f := j.newObservation(a)
 	f.BetweenRatio, f.Stage = between, storesync.Remainder
 	j.engine.StoreSync.Observe(f)
 }
 
-// observeEnded tells of an answer that was not awaited longer: the slowest ones
-// would not count otherwise.
-func (j *job) observeEnded(a *attempt) {
-	least := j.engine.settled.of(j.like(a)).Relative(a.features(), time.Since(a.sent))
-	f := j.fact(a)
+// observeAbandoned reports a response that was no longer awaited: without it the slowest
+// responses would not count.
+func (j *job) observeAbandoned(a *attempt) {
+	least := j.engine.references.get(j.referenceKey(a)).Relative(a.features(), time.Since(a.sent))
+	f := j.newObservation(a)
 	f.FirstRatio, f.Stage = least, storesync.Abandoned
 	j.engine.StoreSync.Observe(f)
 }
 
-// fact says whose answer an attempt's is.
-func (j *job) fact(a *attempt) storesync.Observation {
+// newObservation returns an observation with the origin of an attempt's response.
+func (j *job) newObservation(a *attempt) storesync.Observation {
 	return storesync.Observation{Service: j.service, Version: a.server.Version, Route: j.route.Name, Server: a.server.Incarnation().String()}
 }
 
-// like names what times of an attempt are compared with: those of the same model,
-// whatever the route, or else of the same route.
-func (j *job) like(a *attempt) string {
+// referenceKey returns the key of the reference times for an attempt: the model, whatever the
+// route, or else the route.
+func (j *job) referenceKey(a *attempt) string {
 	if a.model != "" {
 		return j.service + "/" + a.model
 	}
 	return j.route.Name
 }
 
-// features are what an attempt's time depends on.
+// features returns what an attempt's duration depends on.
 func (a *attempt) features() latency.Features {
-	return latency.Features{Unique: pieces(a.prompt.UniqueTokens()), Uncached: a.shared, Load: float64(a.server.State.Requests())}
+	return latency.Features{Unique: blocks(a.prompt.UniqueTokens()), Uncached: a.shared, Load: float64(a.server.State.Requests())}
 }
 
-// pieces is how many pieces a server reads some tokens in.
-func pieces(tokens int) float64 { return float64(max(0, tokens)) / fleet.BlockTokens }
+// blocks converts a number of tokens to prompt blocks.
+func blocks(tokens int) float64 { return float64(max(0, tokens)) / fleet.BlockTokens }
 
-// pieceWork is how much of a server's work a piece of the prompt is for the present
-// model: 1 for the smallest one of a ladder, and as many times more for another as it
-// takes longer.
-func (j *job) pieceWork() float64 {
+// computeBlockCost returns the load that a block of the prompt adds to a server for the current
+// model: 1 for the smallest model of a cascade, and for a larger one the ratio of its duration
+// to the smallest one's.
+func (j *job) computeBlockCost() float64 {
 	if len(j.route.Cascade) == 0 || j.step.Index == 0 {
 		return 1
 	}
-	return factor(j.engine.settled.of(j.service+"/"+j.model()), j.engine.settled.of(j.service+"/"+j.route.Cascade[0]))
+	return durationRatio(j.engine.references.get(j.service+"/"+j.model()), j.engine.references.get(j.service+"/"+j.route.Cascade[0]))
 }
 
-// compare returns how long something took in terms of what the settled version
-// takes, 0 if that is not known, and learns from what that version took.
-func (j *job) compare(a *attempt, kind string, took time.Duration) float64 {
+// compareToReference returns a duration divided by the reference duration, 0 if that is
+// unknown. It updates the reference if the version is not in roll-out.
+func (j *job) compareToReference(a *attempt, kind string, took time.Duration) float64 {
 	f := a.features()
-	relative := j.engine.settled.of(kind).Relative(f, took)
+	relative := j.engine.references.get(kind).Relative(f, took)
 	if !j.view.InRollout(j.service, a.server.Version) {
-		j.engine.settled.learn(kind, func(r latency.Reference) latency.Reference { return r.With(f, took) })
+		j.engine.references.update(kind, func(r latency.Reference) latency.Reference { return r.With(f, took) })
 	}
 	return relative
 }
--- a/daemon/proxy/outcome.go
+++ b/daemon/proxy/outcome.go
@@ -7,58 +7,58 @@
 // Reason says why a request was not answered by a server.
 type Reason string
 
-// The reasons.
+// Values of Reason.
 const (
-	// NoRoute is a host and path that no route has.
+	// NoRoute: no route matches the host and path.
 	NoRoute Reason = "no such route"
-	// NoKey is a request without the key that its route wants.
+	// NoKey: the route requires a key and the request has none.
 	NoKey Reason = "key missing"
-	// WrongKey is a key that no organisation has.
+	// WrongKey: no organisation has the key.
 	WrongKey Reason = "key unknown"
-	// WrongModel is a model that the route does not let callers choose.
+	// WrongModel: the route does not let callers choose the model.
 	WrongModel Reason = "model not offered"
-	// NotReady is a daemon that knows no configuration yet.
+	// NotReady: the daemon has no configuration yet.
 	NotReady Reason = "no configuration yet"
-	// Stale is a daemon whose configuration is too old to let keys pass.
+	// Stale: the daemon's configuration is too old to accept keys.
 	Stale Reason = "configuration too old"
-	// ShuttingDown is a daemon that ends before the request could be over.
+	// ShuttingDown: the daemon stops before the request's deadline.
 	ShuttingDown Reason = "daemon leaving"
-	// NoServer is a service without a server that may be used.
+	// NoServer: the service has no usable server.
 	NoServer Reason = "no server"
-	// Overloaded is a service whose servers declined.
+	// Overloaded: the service's servers declined the request.
 	Overloaded Reason = "servers full"
-	// Backoff is a service whose servers all want rest.
+	// Backoff: all servers of the service are in back-off.
 	Backoff Reason = "servers want rest"
-	// RateLimited is a service whose servers all have as many requests as they take.
+	// RateLimited: all servers of the service have reached their limit.
 	RateLimited Reason = "servers at their limit"
-	// Quarantined is a request under which servers have ended.
+	// Quarantined: servers have exited while running the request.
 	Quarantined Reason = "quarantined"
-	// DeadlineExceeded is a request whose time is over.
+	// DeadlineExceeded: the request's deadline has passed.
 	DeadlineExceeded Reason = "deadline passed"
-	// Failed is a server that did not answer, or broke off.
+	// Failed: a server did not answer or broke off.
 	Failed Reason = "server failed"
 )
 
-// Outcome is how a request ended: Answered, Refused, Failure, Broken or Gone.
+// Outcome is the outcome of a request: Answered, Refused, Failure, Interrupted or ClientGone.
 type Outcome interface{ outcome() }
 
-// Answered is a whole answer of a server that the caller was sent.
+// Answered means that the caller was sent a server's complete response.
 type Answered struct{ Status int }
 
-// Refused is a request that has not run and never will.
+// Refused means that the request has not run and will not.
 type Refused struct {
 	Reason Reason
-	// RetryAfter is when another attempt may succeed; 0 is never.
+	// RetryAfter is the delay after which a retry may succeed; 0 means never.
 	RetryAfter time.Duration
 }
 
-// Failure is a request that may have run and has no answer.
+// Failure means that the request may have run and there is no response.
 type Failure struct{ Reason Reason }
 
-// Interrupted is an answer of which the caller has a part and will not get the rest.
+// Interrupted means that the caller has received a part of a response and will not get the rest.
 type Interrupted struct{ Reason Reason }
 
-// ClientGone is a caller that left.
+// ClientGone means that the caller has disconnected.
 type ClientGone struct{}
 
 func (Answered) outcome()    {}
--- a/daemon/proxy/run.go
+++ b/daemon/proxy/run.go
@@ -10,7 +10,7 @@
 	"ladderridge.example/core/retry"
 )
 
-// run makes attempts until one has answered or no more may be made.
+// run makes attempts until one succeeds or no more are allowed.
 func (j *job) run(ctx context.Context) Outcome {
 	reason := NoServer
 	for {
@@ -18,21 +18,21 @@
 		if !ok {
 			return j.giveUp(ctx, reason)
 		}
-		if out := j.allowed(time.Now()); out != nil {
-			return j.truthful(out)
+		if out := j.recheck(time.Now()); out != nil {
+			return j.withExecutionState(out)
 		}
-		if !j.end.IsZero() && j.remaining() <= 0 {
+		if !j.deadline.IsZero() && j.remaining() <= 0 {
 			return j.giveUp(ctx, DeadlineExceeded)
 		}
 		if _, ok := j.quarantined(time.Now()); ok {
 			return j.giveUp(ctx, Quarantined)
 		}
-		a := j.open(ctx, s, j.patience())
+		a := j.open(ctx, s, j.headTimeout())
 		var out Outcome
-		if out, reason = j.take(ctx, a); out != nil {
+		if out, reason = j.handleAttempt(ctx, a); out != nil {
 			return out
 		}
-		if !j.mayTryAgain(ctx) {
+		if !j.mayRetry(ctx) {
 			return j.giveUp(ctx, reason)
 		}
 	}
@@ -41,54 +41,54 @@
 // next returns the server for the next attempt.
 func (j *job) next(now time.Time) (s *fleet.Server, ok bool) {
 	if s, j.reserved = j.reserved, nil; s != nil {
-		j.look()
+		j.refreshView()
 		return s, true
 	}
 	return j.choose(now)
 }
 
-// take uses an attempt's answer. Without an outcome the request goes on, for
-// the reason that it returns.
-func (j *job) take(ctx context.Context, a *attempt) (Outcome, Reason) {
+// handleAttempt processes the result of an attempt. Without an outcome the request is retried,
+// for the reason that it returns.
+func (j *job) handleAttempt(ctx context.Context, a *attempt) (Outcome, Reason) {
 	switch {
-	case a.verdict == declined:
+	case a.result == declined:
 		if a.err != nil {
-			j.note(a, a.err.Error())
+			j.reportAttempt(a, a.err.Error())
 			return nil, NoServer
 		}
-		j.note(a, "declined")
+		j.reportAttempt(a, "declined")
 		return nil, Overloaded
-	case a.verdict == lost:
-		j.note(a, a.err.Error())
+	case a.result == unknown:
+		j.reportAttempt(a, a.err.Error())
 		return nil, Failed
 	case j.route.Streaming && a.reply.Status < http.StatusMultipleChoices:
 		return j.stream(ctx, a)
 	default:
-		return j.passWhole(ctx, a)
+		return j.forwardBuffered(ctx, a)
 	}
 }
 
-// giveUp ends a request without another attempt: with the last answer of a
-// server if there is one, and otherwise with what is true of it.
+// giveUp ends a request without another attempt: with a server's last error response, if there
+// is one, and otherwise with a refusal or failure.
 func (j *job) giveUp(ctx context.Context, reason Reason) Outcome {
-	if j.begun {
+	if j.responseStarted {
 		return Interrupted{Reason: reason}
 	}
 	if ctx.Err() != nil && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		reason = DeadlineExceeded
 	}
-	if j.kept != nil {
-		return j.sendWhole(j.kept)
+	if j.failedResponse != nil {
+		return j.sendBuffered(j.failedResponse)
 	}
-	if out, ok := j.atRest(time.Now()); ok && (reason == NoServer || reason == Overloaded) {
-		return j.truthful(out)
+	if out, ok := j.refuseUnavailable(time.Now()); ok && (reason == NoServer || reason == Overloaded) {
+		return j.withExecutionState(out)
 	}
-	return j.truthful(Refused{Reason: reason, RetryAfter: j.comeBack(reason)})
+	return j.withExecutionState(Refused{Reason: reason, RetryAfter: j.retryAfter(reason)})
 }
 
-// atRest refuses a request whose servers all want rest or have their limit, until the first one
-// takes requests again: sooner it would find none.
-func (j *job) atRest(now time.Time) (Refused, bool) {
+// refuseUnavailable refuses a request whose servers are all in back-off or at their limit, with
+// the time until the first one accepts requests again.
+func (j *job) refuseUnavailable(now time.Time) (Refused, bool) {
 	at, limited, ok := j.view.Servers.AvailableAt(j.service, now)
 	out := Refused{Reason: Backoff, RetryAfter: at.Sub(now)}
 	if limited {
@@ -97,20 +97,20 @@
 	return out, ok
 }
 
-// truthful turns a refusal into a failure if the request may have run.
-func (j *job) truthful(out Outcome) Outcome {
+// withExecutionState turns a refusal into a failure if the request may have run.
+func (j *job) withExecutionState(out Outcome) Outcome {
 	refused, ok := out.(Refused)
-	if ok && j.made.MayHaveRun() {
+	if ok && j.history.MayHaveRun() {
 		return Failure{Reason: refused.Reason}
 	}
 	return out
 }
 
-// comeBack is when a request that has not run may succeed.
-func (j *job) comeBack(reason Reason) time.Duration {
+// retryAfter returns the delay after which a request that has not run may succeed.
+func (j *job) retryAfter(reason Reason) time.Duration {
 	switch reason {
 	case Overloaded:
-		return retry.SuggestedDelay(j.usual(time.Now()))
+		return retry.SuggestedDelay(j.expectedLatency(time.Now()))
 	case DeadlineExceeded:
 		return 0
 	case Quarantined:
--- /dev/null
+++ b/daemon/proxy/server_exit.go
@@ -0,0 +1,89 @@
+package proxy
+
+import (
+	"time"
+
+	"ladderridge.example/core/fleet"
+	"ladderridge.example/core/quarantine"
+)
+
+// This file handles servers that exit while requests are in flight there. A broken connection
+// alone does not show that: the server may still be running. A new connection does; a running
+// server accepts it and uses it for the next request.
+
+// probeDelay is when a server is probed after a suspected request was aborted there: the
+// request runs on for a moment, and its server exits some hundred milliseconds after starting it.
+const probeDelay = 300 * time.Millisecond
+
+func instanceOf(s *fleet.Server) quarantine.Instance {
+	return quarantine.Instance{Server: s.Incarnation().String(), Addr: s.Addr}
+}
+
+// beginRun records that the request is about to reach the attempt's server.
+func (j *job) beginRun(a *attempt) {
+	a.run = j.engine.runs.Begin(instanceOf(a.server), j.content, a.cancel, time.Now())
+}
+
+// endRun records that the request has left the server. The server is probed if the request was
+// aborted there and servers have exited while running it before.
+func (j *job) endRun(a *attempt) {
+	if a.run == nil {
+		return
+	}
+	how := quarantine.Aborted
+	if a.complete {
+		how = quarantine.Completed
+	}
+	j.engine.runs.End(a.run, how, time.Now())
+	if how == quarantine.Aborted && j.view.Suspected(j.content) {
+		j.engine.probeLater(instanceOf(a.server))
+	}
+}
+
+// recordComplete records a complete response. A response without framing (no length, not
+// chunked) proves nothing: it ends in the same way when its server exits.
+func (j *job) recordComplete(a *attempt) {
+	a.complete = true
+	if a.reply.SelfDelimited {
+		j.engine.StoreSync.Answered(j.content)
+	}
+}
+
+// quarantined returns how much longer the request is quarantined.
+func (j *job) quarantined(now time.Time) (left time.Duration, ok bool) {
+	until, ok := j.view.Quarantined(j.content, now)
+	return until.Sub(now), ok
+}
+
+// probe checks whether a server that closed a connection early is still running.
+func (e *Engine) probe(p quarantine.Instance) { e.Channels.Probe(e.runs, p, e.serverEnded) }
+
+func (e *Engine) probeLater(p quarantine.Instance) { time.AfterFunc(probeDelay, func() { e.probe(p) }) }
+
+// ServerRestarted aborts all requests in flight at a server that has restarted under the same
+// id, since the new process does not know them. They are counted as present at the exit, unless
+// the server was due to leave.
+func (e *Engine) ServerRestarted(was *fleet.Server) {
+	p := instanceOf(was)
+	e.Channels.CloseIdle(p.Addr)
+	e.runs.CancelAll(p)
+	if contents := e.runs.TakeSuspects(p, time.Now()); len(contents) > 0 && was.Usable() {
+		e.StoreSync.RecordServerExit(p.Server, contents)
+	}
+}
+
+// serverEnded counts the requests that were in flight at a server that exited unexpectedly.
+// Nothing is counted for a server that was due to leave or is no longer listed.
+func (e *Engine) serverEnded(p quarantine.Instance) {
+	now := time.Now()
+	contents := e.runs.TakeSuspects(p, now)
+	if len(contents) == 0 || !e.StoreSync.View().Serves(p.Server) {
+		return
+	}
+	e.StoreSync.RecordServerExit(p.Server, contents)
+	for _, f := range contents {
+		for _, other := range e.runs.AbortedAt(f, now) {
+			e.probeLater(other)
+		}
+	}
+}
