--- a/daemon/policy/balance_test.go
+++ b/daemon/policy/balance_test.go
@@ -15,29 +15,29 @@
 	"ladderridge.example/core/table"
 )
 
-// The pool: daemons that see servers by lagged reports.
+// The simulated pool: daemons learn the load of servers from delayed reports.
 const (
-	balanceDaemons = 20
-	balanceServers = 20
-	balanceBatch   = 8
-	balanceLoad    = 0.85
-	balanceRun     = 120 * time.Second
-	serviceMean    = 2.0
-	reportEvery    = 2 * time.Second
+	balanceDaemons     = 20
+	balanceServers     = 20
+	balanceBatchSize   = 8
+	balanceLoad        = 0.85
+	balanceDuration    = 120 * time.Second
+	meanServiceSeconds = 2.0
+	reportInterval     = 2 * time.Second
 )
 
-// engine runs up to a batch of requests at once; the others wait in it.
+// engine simulates a model server that runs up to balanceBatchSize requests at once and queues the others.
 type engine struct {
-	clock   *clock
-	running int
-	waiting []func()
-	slow    float64
+	clock    *clock
+	running  int
+	waiting  []func()
+	slowdown float64
 }
 
 func (e *engine) submit(service time.Duration, done func()) {
 	run := func() {
 		e.running++
-		e.clock.after(time.Duration(float64(service)*e.slow), func() {
+		e.clock.after(time.Duration(float64(service)*e.slowdown), func() {
 			e.running--
 			if len(e.waiting) > 0 {
 				next := e.waiting[0]
@@ -47,7 +47,7 @@
 			done()
 		})
 	}
-	if e.running < balanceBatch {
+	if e.running < balanceBatchSize {
 		run()
 		return
 	}
@@ -58,22 +58,22 @@
 
 // balancer is one daemon's view of the servers.
 type balancer struct {
-	view   *route.View
-	server []*route.Server
-	// own are its loads, which a baseline does not use.
-	own []*route.ServerState
+	view    *route.View
+	servers []*route.Server
+	// ownStates hold the daemon's own requests in flight at each server. The reportsOnly baseline does not use them.
+	ownStates []*route.ServerState
 }
 
-// corrected tells how a daemon estimates a server's load.
-type correction int
+// loadEstimate is how a daemon estimates the load of a server.
+type loadEstimate int
 
 const (
-	corrected correction = iota
+	lagCorrected loadEstimate = iota
 	reportsOnly
-	atRandom
+	randomChoice
 )
 
-func newBalancer(kind correction) *balancer {
+func newBalancer(kind loadEstimate) *balancer {
 	ref := table.Ref{Model: "m", Version: "v"}
 	b := &balancer{view: &route.View{Hall: "a", ConfirmedAt: epoch, Engines: map[table.Ref][]*route.Server{}}}
 	b.view.Table = table.New(table.Table{
@@ -82,31 +82,31 @@
 	})
 	for range balanceServers {
 		own := &route.ServerState{}
-		s := &route.Server{ID: fmt.Sprint(len(b.server)), Hall: "a", State: own}
+		s := &route.Server{ID: fmt.Sprint(len(b.servers)), Hall: "a", State: own}
 		if kind == reportsOnly {
 			s.State = &route.ServerState{}
 		}
-		b.own = append(b.own, own)
-		b.server = append(b.server, s)
+		b.ownStates = append(b.ownStates, own)
+		b.servers = append(b.servers, s)
 	}
-	b.view.Engines[ref] = b.server
+	b.view.Engines[ref] = b.servers
 	return b
 }
 
 func (b *balancer) report(i, load int) {
-	b.server[i].Reported = load
-	b.server[i].OwnAtReport = int(b.server[i].State.InFlight.Load())
+	b.servers[i].Reported = load
+	b.servers[i].OwnAtReport = int(b.servers[i].State.InFlight.Load())
 }
 
-func balance(seed uint64, kind correction, slow bool) (latency []float64) {
+func balance(seed uint64, kind loadEstimate, slow bool) (latency []float64) {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	c := &clock{}
 	engines := make([]*engine, balanceServers)
 	for i := range engines {
-		engines[i] = &engine{clock: c, slow: 1}
+		engines[i] = &engine{clock: c, slowdown: 1}
 	}
 	if slow {
-		engines[0].slow = 4
+		engines[0].slowdown = 4
 	}
 	daemons := make([]*balancer, balanceDaemons)
 	for d := range daemons {
@@ -115,34 +115,34 @@
 			var poll func()
 			poll = func() {
 				daemons[d].report(i, engines[i].load())
-				c.after(reportEvery, poll)
+				c.after(reportInterval, poll)
 			}
-			c.after(time.Duration(rng.Int64N(int64(reportEvery))), poll)
+			c.after(time.Duration(rng.Int64N(int64(reportInterval))), poll)
 		}
 	}
 	service := distuv.LogNormal{Mu: -0.5, Sigma: 1, Src: rng}
-	rate := balanceLoad * balanceServers * balanceBatch / serviceMean
+	rate := balanceLoad * balanceServers * balanceBatchSize / meanServiceSeconds
 	n := 0
 	var arrive func()
 	arrive = func() {
 		n++
 		b := daemons[rng.IntN(balanceDaemons)]
 		i := rng.IntN(balanceServers)
-		if kind != atRandom {
+		if kind != randomChoice {
 			r := route.Request{ID: fmt.Sprint(n), Tenant: b.view.Table.Tenant("o"), Model: "m", Seed: rng.Uint64()}
-			i = slices.Index(b.server, route.Decide(b.view, r, c.time()).Outcome.(route.Send).Server)
+			i = slices.Index(b.servers, route.Decide(b.view, r, c.time()).Outcome.(route.Send).Server)
 		}
-		begun := c.now
-		b.own[i].InFlight.Add(1)
-		engines[i].submit(time.Duration(service.Rand()*serviceMean*float64(time.Second)), func() {
-			b.own[i].InFlight.Add(-1)
+		start := c.now
+		b.ownStates[i].InFlight.Add(1)
+		engines[i].submit(time.Duration(service.Rand()*meanServiceSeconds*float64(time.Second)), func() {
+			b.ownStates[i].InFlight.Add(-1)
 			b.report(i, engines[i].load())
-			latency = append(latency, (c.now - begun).Seconds())
+			latency = append(latency, (c.now - start).Seconds())
 		})
 		c.after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
 	c.after(0, arrive)
-	c.run(balanceRun)
+	c.run(balanceDuration)
 	return latency
 }
 
@@ -151,8 +151,8 @@
 	for _, slow := range []bool{false, true} {
 		for _, p := range []struct {
 			name string
-			kind correction
-		}{{"corrected for lag", corrected}, {"least loaded by reports only", reportsOnly}, {"random", atRandom}} {
+			kind loadEstimate
+		}{{"corrected for lag", lagCorrected}, {"least loaded by reports only", reportsOnly}, {"random", randomChoice}} {
 			name := p.name
 			if slow {
 				name += ", one server 4 times slower"
--- a/daemon/policy/guard_test.go
+++ b/daemon/policy/guard_test.go
@@ -11,45 +11,45 @@
 	"ladderridge.example/core/evidence"
 )
 
-// The roll-out that goes bad: 400 daemons, each with 30 requests a second, of
-// which a stage's share goes to the version.
+// The simulated roll-out of a faulty version: each daemon receives guardRate requests a
+// second, of which guardShare go to the new version.
 const (
-	guardDaemons = 400
-	guardRate    = 30.0
-	guardShare   = 0.01
-	goodShare    = 0.01
-	// pooledLag is the seconds that counts take up and down the tallies' tree.
-	pooledLag = 5
-	// tableLag is the seconds from a withdrawal to in force everywhere.
-	tableLag  = 2
-	breakAt   = 60
-	guardLast = 1800
+	guardDaemons     = 400
+	guardRate        = 30.0
+	guardShare       = 0.01
+	baselineBadShare = 0.01
+	// aggregationSeconds is the time that counts take up and down the aggregation tree, in seconds.
+	aggregationSeconds = 5
+	// tableSeconds is the time from the withdrawal of a version until all daemons apply it, in seconds.
+	tableSeconds  = 2
+	failureSecond = 60
+	guardSeconds  = 1800
 )
 
-// badShare is the share of bad answers at a second, by how the version breaks.
+// badShare returns the share of bad answers of the version in a given second.
 type badShare func(second int) float64
 
 func sudden(second int) float64 {
-	if second < breakAt {
-		return goodShare
+	if second < failureSecond {
+		return baselineBadShare
 	}
 	return 0.6
 }
 
-// decaying goes from good to 30% bad within ten minutes.
+// decaying rises from the baseline to 30% bad answers within ten minutes.
 func decaying(second int) float64 {
-	if second < breakAt {
-		return goodShare
+	if second < failureSecond {
+		return baselineBadShare
 	}
-	return min(0.3, goodShare+0.29*float64(second-breakAt)/600)
+	return min(0.3, baselineBadShare+0.29*float64(second-failureSecond)/600)
 }
 
-func healthy(int) float64 { return goodShare }
+func healthy(int) float64 { return baselineBadShare }
 
-// guarded runs a version until it is stopped everywhere. It returns how many
-// answers the version gave after it broke, how many of them were bad, and for
-// how many seconds; alarms counts how often a guard stopped it.
-func guarded(rng *rand.Rand, share badShare, pooling bool, seconds int) (answers, bad, lasted float64, alarms int) {
+// simulateRollout runs a version until all daemons have stopped using it. It returns
+// how many answers the version gave from failureSecond on, how many of them were bad,
+// and for how many seconds it gave them; alarms counts how often a guard stopped it.
+func simulateRollout(rng *rand.Rand, share badShare, pooling bool, seconds int) (answers, bad, exposedSeconds float64, alarms int) {
 	local := make([]evidence.Test, guardDaemons)
 	stopped := make([]bool, guardDaemons)
 	for i := range local {
@@ -58,10 +58,10 @@
 	pooled := evidence.Pooled
 	type counts struct{ answers, bad uint64 }
 	history := make([]counts, seconds)
-	stopAll := -1
+	stopAllAt := -1
 	poisson := distuv.Poisson{Lambda: guardRate * guardShare, Src: rng}
 	for second := range seconds {
-		if stopAll >= 0 && second >= stopAll {
+		if stopAllAt >= 0 && second >= stopAllAt {
 			break
 		}
 		running := 0
@@ -82,17 +82,16 @@
 				alarms++
 			}
 		}
-		if second >= breakAt {
+		if second >= failureSecond {
 			answers += float64(history[second].answers)
 			bad += float64(history[second].bad)
-			lasted++
+			exposedSeconds++
 		}
-		if pooling && second >= pooledLag && stopAll < 0 {
-			seen := history[second-pooledLag]
-			if pooled = pooled.WithCounts(seen.answers, seen.bad); pooled.Alarmed() {
-				// Each daemon guards by the pooled counts at once; the table
-				// follows.
-				stopAll = second + 1
+		if pooling && second >= aggregationSeconds && stopAllAt < 0 {
+			delayed := history[second-aggregationSeconds]
+			if pooled = pooled.WithCounts(delayed.answers, delayed.bad); pooled.Alarmed() {
+				// Each daemon acts on the pooled counts at once, before the table withdraws the version.
+				stopAllAt = second + 1
 				alarms++
 			}
 		}
@@ -100,7 +99,7 @@
 			break
 		}
 	}
-	return answers, bad, lasted, alarms
+	return answers, bad, exposedSeconds, alarms
 }
 
 func TestPolicyGuard(t *testing.T) {
@@ -116,14 +115,14 @@
 				if pooling {
 					name = broken.name + ", pooled"
 				}
-				answers, bad, lasted, _ := guarded(rng, broken.f, pooling, guardLast)
+				answers, bad, exposedSeconds, _ := simulateRollout(rng, broken.f, pooling, guardSeconds)
 				res.add(name, "exposure", seed, answers)
 				res.add(name, "bad answers", seed, bad)
-				res.add(name, "seconds", seed, lasted)
+				res.add(name, "seconds", seed, exposedSeconds)
 			}
 		}
 		rng := rand.New(rand.NewPCG(uint64(seed), 3))
-		_, _, _, alarms := guarded(rng, healthy, true, 6*3600)
+		_, _, _, alarms := simulateRollout(rng, healthy, true, 6*3600)
 		res.add("healthy for 6 h, pooled", "false alarms", seed, float64(alarms))
 	}
 	res.report(t, map[string]string{"exposure": "requests", "bad answers": "requests", "seconds": "s", "false alarms": "alarms"})
--- a/daemon/policy/harness_test.go
+++ b/daemon/policy/harness_test.go
@@ -1,7 +1,7 @@
 //go:build policy
 
-// Package policy_test measures the decisions against baselines, in modelled
-// time, with one small harness for each: several seeds, and the spread.
+// Package policy_test compares the decisions of the router with baselines in simulated
+// time. Each measurement runs with several seeds and reports the median and the range.
 package policy_test
 
 import (
@@ -23,89 +23,91 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// outDir is where the CSV files and plots go.
+// outDir is the folder for CSV files and plots; if it is empty, none are written.
 var outDir = flag.String("out", "", "folder for CSV files and plots")
 
-// seeds is how often each measurement is repeated.
+// seeds is the number of seeds with which each measurement runs.
 const seeds = 10
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// job is something that happens at a time.
-type job struct {
-	at time.Duration
-	n  int
-	do func()
+// event is a function that runs at a simulated time. Events of the same time run by
+// seq, the order in which they were scheduled.
+type event struct {
+	at     time.Duration
+	seq    int
+	action func()
 }
 
-// clock runs jobs in the order of their times.
+// clock is a simulated clock that runs events in the order of their times.
 type clock struct {
-	now  time.Duration
-	jobs []job
-	n    int
+	now       time.Duration
+	events    []event
+	scheduled int
 }
 
-func (c *clock) Len() int { return len(c.jobs) }
+func (c *clock) Len() int { return len(c.events) }
 func (c *clock) Less(i, j int) bool {
-	return c.jobs[i].at < c.jobs[j].at || (c.jobs[i].at == c.jobs[j].at && c.jobs[i].n < c.jobs[j].n)
+	return c.events[i].at < c.events[j].at || (c.events[i].at == c.events[j].at && c.events[i].seq < c.events[j].seq)
 }
-func (c *clock) Swap(i, j int) { c.jobs[i], c.jobs[j] = c.jobs[j], c.jobs[i] }
-func (c *clock) Push(x any)    { c.jobs = append(c.jobs, x.(job)) }
+func (c *clock) Swap(i, j int) { c.events[i], c.events[j] = c.events[j], c.events[i] }
+func (c *clock) Push(x any)    { c.events = append(c.events, x.(event)) }
 func (c *clock) Pop() any {
-	last := c.jobs[len(c.jobs)-1]
-	c.jobs = c.jobs[:len(c.jobs)-1]
+	last := c.events[len(c.events)-1]
+	c.events = c.events[:len(c.events)-1]
 	return last
 }
 
 func (c *clock) after(d time.Duration, do func()) {
-	c.n++
-	heap.Push(c, job{at: c.now + d, n: c.n, do: do})
+	c.scheduled++
+	heap.Push(c, event{at: c.now + d, seq: c.scheduled, action: do})
 }
 
 func (c *clock) run(until time.Duration) {
-	for len(c.jobs) > 0 && c.jobs[0].at <= until {
-		next := heap.Pop(c).(job)
+	for len(c.events) > 0 && c.events[0].at <= until {
+		next := heap.Pop(c).(event)
 		c.now = next.at
-		next.do()
+		next.action()
 	}
 	c.now = until
 }
 
 func (c *clock) time() time.Time { return epoch.Add(c.now) }
 
-// results collects figures by policy.
+// results collects the figures of a measurement by policy.
 type results struct {
-	name    string
-	rows    [][]string
-	figures map[string]map[string][]float64
-	order   []string
+	name   string
+	rows   [][]string
+	values map[string]map[string][]float64
+	order  []string
 }
 
 func newResults(name string) *results {
-	return &results{name: name, figures: map[string]map[string][]float64{}}
+	return &results{name: name, values: map[string]map[string][]float64{}}
 }
 
-// add notes one seed's figure of one policy.
+// add records the figure of a policy for one seed.
 func (r *results) add(policy, figure string, seed int, value float64) {
 	r.rows = append(r.rows, []string{policy, figure, strconv.Itoa(seed), strconv.FormatFloat(value, 'g', 6, 64)})
-	if r.figures[policy] == nil {
-		r.figures[policy] = map[string][]float64{}
+	if r.values[policy] == nil {
+		r.values[policy] = map[string][]float64{}
 		r.order = append(r.order, policy)
 	}
-	r.figures[policy][figure] = append(r.figures[policy][figure], value)
+	r.values[policy][figure] = append(r.values[policy][figure], value)
 }
 
 func (r *results) median(policy, figure string) float64 {
-	xs := slices.Clone(r.figures[policy][figure])
+	xs := slices.Clone(r.values[policy][figure])
 	slices.Sort(xs)
 	return stat.Quantile(0.5, stat.Empirical, xs, nil)
 }
 
-// report prints `name: value unit` lines with the spread, and writes the CSV.
+// report prints the median and the range of each figure as `name: value unit` lines and
+// writes all values to a CSV file.
 func (r *results) report(t *testing.T, units map[string]string) {
 	for _, policy := range r.order {
-		for _, figure := range slices.Sorted(mapKeys(r.figures[policy])) {
-			xs := r.figures[policy][figure]
+		for _, figure := range slices.Sorted(mapKeys(r.values[policy])) {
+			xs := r.values[policy][figure]
 			fmt.Printf("%s, %s, %s: %.4g %s (%.4g to %.4g)\n", r.name, policy, figure, r.median(policy, figure), units[figure], slices.Min(xs), slices.Max(xs))
 		}
 	}
@@ -139,8 +141,8 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// draw plots the medians of figures over x, a line for each policy.
-func draw(t *testing.T, name, title, xLabel, yLabel string, lines map[string]plotter.XYs) {
+// savePlot writes a plot with one line for each policy.
+func savePlot(t *testing.T, name, title, xLabel, yLabel string, lines map[string]plotter.XYs) {
 	if *outDir == "" {
 		return
 	}
--- a/daemon/policy/overload_test.go
+++ b/daemon/policy/overload_test.go
@@ -14,43 +14,43 @@
 	"ladderridge.example/core/queue"
 )
 
-// The pool that is offered more than it can take.
+// The simulated pool, which is offered up to three times the load that it can serve.
 const (
-	overloadPlaces   = 64
-	overloadRun      = 120 * time.Second
-	overloadDeadline = 10 * time.Second
-	overloadMean     = 2.0
+	overloadSlots       = 64
+	overloadDuration    = 120 * time.Second
+	overloadDeadline    = 10 * time.Second
+	overloadMeanSeconds = 2.0
 )
 
-// shares of the classes: checkouts, chats and audit summaries.
-var classShare = []struct {
+// classMix is the share of each class in the load: checkouts, chats and audit summaries.
+var classMix = []struct {
 	class queue.Class
 	share float64
 	name  string
 }{{queue.Urgent, 0.1, "urgent"}, {queue.Normal, 0.6, "normal"}, {queue.Background, 0.3, "background"}}
 
-// offered is what one run gave.
-type offered struct {
-	arrived, good map[queue.Class]int
-	latency       []float64
+// outcome is the result of one run. inTime counts the requests answered within overloadDeadline.
+type outcome struct {
+	arrived, inTime map[queue.Class]int
+	latency         []float64
 }
 
-// overload offers a multiple of the pool's capacity. With bounded, requests go
-// through the real queue; without, they wait in order of arrival until they are
-// served, as in a plain proxy.
-func overload(seed uint64, multiple float64, bounded bool) offered {
+// overload offers a multiple of the pool's capacity. If bounded is set, requests wait in
+// queue.Queue; otherwise they wait in order of arrival until they are served, as in a
+// plain proxy without queue limits.
+func overload(seed uint64, multiple float64, bounded bool) outcome {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	c := &clock{}
-	out := offered{arrived: map[queue.Class]int{}, good: map[queue.Class]int{}}
+	out := outcome{arrived: map[queue.Class]int{}, inTime: map[queue.Class]int{}}
 	q := queue.New()
 	var fifo []func()
-	free := overloadPlaces
+	free := overloadSlots
 	starts := map[string]func(){}
 	service := distuv.LogNormal{Mu: -0.125, Sigma: 0.5, Src: rng}
 	next := func() {
 		if bounded {
-			it, late, ok := q.Pop(c.time())
-			for _, l := range late {
+			it, expired, ok := q.Pop(c.time())
+			for _, l := range expired {
 				delete(starts, l.Item.ID)
 			}
 			if !ok {
@@ -67,14 +67,14 @@
 			start()
 		}
 	}
-	rate := multiple * overloadPlaces / overloadMean
+	rate := multiple * overloadSlots / overloadMeanSeconds
 	n := 0
 	var arrive func()
 	arrive = func() {
 		n++
-		begun, id := c.now, fmt.Sprint(n)
+		arrivedAt, id := c.now, fmt.Sprint(n)
 		class, u := queue.Normal, rng.Float64()
-		for _, s := range classShare {
+		for _, s := range classMix {
 			if u < s.share {
 				class = s.class
 				break
@@ -84,12 +84,12 @@
 		out.arrived[class]++
 		start := func() {
 			free--
-			took := time.Duration(service.Rand() * overloadMean * float64(time.Second))
+			took := time.Duration(service.Rand() * overloadMeanSeconds * float64(time.Second))
 			c.after(took, func() {
 				free++
 				q.Served(took, c.time())
-				if took := c.now - begun; took <= overloadDeadline {
-					out.good[class]++
+				if took := c.now - arrivedAt; took <= overloadDeadline {
+					out.inTime[class]++
 					out.latency = append(out.latency, took.Seconds())
 				}
 				next()
@@ -112,14 +112,14 @@
 		c.after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
 	c.after(0, arrive)
-	c.run(overloadRun)
+	c.run(overloadDuration)
 	return out
 }
 
 func TestPolicyOverload(t *testing.T) {
 	res := newResults("overload")
 	lines := map[string]plotter.XYs{}
-	capacity := overloadPlaces / overloadMean * overloadRun.Seconds()
+	capacity := overloadSlots / overloadMeanSeconds * overloadDuration.Seconds()
 	multiples := []float64{0.5, 0.8, 1, 1.25, 1.5, 2, 3}
 	for _, bounded := range []bool{true, false} {
 		name := "first come, first served"
@@ -131,9 +131,9 @@
 			for seed := range seeds {
 				out := overload(uint64(seed), m, bounded)
 				total := 0
-				for _, s := range classShare {
-					total += out.good[s.class]
-					res.add(policy, s.name+" in time", seed, float64(out.good[s.class])/float64(max(1, out.arrived[s.class])))
+				for _, s := range classMix {
+					total += out.inTime[s.class]
+					res.add(policy, s.name+" in time", seed, float64(out.inTime[s.class])/float64(max(1, out.arrived[s.class])))
 				}
 				res.add(policy, "goodput", seed, float64(total)/capacity)
 				res.add(policy, "p99", seed, quantile(out.latency, 0.99))
@@ -144,5 +144,5 @@
 	res.report(t, map[string]string{
 		"goodput": "of capacity", "p99": "s", "urgent in time": "of offered", "normal in time": "of offered", "background in time": "of offered",
 	})
-	draw(t, "overload", "Answers in time", "offered, times capacity", "answered in time, of capacity", lines)
+	savePlot(t, "overload", "Answers in time", "offered, times capacity", "answered in time, of capacity", lines)
 }
