--- a/soak/drills.go
+++ b/soak/drills.go
@@ -58,7 +58,7 @@
 	for range 1 + d.random.IntN(2) {
 		store.Play(standin.Down)
 		clock.Wait(ctx, time.Duration(d.random.Int64N(int64(drillAway))))
-		lost = append(lost, store.Return(copied)...)
+		lost = append(lost, store.Restore(copied)...)
 		store.Play(standin.None)
 	}
 	clock.Wait(ctx, time.Duration(d.random.Int64N(int64(againWithin))))
@@ -89,7 +89,7 @@
 	d.site.addRoute()
 	clock.Wait(ctx, lastKnown)
 	over := d.site.oracle.trouble(everybody, StoreReturns, time.Now())
-	lost := store.Return(copied)
+	lost := store.Restore(copied)
 	for _, l := range lost {
 		if l.Table() != "other" {
 			store.Again(l)
