--- a/soak/drills.go
+++ b/soak/drills.go
@@ -63,7 +63,7 @@
 	}
 	clock.Wait(ctx, time.Duration(d.random.Int64N(int64(againWithin))))
 	for _, l := range lost {
-		store.Again(l)
+		store.Replay(l)
 	}
 }
 
@@ -92,7 +92,7 @@
 	lost := store.Restore(copied)
 	for _, l := range lost {
 		if l.Table() != "other" {
-			store.Again(l)
+			store.Replay(l)
 		}
 	}
 	over(time.Now())
