--- a/soak/backend.go
+++ b/soak/backend.go
@@ -33,7 +33,7 @@
 	fault   standin.RunnerFault
 	present bool
 	// word is what the present start says of itself, but for its limit.
-	word  standin.Word
+	word  standin.Announcement
 	limit string
 	// deaths is how often a deadly request has ended it.
 	deaths atomic.Uint64
@@ -85,11 +85,11 @@
 			go b.die()
 		}
 	}
-	r.Arriving = func(id string, w standin.Word) {
+	r.Arriving = func(id string, w standin.Announcement) {
 		b.site.oracle.arrived(Arrival{ID: id, Server: r.ID, Start: start, Word: w, At: time.Now()})
 	}
 	r.Play(b.fault)
-	b.runner, b.present, b.word, b.limit = r, true, standin.Word{}, ""
+	b.runner, b.present, b.word, b.limit = r, true, standin.Announcement{}, ""
 	return b.list(false)
 }
 
@@ -138,7 +138,7 @@
 func (b *backend) leave() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tell(standin.Word{Leaving: true}, b.limit)
+	b.tell(standin.Announcement{Leaving: true}, b.limit)
 	if err := b.list(true); err == nil {
 		b.site.oracle.left(Incarnation{Server: b.runner.ID, Start: b.starts}, time.Now())
 	}
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -44,7 +44,7 @@
 }
 
 // another is one more request like the good one, which reaches the same server.
-func another(s *soak.Seen, id string, seconds float64, w standin.Word) {
+func another(s *soak.Seen, id string, seconds float64, w standin.Announcement) {
 	a, r := good()
 	a.ID, a.Sent, a.Ended, a.Reply.Body = id, after(10.1+seconds), after(10.2+seconds), (&standin.Runner{ID: "s"}).Answer(id)
 	r.Run.ID, r.At = id, after(10.15+seconds)
@@ -55,25 +55,25 @@
 // leaves has the server say that it leaves, and one more request reach it some time after
 // the daemon has passed that on.
 func leaves(s *soak.Seen, seconds float64) {
-	s.Arrivals = []soak.Arrival{{ID: "a", Server: "s", Start: 1, Word: standin.Word{Leaving: true}, At: after(10.05)}}
+	s.Arrivals = []soak.Arrival{{ID: "a", Server: "s", Start: 1, Word: standin.Announcement{Leaving: true}, At: after(10.05)}}
 	s.Asks[0].Reply.Leaving = true
-	another(s, "late", seconds, standin.Word{Leaving: true})
+	another(s, "late", seconds, standin.Announcement{Leaving: true})
 }
 
 // rests has the server decline the request and want three seconds of rest, and some more
 // requests reach it later.
 func rests(s *soak.Seen, n int, seconds float64) {
 	s.Asks[0].Reply, s.Runs = standin.Reply{Status: http.StatusServiceUnavailable, Whole: true}, nil
-	s.Arrivals = []soak.Arrival{{ID: "a", Server: "s", Start: 1, Word: standin.Word{Rest: 3 * time.Second}, At: after(10.05)}}
+	s.Arrivals = []soak.Arrival{{ID: "a", Server: "s", Start: 1, Word: standin.Announcement{Rest: 3 * time.Second}, At: after(10.05)}}
 	for i := range n {
-		another(s, fmt.Sprintf("more-%d", i), seconds+float64(i)/100, standin.Word{})
+		another(s, fmt.Sprintf("more-%d", i), seconds+float64(i)/100, standin.Announcement{})
 	}
 }
 
 // limits has the server name two requests a second for ten seconds, in which it gets some.
 func limits(s *soak.Seen, n int) {
 	for i := range n {
-		another(s, fmt.Sprintf("limited-%d", i), 10*float64(i)/float64(n), standin.Word{Limit: "2"})
+		another(s, fmt.Sprintf("limited-%d", i), 10*float64(i)/float64(n), standin.Announcement{Limit: "2"})
 		s.Asks[len(s.Asks)-1].Reply.Limit = "2"
 	}
 }
--- a/soak/notices.go
+++ b/soak/notices.go
@@ -47,12 +47,12 @@
 func (m *moods) one(ctx context.Context, b *backend) {
 	if m.random.IntN(2) == 0 {
 		rest := restFloor + time.Duration(m.random.Int64N(int64(restSpan)))
-		b.say(standin.Word{Rest: rest})
+		b.say(standin.Announcement{Rest: rest})
 		clock.Wait(ctx, rest)
-		b.say(standin.Word{})
+		b.say(standin.Announcement{})
 		return
 	}
-	start := b.say(standin.Word{Leaving: true})
+	start := b.say(standin.Announcement{Leaving: true})
 	clock.Wait(ctx, leaveFor)
 	if same := m.random.IntN(2) == 0; b.stands(start) {
 		b.beginAgain(same)
@@ -65,7 +65,7 @@
 }
 
 // say sets what the server says of itself, and returns the number of its start.
-func (b *backend) say(w standin.Word) (start int) {
+func (b *backend) say(w standin.Announcement) (start int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tell(w, b.limit)
@@ -73,7 +73,7 @@
 }
 
 // tell has the server say something and name a limit; b is locked.
-func (b *backend) tell(w standin.Word, limit string) {
+func (b *backend) tell(w standin.Announcement, limit string) {
 	b.word, b.limit = w, limit
 	w.Limit = limit
 	b.runner.Say(w)
@@ -94,7 +94,7 @@
 	// Start numbers the starts of the server.
 	Start int
 	// Word is what the server said of itself with its answer.
-	Word standin.Word
+	Word standin.Announcement
 	At   time.Time
 }
 
