--- a/soak/notices.go
+++ b/soak/notices.go
@@ -76,7 +76,7 @@
 func (b *backend) tell(w standin.Announcement, limit string) {
 	b.word, b.limit = w, limit
 	w.Limit = limit
-	b.runner.Say(w)
+	b.runner.Announce(w)
 }
 
 // stands reports whether a start of the server is there: one that has ended has its own time
