--- a/daemon/standin/site.go
+++ b/daemon/standin/site.go
@@ -41,7 +41,7 @@
 	err := store.SetConfig(standin.Config{
 		Number: 1, Host: SiteHost, Keys: map[string][]string{"site": {SiteKey}},
 		Routes: []standin.Route{
-			{Name: "chat", Prefix: SiteChat, Kind: standin.Streaming, Service: "models", Attempts: 3, Limit: siteLimit, Ladder: []string{"small", "large"}},
+			{Name: "chat", Prefix: SiteChat, Kind: standin.Streaming, Service: "models", Attempts: 3, Limit: siteLimit, Cascade: []string{"small", "large"}},
 			{Name: "call", Prefix: SiteCall, Kind: standin.Unsafe, Service: "plain", Attempts: 1, Limit: siteLimit},
 		},
 	})
--- a/soak/site.go
+++ b/soak/site.go
@@ -57,7 +57,7 @@
 	c := standin.Config{Number: 1, Host: host, Keys: map[string][]string{}, Routes: []standin.Route{
 		{Name: "once", Prefix: onceRoute, Kind: standin.Unsafe, Service: modelPlain, Attempts: 1, Limit: routeLimit},
 		{Name: "read", Prefix: readRoute, Kind: standin.Safe, Service: modelPlain, Attempts: 3, Limit: routeLimit},
-		{Name: "chat", Prefix: streamRoute, Kind: standin.Streaming, Service: modelStream, Attempts: 3, Limit: streamLimit, Ladder: []string{smallModel, largeModel}},
+		{Name: "chat", Prefix: streamRoute, Kind: standin.Streaming, Service: modelStream, Attempts: 3, Limit: streamLimit, Cascade: []string{smallModel, largeModel}},
 	}}
 	for n := range keys {
 		c.Keys[organisation] = append(c.Keys[organisation], keyName(n))
