--- a/daemon/standin/site.go
+++ b/daemon/standin/site.go
@@ -116,7 +116,7 @@
 		}
 		r := c.Send(ctx, client, addrs[i%len(addrs)])
 		out.Sent++
-		if r.Status == http.StatusOK && r.Whole && r.Err == nil {
+		if r.Status == http.StatusOK && r.Complete && r.Err == nil {
 			out.Whole++
 			continue
 		}
--- a/soak/bounds.go
+++ b/soak/bounds.go
@@ -151,7 +151,7 @@
 			continue
 		}
 		all++
-		if a.Reply.Status == http.StatusOK && a.Reply.Whole {
+		if a.Reply.Status == http.StatusOK && a.Reply.Complete {
 			good++
 		}
 	}
--- a/soak/check.go
+++ b/soak/check.go
@@ -114,9 +114,9 @@
 	}
 	want := expected(a)
 	switch {
-	case a.Reply.Whole && a.Reply.Err != nil:
+	case a.Reply.Complete && a.Reply.Err != nil:
 		c.found("MIXED", "request %s: %v", a.ID, a.Reply.Err)
-	case a.Reply.Whole && a.Reply.Body != want:
+	case a.Reply.Complete && a.Reply.Body != want:
 		c.found("MIXED", "request %s was answered with %q, which looks whole; whole is %q", a.ID, a.Reply.Body, want)
 	case !strings.HasPrefix(want, a.Reply.Body):
 		c.found("MIXED", "request %s was answered with %q, which does not begin %q", a.ID, a.Reply.Body, want)
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -23,7 +23,7 @@
 	a := soak.Ask{
 		ID: "a", Kind: standin.Unsafe, Service: "api", Method: http.MethodPost, Target: "/once/x", Key: "key-0", Body: "b",
 		Limit: 2 * time.Second, Life: 1, LifeAfter: 1, Sent: after(10), Ended: after(10.1),
-		Reply: standin.Reply{Status: http.StatusOK, Server: "s", Whole: true, Body: (&standin.Runner{ID: "s"}).Answer("a")},
+		Reply: standin.Reply{Status: http.StatusOK, Server: "s", Complete: true, Body: (&standin.Runner{ID: "s"}).Answer("a")},
 	}
 	r := soak.Ran{Run: standin.Run{ID: "a", Method: a.Method, Target: a.Target, Tenant: "org", Body: a.Body}, Server: "s", Service: "api", At: after(10.05)}
 	return a, r
@@ -36,7 +36,7 @@
 		at := after(float64(1 + n/3*10 + n%3))
 		a := soak.Ask{
 			ID: fmt.Sprintf("d%d", n), Kind: standin.Streaming, Service: "llm", Method: http.MethodPost, Target: "/chat/deadly", Key: "key-0", Body: "deadly",
-			Limit: 2 * time.Second, Life: 1, LifeAfter: 1, Sent: at, Ended: at.Add(100 * time.Millisecond), Reply: standin.Reply{Status: http.StatusBadGateway, Whole: true},
+			Limit: 2 * time.Second, Life: 1, LifeAfter: 1, Sent: at, Ended: at.Add(100 * time.Millisecond), Reply: standin.Reply{Status: http.StatusBadGateway, Complete: true},
 		}
 		r := soak.Ran{Run: standin.Run{ID: a.ID, Method: a.Method, Target: a.Target, Tenant: "org", Body: a.Body}, Server: fmt.Sprintf("m%d", n), Service: "llm", At: at}
 		s.Asks, s.Runs = append(s.Asks, a), append(s.Runs, r)
@@ -63,7 +63,7 @@
 // rests has the server decline the request and want three seconds of rest, and some more
 // requests reach it later.
 func rests(s *soak.Seen, n int, seconds float64) {
-	s.Asks[0].Reply, s.Runs = standin.Reply{Status: http.StatusServiceUnavailable, Whole: true}, nil
+	s.Asks[0].Reply, s.Runs = standin.Reply{Status: http.StatusServiceUnavailable, Complete: true}, nil
 	s.Arrivals = []soak.Arrival{{ID: "a", Server: "s", Start: 1, Word: standin.Announcement{Rest: 3 * time.Second}, At: after(10.05)}}
 	for i := range n {
 		another(s, fmt.Sprintf("more-%d", i), seconds+float64(i)/100, standin.Announcement{})
@@ -80,7 +80,7 @@
 
 // TestEachRuleNoticesItsFault spoils what was seen, one thing at a time.
 func TestEachRuleNoticesItsFault(t *testing.T) {
-	refused := standin.Reply{Status: http.StatusServiceUnavailable, Whole: true}
+	refused := standin.Reply{Status: http.StatusServiceUnavailable, Complete: true}
 	cut := standin.Reply{Err: errors.New("cut")}
 	stop := soak.Span{Daemon: 0, Trouble: soak.Terminate, From: after(9), To: after(12)}
 	for _, c := range []struct {
@@ -100,8 +100,8 @@
 		{"", func(s *soak.Seen) { s.Revoked["key-0"] = after(5.1) }},
 		{"MIXED", func(s *soak.Seen) { s.Asks[0].Reply.Server = "t" }},
 		{"MIXED", func(s *soak.Seen) { s.Asks[0].Reply.Body = s.Asks[0].Reply.Body[:10] }},
-		{"", func(s *soak.Seen) { s.Asks[0].Reply.Body, s.Asks[0].Reply.Whole = s.Asks[0].Reply.Body[:10], false }},
-		{"MIXED", func(s *soak.Seen) { s.Asks[0].Reply.Body, s.Asks[0].Reply.Whole = "other", false }},
+		{"", func(s *soak.Seen) { s.Asks[0].Reply.Body, s.Asks[0].Reply.Complete = s.Asks[0].Reply.Body[:10], false }},
+		{"MIXED", func(s *soak.Seen) { s.Asks[0].Reply.Body, s.Asks[0].Reply.Complete = "other", false }},
 		{"MIXED", func(s *soak.Seen) { s.Asks[0].Reply.Err = errors.New("the answer is to another request") }},
 		{"DENIED", func(s *soak.Seen) { s.Asks[0].Reply, s.Runs = standin.Reply{Status: http.StatusUnauthorized}, nil }},
 		{"BACKWARDS", func(s *soak.Seen) {
--- a/soak/notices.go
+++ b/soak/notices.go
@@ -172,7 +172,7 @@
 // what is called not run was known to be declined, and so was what may run once only and was
 // answered by another server.
 func knownDeclined(a Ask, at Arrival) bool {
-	answered := a.Kind == standin.Unsafe && a.Reply.Whole && a.Reply.Status == http.StatusOK
+	answered := a.Kind == standin.Unsafe && a.Reply.Complete && a.Reply.Status == http.StatusOK
 	return at.Word.Rest > 0 && (a.Reply.NotRun() || answered)
 }
 
--- a/soak/oracle.go
+++ b/soak/oracle.go
@@ -161,9 +161,9 @@
 		switch {
 		case a.Reply.NotRun():
 			r.Refused++
-		case a.Reply.Status == 200 && a.Reply.Whole:
+		case a.Reply.Status == 200 && a.Reply.Complete:
 			r.Answered++
-		case a.Reply.Status == 0 || !a.Reply.Whole:
+		case a.Reply.Status == 0 || !a.Reply.Complete:
 			r.Broken++
 		default:
 			r.Failed++
