--- a/soak/backend.go
+++ b/soak/backend.go
@@ -85,7 +85,7 @@
 			go b.die()
 		}
 	}
-	r.Arriving = func(id string, w standin.Announcement) {
+	r.OnArrival = func(id string, w standin.Announcement) {
 		b.site.oracle.arrived(Arrival{ID: id, Server: r.ID, Start: start, Word: w, At: time.Now()})
 	}
 	r.Play(b.fault)
