--- a/soak/stranger.go
+++ b/soak/stranger.go
@@ -46,7 +46,7 @@
 	w.running.Go(func() {
 		for n := 0; !w.stopped.Load() && ctx.Err() == nil; n++ {
 			addr := strings.TrimPrefix(w.trap.URL, "http://")
-			if err := w.site.store.SpoilServer(fmt.Sprintf("stranger-%d", n%strangerKeys), addr, w.random); err != nil {
+			if err := w.site.store.CorruptServer(fmt.Sprintf("stranger-%d", n%strangerKeys), addr, w.random); err != nil {
 				w.site.oracle.found("SOAK", err.Error())
 			}
 			clock.Wait(ctx, time.Duration(w.random.Int64N(int64(strangerEvery))))
