--- a/daemon/standin/engine.go
+++ b/daemon/standin/engine.go
@@ -17,48 +17,49 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// EngineFault is what the admin call of the engine stand-in sets.
+// EngineFault is the fault that an Engine injects, set by the admin call.
 type EngineFault struct {
-	// Leaving makes the engine decline new work.
+	// Leaving makes the engine decline new requests as if it were shutting down.
 	Leaving bool `json:"leaving"`
-	// ErrorRate is the share of requests answered with a 500.
+	// ErrorRate is the fraction of requests answered with status 500.
 	ErrorRate float64 `json:"error_rate"`
-	// CutAfter breaks streams after that many tokens; 0 is never.
+	// CutAfter interrupts streams after that many tokens; 0 is never.
 	CutAfter int `json:"cut_after"`
-	// CrossAnswers echoes a wrong attempt id on that many answers.
+	// CrossAnswers is the number of answers that carry a wrong attempt id.
 	CrossAnswers int `json:"cross_answers"`
 	// HoldAnswers delays the start of every answer until it is set to false.
 	HoldAnswers bool `json:"hold_answers"`
-	// SaysLeaving makes the engine say in its answers that it leaves; it serves on.
+	// SaysLeaving makes the engine announce in its answers that it is shutting down. It still
+	// serves requests.
 	SaysLeaving bool `json:"says_leaving"`
-	// RestS makes the engine decline all requests and ask for so many seconds of rest.
+	// RestS makes the engine decline all requests and ask for a back-off of that many seconds.
 	RestS float64 `json:"rest_s"`
 }
 
-// Engine is the stand-in for a model engine. Set the exported fields before
-// the first request.
+// Engine is a fake of a model engine. Set the exported fields before the first
+// request.
 type Engine struct {
 	ID      string
 	Model   string
 	Version string
 	// TokenPace is the time between two tokens.
 	TokenPace time.Duration
-	// Batch is how many requests run at once; 0 is no limit.
+	// Batch is the maximum number of concurrent requests; 0 is no limit.
 	Batch int
-	// Quality in [0,1] is written into answers for raters to find.
+	// Quality, in [0,1], is written into the answers. Raters read it there.
 	Quality float64
-	// Prefill is the time to the first token of a prompt whose beginning is not
-	// in the prefix cache, which holds Prefixes of them (0: none).
+	// Prefill is the additional time to the first token of a prompt whose prefix is not
+	// in the prefix cache. Prefixes is the capacity of that cache in prefixes; 0 is no cache.
 	Prefill  time.Duration
 	Prefixes int
-	// ReportLag is how old the load in a report may be.
+	// ReportLag is the maximum age of the in-flight count in a load report.
 	ReportLag time.Duration
-	// Slots is how many versions fit, and LoadTime how long one takes to load.
+	// Slots is how many model versions fit into memory, LoadTime the time to load one.
 	Slots    int
 	LoadTime time.Duration
-	// ChecksFence refuses orders with an old fence.
+	// ChecksFence makes the engine refuse orders with an outdated fencing token.
 	ChecksFence bool
-	// Rating, if set, is called with every answer given.
+	// Rating, if set, is called with the request id and the quality of every answer.
 	Rating func(request string, quality float64)
 
 	mu       sync.Mutex
@@ -72,13 +73,13 @@
 	fence    uint64
 	orders   int
 	inFlight atomic.Int64
-	arrived  atomic.Int64
+	received atomic.Int64
 	ran      map[string]int
 	runs     atomic.Int64
 	tokens   atomic.Int64
 }
 
-// Handler serves the engine's HTTP interface and the admin calls.
+// Handler returns the handler of the engine's HTTP interface and of the admin calls.
 func (e *Engine) Handler() http.Handler {
 	e.ran = map[string]int{}
 	e.loaded = []wire.Loaded{{Model: e.Model, Version: e.Version}}
@@ -103,7 +104,7 @@
 	e.fault = f
 }
 
-// SetQuality changes the quality of the engine's answers.
+// SetQuality replaces Quality.
 func (e *Engine) SetQuality(q float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -117,10 +118,10 @@
 	e.loaded = slices.DeleteFunc(e.loaded, func(l wire.Loaded) bool { return l.Model == model && l.Version == version })
 }
 
-// Arrived is how many requests have come, those that were declined included.
-func (e *Engine) Arrived() int { return int(e.arrived.Load()) }
+// Arrived returns the number of requests received, including those that were declined.
+func (e *Engine) Arrived() int { return int(e.received.Load()) }
 
-// Runs returns how often each request id was run.
+// Runs returns the number of executions of each request id.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,7 +148,7 @@
 	write(w, answer{status: http.StatusOK, body: e.report()})
 }
 
-// order obeys an order to load or unload a version.
+// order handles an order to load or unload a version.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o wire.EngineOrder
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&o); err != nil {
@@ -163,38 +164,38 @@
 	if o.Fence > e.fence || !e.ChecksFence {
 		e.fence = max(e.fence, o.Fence)
 		e.orders++
-		e.obey(o)
+		e.execute(o)
 	}
 	w.WriteHeader(http.StatusAccepted)
 }
 
-func (e *Engine) obey(o wire.EngineOrder) {
-	what := wire.Loaded{Model: o.Model, Version: o.Version}
-	is := func(l wire.Loaded) bool { return l == what }
+func (e *Engine) execute(o wire.EngineOrder) {
+	version := wire.Loaded{Model: o.Model, Version: o.Version}
+	matches := func(l wire.Loaded) bool { return l == version }
 	if o.Action != "load" {
-		e.loaded = slices.DeleteFunc(e.loaded, is)
+		e.loaded = slices.DeleteFunc(e.loaded, matches)
 		return
 	}
-	if slices.ContainsFunc(e.loaded, is) || slices.ContainsFunc(e.loading, is) {
+	if slices.ContainsFunc(e.loaded, matches) || slices.ContainsFunc(e.loading, matches) {
 		return
 	}
-	e.loading = append(e.loading, what)
+	e.loading = append(e.loading, version)
 	time.AfterFunc(e.LoadTime, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.loading = slices.DeleteFunc(e.loading, is)
-		e.loaded = append(e.loaded, what)
+		e.loading = slices.DeleteFunc(e.loading, matches)
+		e.loaded = append(e.loaded, version)
 	})
 }
 
-// Orders is how many orders the engine has obeyed.
+// Orders returns the number of orders that the engine has executed.
 func (e *Engine) Orders() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.orders
 }
 
-// admit decides whether a request may run; it returns the fault in force.
+// admit reports whether a request may run, and declines it otherwise. It returns the fault in force.
 func (e *Engine) admit(w http.ResponseWriter, r *http.Request) (EngineFault, bool) {
 	e.mu.Lock()
 	f := e.fault
@@ -225,21 +226,21 @@
 	return f, true
 }
 
-// decline refuses a request in the way that is defined to mean "not run".
-func (e *Engine) decline(w http.ResponseWriter, why string) {
-	w.Header().Set(wire.HeaderDeclined, why)
-	http.Error(w, why, http.StatusServiceUnavailable)
+// decline refuses a request with the header that guarantees that it was not executed.
+func (e *Engine) decline(w http.ResponseWriter, reason string) {
+	w.Header().Set(wire.HeaderDeclined, reason)
+	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
-	e.arrived.Add(1)
+	e.received.Add(1)
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	var req wire.ChatRequest
 	if err != nil || json.Unmarshal(body, &req) != nil {
 		http.Error(w, "bad request", http.StatusBadRequest)
 		return
 	}
-	if !e.hasLoaded(e.asked(req)) {
+	if !e.hasLoaded(e.requestedVersion(req)) {
 		e.decline(w, wire.DeclinedNotLoaded)
 		return
 	}
@@ -251,13 +252,13 @@
 	}
 	id := r.Header.Get(wire.HeaderRequest)
 	e.count(id)
-	w.Header().Set(wire.HeaderAttempt, e.echo(r.Header.Get(wire.HeaderAttempt)))
+	w.Header().Set(wire.HeaderAttempt, e.echoAttempt(r.Header.Get(wire.HeaderAttempt)))
 	w.Header().Set(wire.HeaderLoad, strconv.FormatInt(e.inFlight.Load(), 10))
 	if f.ErrorRate > 0 && rand.Float64() < f.ErrorRate {
 		http.Error(w, "engine error", http.StatusInternalServerError)
 		return
 	}
-	if !e.cached(req) && e.Prefill > 0 {
+	if !e.lookUpPrefix(req) && e.Prefill > 0 {
 		clock.Wait(r.Context(), e.Prefill)
 	}
 	offset, _ := strconv.Atoi(r.Header.Get(wire.HeaderOffset))
@@ -265,7 +266,7 @@
 	if req.Stream {
 		e.stream(w, r, tokens, offset, f)
 	} else {
-		e.whole(w, r, tokens)
+		e.writeAnswer(w, r, tokens)
 	}
 	if e.Rating != nil {
 		e.Rating(id, e.quality())
@@ -278,12 +279,12 @@
 	return e.Quality
 }
 
-// prefixBytes is how much of a prompt the prefix cache goes by.
+// prefixBytes is the length of the prompt prefix by which the prefix cache is keyed.
 const prefixBytes = 1024
 
-// cached reports whether the prompt's beginning is in the prefix cache, and
-// puts it there in place of the one used longest ago.
-func (e *Engine) cached(req wire.ChatRequest) bool {
+// lookUpPrefix reports whether the prompt's prefix is in the prefix cache, and
+// makes it the most recently used one. A full cache evicts the least recently used.
+func (e *Engine) lookUpPrefix(req wire.ChatRequest) bool {
 	if e.Prefixes == 0 {
 		return false
 	}
@@ -310,8 +311,8 @@
 	e.ran[id]++
 }
 
-// echo returns the attempt id, or a wrong one while answers are crossed.
-func (e *Engine) echo(id string) string {
+// echoAttempt returns the attempt id, or a wrong one while CrossAnswers is in force.
+func (e *Engine) echoAttempt(id string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fault.CrossAnswers > 0 {
@@ -321,9 +322,9 @@
 	return id
 }
 
-// asked is the version that a request names; one that names none gets the
-// engine's first.
-func (e *Engine) asked(req wire.ChatRequest) wire.Loaded {
+// requestedVersion returns the version that a request names, or the engine's own
+// version if it names none.
+func (e *Engine) requestedVersion(req wire.ChatRequest) wire.Loaded {
 	if model, version, ok := strings.Cut(req.Model, "@"); ok {
 		return wire.Loaded{Model: model, Version: version}
 	}
@@ -336,20 +337,20 @@
 	return slices.Contains(e.loaded, l)
 }
 
-// defaultTokens is how long an answer is when the caller sets no maximum.
+// defaultTokens is the length of an answer if the request sets no maximum.
 const defaultTokens = 16
 
-// tokensFor makes the answer: it depends on the request and version alone, so
-// that a resumed stream goes on where the broken one stopped.
+// tokensFor returns the tokens of the answer. They depend on the request and the
+// version only, so that a resumed stream continues where it was interrupted.
 func (e *Engine) tokensFor(req wire.ChatRequest, id string) []string {
-	what := e.asked(req)
+	version := e.requestedVersion(req)
 	n := req.MaxTokens
 	if n <= 0 {
 		n = defaultTokens
 	}
 	out := make([]string, n)
 	for i := range out {
-		out[i] = fmt.Sprintf("%s-%s-%s-%d ", what.Model, what.Version, id, i)
+		out[i] = fmt.Sprintf("%s-%s-%s-%d ", version.Model, version.Version, id, i)
 	}
 	return out
 }
@@ -378,12 +379,12 @@
 	_, _ = fmt.Fprintf(w, "data: %s\n\ndata: %s\n\n", usage, wire.Terminator)
 }
 
-// usageOf counts the tokens of an answer; the stand-in reads no prompt.
+// usageOf returns the token counts of an answer. Prompt tokens are not counted.
 func usageOf(tokens []string) *wire.Usage {
 	return &wire.Usage{CompletionTokens: len(tokens), TotalTokens: len(tokens)}
 }
 
-// engineAnswer has a field that ladderridge does not know.
+// engineAnswer is a chat answer with a field that ladderridge doesn't know and must pass through.
 type engineAnswer struct {
 	wire.ChatAnswer
 	Fingerprint string `json:"system_fingerprint"`
@@ -391,7 +392,7 @@
 
 const fingerprint = "standin"
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, tokens []string) {
+func (e *Engine) writeAnswer(w http.ResponseWriter, r *http.Request, tokens []string) {
 	if e.TokenPace > 0 {
 		clock.Wait(r.Context(), e.TokenPace*time.Duration(len(tokens)))
 	}
@@ -408,7 +409,7 @@
 	decodeFault(w, r, e.SetFault)
 }
 
-// BackendStats is what a stand-in counted.
+// BackendStats are the counters of an Engine or a Service.
 type BackendStats struct {
 	Runs     int64          `json:"runs"`
 	Tokens   int64          `json:"tokens"`
--- a/daemon/standin/engine_test.go
+++ b/daemon/standin/engine_test.go
@@ -15,20 +15,21 @@
 
 const prompt = `{"model":"m@v","max_tokens":1,"messages":[{"role":"user","content":"the same beginning"}]}`
 
-// serve runs one request by the handler and returns how long it took.
+// serve sends one request to the handler and returns how long it took.
 func serve(t *testing.T, h http.Handler) time.Duration {
 	t.Helper()
-	begun := time.Now()
+	start := time.Now()
 	w := httptest.NewRecorder()
 	r := httptest.NewRequestWithContext(context.Background(), http.MethodPost, wire.PathChat, strings.NewReader(prompt))
 	h.ServeHTTP(w, r)
 	if w.Code != http.StatusOK {
 		t.Fatalf("%d %s", w.Code, w.Body)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
-// TestPrefixCacheShortensTheFirstToken asks twice, with the clock of a bubble.
+// TestPrefixCacheShortensTheFirstToken sends a prompt twice, under the fake clock of synctest. Only
+// the first request takes the prefill time.
 func TestPrefixCacheShortensTheFirstToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &standin.Engine{Model: "m", Version: "v", Prefill: time.Second, Prefixes: 1, TokenPace: time.Millisecond}
--- a/daemon/standin/fault.go
+++ b/daemon/standin/fault.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// decodeFault reads a fault from an admin call and sets it.
+// decodeFault decodes the JSON body of an admin call and passes it to set.
 func decodeFault[F any](w http.ResponseWriter, r *http.Request, set func(F)) {
 	var f F
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
--- a/daemon/standin/platform.go
+++ b/daemon/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin has small stand-ins for what ladderridge talks to: the
+// Package standin has small fakes of the systems that ladderridge calls: the
 // platform's services, model engines and plain services. Tests, the demo and
-// measurements start them; faults are set by an admin call.
+// measurements start them. An admin call sets the faults that they inject.
 package standin
 
 import (
@@ -20,7 +20,7 @@
 	"ladderridge.example/daemon/platform"
 )
 
-// Admin paths of the platform stand-in.
+// Paths of the admin calls.
 const (
 	PathFaults  = "/admin/faults"
 	PathSetVMs  = "/admin/vms"
@@ -38,27 +38,27 @@
 	serviceRatings = "ratings"
 )
 
-// Platform is the stand-in for the platform's services. Use NewPlatform.
+// Platform is a fake of the platform's services. Use NewPlatform to create one.
 type Platform struct {
 	mu      sync.Mutex
 	keys    map[string]platform.Entry
 	sorted  []string
 	version uint64
 	objects map[string][]byte
-	lists   []datedList
+	lists   []vmListAt
 	ratings []platform.Rating
 	faults  map[string]platform.Fault
 	buckets map[string]limit.Bucket
 	stats   map[string]int64
 }
 
-// datedList is a VM list with the time from which it held.
-type datedList struct {
+// vmListAt is a VM list and the time from which it was valid.
+type vmListAt struct {
 	at   time.Time
 	list platform.VMList
 }
 
-// NewPlatform returns an empty platform.
+// NewPlatform returns a platform without keys, objects, VMs or ratings.
 func NewPlatform() *Platform {
 	return &Platform{
 		keys:    map[string]platform.Entry{},
@@ -66,7 +66,7 @@
 		faults:  map[string]platform.Fault{},
 		buckets: map[string]limit.Bucket{},
 		stats:   map[string]int64{},
-		lists:   []datedList{{}},
+		lists:   []vmListAt{{}},
 	}
 }
 
@@ -75,24 +75,24 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := p.lists[len(p.lists)-1].list
-	p.lists = append(p.lists, datedList{at: time.Now(), list: platform.VMList{Version: last.Version + 1, VMs: vms}})
+	p.lists = append(p.lists, vmListAt{at: time.Now(), list: platform.VMList{Version: last.Version + 1, VMs: vms}})
 }
 
-// SetFault replaces the fault of one service.
+// SetFault replaces the fault of the service f.Service.
 func (p *Platform) SetFault(f platform.Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[f.Service] = f
 }
 
-// Keys returns the entries with a prefix, in order of key.
+// Keys returns the table entries with a prefix, ordered by key.
 func (p *Platform) Keys(prefix string) []platform.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.list(prefix, "", len(p.keys))
 }
 
-// Stats returns how often each service was called.
+// Stats returns the number of calls by service and method, of table operations and of lost answers.
 func (p *Platform) Stats() map[string]int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,12 +102,12 @@
 // Handler serves the platform's HTTP interface and the admin calls.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+platform.PathTable, p.guard(serviceTable, p.getTable))
-	mux.HandleFunc("POST "+platform.PathTxn, p.guard(serviceTable, p.postTxn))
-	mux.HandleFunc("GET "+platform.PathObjects+"{name...}", p.guard(serviceObjects, p.getObject))
-	mux.HandleFunc("PUT "+platform.PathObjects+"{name...}", p.guard(serviceObjects, p.putObject))
-	mux.HandleFunc("GET "+platform.PathVMs, p.guard(serviceVMs, p.getVMs))
-	mux.HandleFunc("GET "+platform.PathRatings, p.guard(serviceRatings, p.getRatings))
+	mux.HandleFunc("GET "+platform.PathTable, p.withFaults(serviceTable, p.getTable))
+	mux.HandleFunc("POST "+platform.PathTxn, p.withFaults(serviceTable, p.postTxn))
+	mux.HandleFunc("GET "+platform.PathObjects+"{name...}", p.withFaults(serviceObjects, p.getObject))
+	mux.HandleFunc("PUT "+platform.PathObjects+"{name...}", p.withFaults(serviceObjects, p.putObject))
+	mux.HandleFunc("GET "+platform.PathVMs, p.withFaults(serviceVMs, p.getVMs))
+	mux.HandleFunc("GET "+platform.PathRatings, p.withFaults(serviceRatings, p.getRatings))
 	mux.HandleFunc("POST "+PathFaults, p.postFaults)
 	mux.HandleFunc("POST "+PathSetVMs, p.postVMs)
 	mux.HandleFunc("POST "+PathRate, p.postRating)
@@ -115,7 +115,7 @@
 	return mux
 }
 
-// answer is what a handler hands to guard, which may lose it.
+// answer is a handler's response. withFaults sends it, or drops it if the handler wrote data.
 type answer struct {
 	status int
 	body   any
@@ -123,8 +123,8 @@
 	wrote  bool
 }
 
-// guard applies the faults of a service around a handler.
-func (p *Platform) guard(service string, h func(*http.Request) answer) http.HandlerFunc {
+// withFaults wraps a handler so that it injects the faults of a service.
+func (p *Platform) withFaults(service string, h func(*http.Request) answer) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		f := p.faults[service]
@@ -144,7 +144,7 @@
 			return
 		}
 		a := h(r)
-		if a.wrote && p.loses(service) {
+		if a.wrote && p.dropsAnswer(service) {
 			panic(http.ErrAbortHandler)
 		}
 		write(w, a)
@@ -160,8 +160,9 @@
 	return wait, ok
 }
 
-// loses counts down the answers to lose.
-func (p *Platform) loses(service string) bool {
+// dropsAnswer reports whether to drop the next answer of a service, and counts the fault's
+// LoseAnswers down.
+func (p *Platform) dropsAnswer(service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f := p.faults[service]
--- a/daemon/standin/service.go
+++ b/daemon/standin/service.go
@@ -9,38 +9,39 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// Service is the stand-in for a plain service, such as a licence broker: each
-// call is counted by its request key and answered with its own body.
+// Service is a fake of a plain service, such as a licence broker. It counts
+// the calls by request key and echoes the body of each call.
 type Service struct {
 	ID string
 
-	mu       sync.Mutex
-	ran      map[string]int
-	hold     bool
-	released chan struct{}
-	leaving  bool
-	cut      int
-	soon     bool
-	rest     float64
-	arrived  int
+	mu              sync.Mutex
+	ran             map[string]int
+	hold            bool
+	released        chan struct{}
+	leaving         bool
+	cutAnswers      int
+	announceLeaving bool
+	backoffS        float64
+	received        int
 }
 
-// ServiceFault is what the admin call of the service stand-in sets.
+// ServiceFault is the fault that a Service injects, set by the admin call.
 type ServiceFault struct {
-	// Leaving makes the service decline new calls.
+	// Leaving makes the service decline new calls as if it were shutting down.
 	Leaving bool `json:"leaving"`
-	// CutAnswers runs that many calls but breaks their answers off.
+	// CutAnswers is the number of calls to execute whose connection is closed without an answer.
 	CutAnswers int `json:"cut_answers"`
 	// HoldAnswers delays every answer until it is set to false.
 	HoldAnswers bool `json:"hold_answers"`
-	// SaysLeaving makes the service say in its answers that it leaves; it serves on.
+	// SaysLeaving makes the service announce in its answers that it is shutting down. It still
+	// serves calls.
 	SaysLeaving bool `json:"says_leaving"`
-	// RestS makes the service turn all calls away and ask for so many seconds of rest, as
-	// any HTTP service may.
+	// RestS makes the service refuse all calls and ask for a back-off of that many seconds, as
+	// any HTTP service may do.
 	RestS float64 `json:"rest_s"`
 }
 
-// Handler serves every path, and the admin calls.
+// Handler returns the handler of the calls, on every path, and of the admin calls.
 func (s *Service) Handler() http.Handler {
 	s.ran = map[string]int{}
 	s.released = make(chan struct{})
@@ -69,26 +70,26 @@
 		close(s.released)
 		s.released = make(chan struct{})
 	}
-	s.hold, s.leaving, s.cut = f.HoldAnswers, f.Leaving, f.CutAnswers
-	s.soon, s.rest = f.SaysLeaving, f.RestS
+	s.hold, s.leaving, s.cutAnswers = f.HoldAnswers, f.Leaving, f.CutAnswers
+	s.announceLeaving, s.backoffS = f.SaysLeaving, f.RestS
 }
 
-// Arrived is how many calls have come, those that were turned away included.
+// Arrived returns the number of calls received, including those that were refused.
 func (s *Service) Arrived() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.arrived
+	return s.received
 }
 
-// arrive counts a call and returns what the service says of itself.
+// arrive counts a call and returns what the service announces in its answer.
 func (s *Service) arrive() (leaving bool, rest float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.arrived++
-	return s.soon, s.rest
+	s.received++
+	return s.announceLeaving, s.backoffS
 }
 
-// Runs returns how often each request key was run.
+// Runs returns the number of executions of each request key.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +106,8 @@
 	write(w, answer{status: http.StatusOK, body: wire.LoadReport{ID: s.ID, Leaving: s.leaving}})
 }
 
-// enter counts a call, unless the service is leaving.
+// enter counts the execution of a call and returns the faults in force. ok is false if the service
+// declines new calls.
 func (s *Service) enter(key string) (released chan struct{}, cut, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,8 +115,8 @@
 		return nil, false, false
 	}
 	s.ran[key]++
-	if s.cut > 0 {
-		s.cut--
+	if s.cutAnswers > 0 {
+		s.cutAnswers--
 		cut = true
 	}
 	if s.hold {
--- a/daemon/standin/site.go
+++ b/daemon/standin/site.go
@@ -12,19 +12,19 @@
 	"ladderridge.example/platform/standin"
 )
 
-// Site is a small site of the users' platform for trying gateways out: a store, model servers and a
-// plain service, with a configuration that routes to them.
+// Site is a small fake of the users' platform on which gateways can be tried out: a store, model
+// servers and a plain service, with a configuration that routes to them.
 type Site struct {
-	// StoreAddr is where the store listens.
+	// StoreAddr is the listen address of the store.
 	StoreAddr string
-	// ServerAddrs are where servers listen: the last one is the plain service,
-	// the others have models.
+	// ServerAddrs are the listen addresses of the servers. The last one is the plain
+	// service, the others are model servers.
 	ServerAddrs []string
-	// Hall is the data hall of all of them.
+	// Hall is the data hall of all servers.
 	Hall string
 }
 
-// The routes of a site, its host and its one key.
+// The host of a site, its only API key, and the prefixes and limits of its routes.
 const (
 	SiteHost   = "site.example"
 	SiteKey    = "key-of-the-site"
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// serve serves at an address until ctx ends.
+// serve runs an HTTP server at an address until ctx ends.
 func serve(ctx context.Context, addr string, h http.Handler) error {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", addr)
 	if err != nil {
@@ -84,28 +84,28 @@
 	return nil
 }
 
-// described is what an answer was that is not whole.
-func described(r standin.Reply) string {
+// describe returns a description of a failed or incomplete response.
+func describe(r standin.Reply) string {
 	switch {
 	case r.Status == 0:
-		return fmt.Sprintf("no answer: %v", r.Err)
+		return fmt.Sprintf("no response: %v", r.Err)
 	case r.Err != nil:
-		return fmt.Sprintf("status %d, cut: %v", r.Status, r.Err)
+		return fmt.Sprintf("status %d, interrupted: %v", r.Status, r.Err)
 	}
 	return fmt.Sprintf("status %d %s", r.Status, strings.TrimSpace(r.Body))
 }
 
-// Tally counts what callers of a site saw.
+// Tally counts the outcomes of the requests to a site.
 type Tally struct {
 	Sent    int
 	Whole   int
 	Refused int
-	// Others are the answers that were not whole, by what they were.
+	// Others counts the other outcomes, by their description.
 	Others map[string]int
 }
 
-// AskSite sends n requests to the gateways at some addresses in turn, every second
-// one a chat, and counts the whole answers.
+// AskSite sends n requests to the gateways at the addresses in turn and counts the
+// outcomes. Every second request is a chat.
 func AskSite(ctx context.Context, addrs []string, n int) Tally {
 	client := &http.Client{}
 	out := Tally{Others: map[string]int{}}
@@ -123,7 +123,7 @@
 		if r.NotRun() {
 			out.Refused++
 		}
-		out.Others[described(r)]++
+		out.Others[describe(r)]++
 	}
 	return out
 }
