--- a/soak/backend.go
+++ b/soak/backend.go
@@ -79,7 +79,7 @@
 	if b.service == modelStream {
 		r.Events, r.Confidence = streamed, map[string]int{smallModel: 40, largeModel: 90}
 	}
-	r.Observe = func(run standin.Run) {
+	r.OnRun = func(run standin.Run) {
 		b.site.oracle.ran(Ran{Run: run, Server: r.ID, Service: b.service, Version: b.version, Start: start, At: time.Now()})
 		if run.Body == deadlyBody {
 			go b.die()
