--- a/daemon/proxy/attempt.go
+++ b/daemon/proxy/attempt.go
@@ -299,7 +299,7 @@
 	case fault.Is(err, channel.Unreachable):
 		a.server.State.Unreachable(now)
 		if channel.ConnectionRefused(err) {
-			j.engine.serverEnded(instanceOf(a.server))
+			j.engine.serverExited(instanceOf(a.server))
 		}
 	default:
 		a.server.State.NoResponse(now)
--- a/daemon/proxy/engine_test.go
+++ b/daemon/proxy/engine_test.go
@@ -532,10 +532,11 @@
 	})
 }
 
-// The first part of a stream must be reported when it arrives, not at the end of the stream.
-// Otherwise a slow version is stopped too late: in one run, streams of some seconds whose first
-// parts had been late were in flight, and the faulty version still got requests 5037 ms after
-// its 50th bad response, half a second beyond the limit.
+// The first part of a stream must be reported when it arrives, not at the end of the stream:
+// meanwhile other callers get the same version. Otherwise a slow version is stopped up to half a
+// second too late. In one run, streams of some seconds whose first parts had been late were in
+// flight (41 responses, but only 27 first parts observed), and the faulty version still got a
+// request 5037 ms after its 50th bad response.
 func TestFirstPartIsObservedBeforeTheStreamEnds(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newFixture(t)
@@ -732,13 +733,13 @@
 			s.Hall = "away"
 			all = append(all, s)
 		}
-		home := b.server("z", whole(200, "ok"))
-		home.Hall = "home"
+		ownHall := b.server("z", whole(200, "ok"))
+		ownHall.Hall = "home"
 		for range 9 {
 			// The server in the daemon's own hall has more load.
-			home.State.Begin(1)
+			ownHall.State.Begin(1)
 		}
-		b.known.set(routemap.New(parts(1, "k")), append(all, home)...)
+		b.known.set(routemap.New(parts(1, "k")), append(all, ownHall)...)
 		got := b.send(t.Context(), proxy.Request{ID: "r", Path: "/again/x", Key: "k", Timeout: time.Second})
 		if seen := b.received(); got.body.String() != "ok" || len(seen) != 2 {
 			t.Errorf("outcome %v after %d attempts", got.outcome, len(seen))
--- a/daemon/proxy/notice_test.go
+++ b/daemon/proxy/notice_test.go
@@ -57,14 +57,14 @@
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				b := newFixture(t)
-				leaver := b.server("a", c.first)
+				leaving := b.server("a", c.first)
 				// The other server is busy, so that the first request goes to the leaving one.
 				other := b.server("b", c.other)
 				other.State.Begin(50)
-				b.known.set(routemap.New(parts(1, "k")), leaver, other)
+				b.known.set(routemap.New(parts(1, "k")), leaving, other)
 				b.send(t.Context(), proxy.Request{ID: "first", Path: c.path, Key: "k", Model: proxy.AnyModel, Timeout: time.Second})
-				if b.requestsAt("a") != 1 || leaver.Usable() {
-					t.Fatalf("server received %d requests, usable: %v", b.requestsAt("a"), leaver.Usable())
+				if b.requestsAt("a") != 1 || leaving.Usable() {
+					t.Fatalf("server received %d requests, usable: %v", b.requestsAt("a"), leaving.Usable())
 				}
 				b.sendTwenty("next", c.path)
 				if n := b.requestsAt("a"); n > 1 {
@@ -130,14 +130,14 @@
 func TestNoticeReceivedWhileConnectingCounts(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newFixture(t)
-		leaver, other := b.server("a", whole(200, "ok")), b.server("b", whole(200, "ok"))
+		leaving, other := b.server("a", whole(200, "ok")), b.server("b", whole(200, "ok"))
 		other.State.Begin(50)
-		b.known.set(routemap.New(parts(1, "k")), leaver, other)
+		b.known.set(routemap.New(parts(1, "k")), leaving, other)
 		dial := b.engine.Channels.Dial
 		b.engine.Channels.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			if addr == "a" {
 				time.Sleep(300 * time.Millisecond)
-				leaver.State.Notices.Observe(notice.Notice{Leaving: true}, time.Now())
+				leaving.State.Notices.Observe(notice.Notice{Leaving: true}, time.Now())
 			}
 			return dial(ctx, addr)
 		}
--- a/daemon/proxy/server_exit.go
+++ b/daemon/proxy/server_exit.go
@@ -56,7 +56,7 @@
 }
 
 // probe checks whether a server that closed a connection early is still running.
-func (e *Engine) probe(p quarantine.Instance) { e.Channels.Probe(e.runs, p, e.serverEnded) }
+func (e *Engine) probe(p quarantine.Instance) { e.Channels.Probe(e.runs, p, e.serverExited) }
 
 func (e *Engine) probeLater(p quarantine.Instance) { time.AfterFunc(probeDelay, func() { e.probe(p) }) }
 
@@ -72,9 +72,9 @@
 	}
 }
 
-// serverEnded counts the requests that were in flight at a server that exited unexpectedly.
+// serverExited counts the requests that were in flight at a server that exited unexpectedly.
 // Nothing is counted for a server that was due to leave or is no longer listed.
-func (e *Engine) serverEnded(p quarantine.Instance) {
+func (e *Engine) serverExited(p quarantine.Instance) {
 	now := time.Now()
 	contents := e.runs.TakeSuspects(p, now)
 	if len(contents) == 0 || !e.StoreSync.View().Serves(p.Server) {
--- a/daemon/proxy/stream.go
+++ b/daemon/proxy/stream.go
@@ -100,8 +100,8 @@
 	larger := j.engine.latencies.get(j.latencyKeyOf(j.route.Cascade[j.step.Next().Index]))
 	l := cascade.Load{InTime: larger.ProbabilityWithin(j.request.size(), j.request.Arrived.Add(objective).Sub(now), now)}
 	if objective > 0 {
-		usual := j.engine.latencies.get(j.latencyKeyOf(j.model())).Mean(now)
-		l.WaitShare = cascade.WaitShare(now.Sub(a.sent), usual, objective)
+		mean := j.engine.latencies.get(j.latencyKeyOf(j.model())).Mean(now)
+		l.WaitShare = cascade.WaitShare(now.Sub(a.sent), mean, objective)
 		l.Delay = j.delayToOthers(a, objective)
 	}
 	return l
