--- a/demo/demo.sh
+++ b/demo/demo.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Serves requests from end to end by separate processes on loopback: a platform
-# stand-in, two versions of a model, one plain service and three daemons in two
-# data halls. Edits the table while requests run, and ends 0 only if the counts
-# agree. Ends what it started, also when it fails.
+# End-to-end demo on loopback, with separate processes: a platform stand-in, two
+# versions of a model, one plain service and three daemons in two data halls.
+# Edits the table while requests run. Exits 0 only if the counts of sent, answered
+# and billed requests agree. Stops all processes that it started, also on failure.
 set -eu
 
 here=$(cd "$(dirname "$0")" && pwd)
@@ -24,36 +24,36 @@
 }
 trap finish EXIT
 
-tell_why() { # the errors of all processes, which the closing lines of their logs hide
+tell_why() { # prints errors from all logs: the last lines of a log are from the shutdown and rarely show the cause
 	ls "$work"/*.log >/dev/null 2>&1 || return 0
-	echo "the demo failed; what its processes said was wrong:"
-	(cd "$work" && grep -HE '"level":"(warn|error|fatal)"|[Ee]rror|address already in use' ./*.log | tail -n 30) || echo "no process said so"
+	echo "the demo failed; warnings and errors in the logs of its processes:"
+	(cd "$work" && grep -HE '"level":"(warn|error|fatal)"|[Ee]rror|address already in use' ./*.log | tail -n 30) || echo "none found"
 	(cd "$work" && grep -HE '^refused [a-z_]+:' ./*.txt) || true
 }
 
-free() { # ADDRESS...: fails with the name of the first one that is taken
+free() { # ADDRESS...: fails if one is in use, and names the first such address
 	local addr
 	for addr in "$@"; do
 		if (exec 3<>"/dev/tcp/${addr%:*}/${addr#*:}") 2>/dev/null; then
-			echo "$addr is taken: end what listens there and start the demo again" >&2
+			echo "$addr is already in use: stop the process that listens there and start the demo again" >&2
 			return 1
 		fi
 	done
 }
 
-start() { # NAME COMMAND...: starts a stand-in
+start() { # NAME COMMAND...: starts a stand-in in the background, with its output in NAME.log
 	local name=$1
 	shift
 	"$@" >"$work/$name.log" 2>&1 &
 	pids+=($!)
 }
 
-until_ok() { # COMMAND...: waits until it succeeds, 20 s at most
+until_ok() { # COMMAND...: runs it every 0.1 s until it succeeds; fails after 200 attempts (20 s)
 	for _ in $(seq 200); do
 		"$@" >"$work/last.out" 2>&1 && return 0
 		sleep 0.1
 	done
-	echo "gave up waiting for: $*; it said last:" >&2
+	echo "command did not succeed in 200 attempts: $*; its last output:" >&2
 	cat "$work/last.out" >&2
 	return 1
 }
@@ -64,7 +64,7 @@
 
 free $platform 127.0.0.1:1910{1,2,3} 127.0.0.1:192{0,1}{1,2,3} 127.0.0.1:1930{0,1,2,3} 127.0.0.1:193{1,2,3}{1,2}
 
-say "keys, settings and the table"
+say "creating keys, settings and the table"
 voluntas_key=demo-key-of-voluntas
 licence_key=demo-key-of-the-licence-desk
 "$bin/ladderridge" keys authority --dir "$work"
@@ -104,7 +104,7 @@
 done
 echo "$vms]" >"$work/vms.json"
 
-say "three stand-ins, the platform and three daemons"
+say "starting three stand-ins, the platform and three daemons"
 start platform "$bin/ladderridge" standin platform --listen $platform --vms "$work/vms.json"
 start engine-v1 "$bin/ladderridge" standin engine --listen 127.0.0.1:19101 --id engine-v1 --model roster --model-version v1 --pace 2ms
 start engine-v2 "$bin/ladderridge" standin engine --listen 127.0.0.1:19102 --id engine-v2 --model roster --model-version v2 --pace 2ms
@@ -133,7 +133,7 @@
 }
 senders=()
 
-say "two organisations, streamed and not, by sessions, while the weights are edited"
+say "requests of two organisations, streamed, not streamed and in sessions, while the weights are edited"
 send voluntas-stream --key $voluntas_key --model roster --stream -n 300 --workers 6 --pause 20ms
 send voluntas-session --key $voluntas_key --model roster -n 200 --workers 4 --sessions 40 --pause 20ms
 send licence --key $licence_key --model auto -n 200 --workers 4 --pause 20ms
@@ -141,10 +141,10 @@
 "$bin/ladderridge" table diff "$work/table-2.csv"
 "$bin/ladderridge" table apply --from 1 --note "v2 gets 90%" "$work/table-2.csv"
 
-say "a stale edit is refused, with what the other operator changed"
+say "an edit of an outdated table is refused and shows the changes of the other operator"
 if "$bin/ladderridge" table apply --from 1 --note "too late" "$work/table-1.csv"; then exit 1; fi
 
-say "a call that may not be repeated, sent twice under one key"
+say "a call that may not be repeated, sent twice with the same idempotency key"
 call() { "$bin/ladderridge" call "http://127.0.0.1:1920$1/services/lic-broker/checkout" --key $licence_key -H "Idempotency-Key: seat-17" -d seat=17; }
 call 1
 call 3
@@ -160,18 +160,18 @@
 "$bin/ladderridge" load --target $callers --key $voluntas_key --model roster -n 60 --workers 2 >"$work/voluntas-last.txt"
 "$bin/ladderridge" table history
 
-say "why some requests went where they did"
+say "the routing decisions of some requests, explained"
 for name in voluntas-stream voluntas-session licence voluntas-last; do
 	request=$(sed -n 's/^request: //p' "$work/$name.txt" | tail -n 1)
 	"$bin/ladderridge" explain "$request"
 done
 
-say "a planned stop"
+say "planned stop of the daemons"
 for pid in "${daemons[@]}"; do kill -TERM "$pid"; done
 for pid in "${daemons[@]}"; do wait "$pid"; done
 daemons=()
 
-say "gateways: a platform that hands out the configuration, and a planned stop of one of two"
+say "gateways configured by a platform stand-in, and the planned stop of one of two under load"
 start site "$bin/ladderridge" standin site --store 127.0.0.1:19300 --servers 127.0.0.1:19301,127.0.0.1:19302,127.0.0.1:19303
 for n in 1 2; do
 	cat >"$work/gateway-$n.ini" <<INI
@@ -200,7 +200,7 @@
 wait "${daemons[1]}"
 daemons=()
 
-say "the closing count"
+say "final counts"
 sent=0 whole=0 refused=0
 for name in voluntas-stream voluntas-session licence voluntas-after voluntas-last; do
 	sent=$((sent + $(field sent "$work/$name.txt")))
