--- a/measure/bench.sh
+++ b/measure/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Prints the figures of a single daemon and of the decisions as
-# `name: value unit`.
+# Runs the benchmarks of routing decisions and of a single daemon, and prints their
+# figures as `name: value unit`.
 set -eu
 cd "$(dirname "$0")/.."
 (cd core && go test ./route -run '^$' -bench Decide -benchmem) |
--- a/measure/capacity.sh
+++ b/measure/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures what daemons use for control and rewrites the table of slopes in
-# docs/CAPACITY.md. Takes about six minutes; nothing else should run.
+# Measures the resources that daemons use for control traffic, and rewrites the table of
+# slopes in docs/CAPACITY.md. Takes about six minutes, on an otherwise idle machine.
 set -eu
 cd "$(dirname "$0")/../daemon"
 out=$(mktemp)
--- a/measure/days.bash
+++ b/measure/days.bash
@@ -1,16 +1,18 @@
-# Functions of the scripts that draw days and play them, sourced by them. They use
-# bench, site, keep, service, twin, plan and faults, and SMALL and JOBS of the environment.
+# Functions that generate random days (fault-injection scenarios) and run them on the
+# bench. Sourced by pairs.sh and restarts.sh. They use the variables bench, site, keep,
+# service, twin, plan and faults of the script, and SMALL and JOBS of the environment.
 
-# A command substitution seeds RANDOM anew: what draws returns its result in a variable, so
-# that the same seed draws the same day.
+# A command substitution reseeds RANDOM. Functions that use RANDOM therefore return their
+# result in a variable, so that the same seed gives the same day.
 
-# between draws a number between two bounds, in hundredths, into number.
+# between sets number to a random value between two bounds, rounded to hundredths.
 between() {
 	local r=$RANDOM
 	number=$(awk -v a="$1" -v b="$2" -v r="$r" 'BEGIN{printf "%.2f", a+(b-a)*r/32767}')
 }
 
-# fill fills in the numbers of an entry, into entry: %A-B% is drawn between A and B.
+# fill sets entry to a template with SERVICE replaced by the service and each %A-B% by a
+# random number between A and B.
 fill() {
 	entry=${1//SERVICE/$service}
 	local range
@@ -21,14 +23,14 @@
 	done
 }
 
-# add puts an entry at a time into plan or faults, as its first word says.
+# add appends an entry with its time to plan or faults, as the part before | says.
 add() {
 	local at=$1 entry
 	fill "${2#*|}"
 	if [[ $2 == plan* ]]; then plan+="{ at = $at, $entry }, "; else faults+="{ at = $at, $entry }, "; fi
 }
 
-# write_day writes a day to a file: its name, seed, length in seconds, plan and faults.
+# write_day FILE NAME SEED LENGTH PLAN FAULTS writes a day to a file; LENGTH is in seconds.
 write_day() {
 	local file=$1 name=$2 seed=$3 length=$4 plan=$5 faults=$6
 	{
@@ -39,7 +41,7 @@
 	} >"$file"
 }
 
-# play plays a day that was written to KEEP/NAME.toml and prints a line of it.
+# play NAME SEED runs the day in KEEP/NAME.toml and prints its result in one line.
 play() {
 	local name=$1 seed=$2 file=$keep/$1.toml out=$keep/$1.out
 	"$bench" run "$site" "$file" --seed "$seed" --no-cpu ${SMALL:+--small} >"$out" 2>&1 || true
@@ -49,8 +51,8 @@
 	echo
 }
 
-# play_all draws and plays the days of some seeds, JOBS at once, with the function named by
-# the first argument, and counts those with a rule broken.
+# play_all DRAW PREFIX DRAWS FIRST generates DRAWS days with the function DRAW and the seeds
+# from FIRST on, runs JOBS of them at once, and counts those on which a rule was broken.
 play_all() {
 	local draw=$1 prefix=$2 draws=$3 first=$4 seed
 	for ((seed = first; seed < first + draws; seed++)); do
--- a/measure/fuzz.sh
+++ b/measure/fuzz.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Long runs with random seeds: the property tests, and each fuzz target.
-# FUZZTIME (default 1m) is how long each target runs, CHECKS how many cases.
+# Runs the property tests with a random seed, then each fuzz target. CHECKS (default
+# 2000) is the number of cases of each property, FUZZTIME (default 1m) the duration of
+# each fuzz target.
 set -eu
 cd "$(dirname "$0")/.."
 seed=$(od -An -N6 -tu8 /dev/urandom | tr -d ' ')
--- a/measure/pairs.sh
+++ b/measure/pairs.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Plays days on which two or three impairments come together, drawn with their
-# strengths and times, and lists those on which a rule is broken.
+# Runs random days, each with a combination of two or three impairments of random
+# strength and time, and reports on which of them a rule is broken.
 #
 #   measure/pairs.sh BENCH SITE [DRAWS [FIRST]]
 #
-# BENCH is the bench's program, SITE a site file; DRAWS days are played (100), with the
-# seeds from FIRST on (1): the same seed draws the same day. JOBS at once (4); SMALL=1
-# plays the small twins of a large site. COLD=1 adds to each day an evacuated hall or
-# servers that return cold, where the site has them. The days are kept in KEEP (bin/pairs).
+# BENCH is the bench's program and SITE a site file. DRAWS is the number of days (default
+# 100), FIRST the first seed (default 1); the same seed gives the same day. JOBS days run
+# at once (default 4). SMALL=1 runs the small variant of a large site. COLD=1 adds to each
+# day an evacuated hall, or servers that return cold or crash. Days and outputs are kept
+# in the folder KEEP (default bin/pairs).
 set -eu
 bench=$1 site=$2 draws=${3:-100} first=${4:-1}
 cd "$(dirname "$0")/.."
@@ -16,9 +17,9 @@
 service=$(grep -oE 'name = "[^"]+", model = "llm"' "$site" | head -1 | cut -d'"' -f2)
 twin=$(grep -m1 '^small = ' "$site" || true)
 
-# kinds are what is drawn from: list, fields, and by % the bounds of a number that is
-# drawn with steps of a hundredth. Of the first ones, the roll-outs, one is drawn for
-# three days of four.
+# Templates of impairments: the list that the entry belongs to, |, and its fields. %A-B%
+# stands for a random number between A and B, rounded to hundredths. Three days of four
+# get one of rollouts and one or two of others; the remaining days get two of others.
 rollouts=(
 	'plan|kind="rollout_bad",service="SERVICE",how="errors",share=%0.1-0.6%,for_s=%14-24%'
 	'plan|kind="rollout_bad",service="SERVICE",how="slow",share=%0.2-1%,x=%3-8%,for_s=%14-24%'
@@ -55,7 +56,8 @@
 	'plan|kind="scale_in",share=%0.1-0.3%'
 )
 
-# cold are drawn from besides with COLD, so that a seed draws the same day without it.
+# Further templates, used only with COLD and chosen last, so that a seed gives otherwise
+# the same day with and without COLD.
 cold=(
 	'plan|kind="evacuate",for_s=%4-9%'
 	'plan|kind="evacuate",how="warm",for_s=%4-9%'
@@ -66,7 +68,7 @@
 
 . measure/days.bash
 
-# day draws a day by its seed and writes it to a file.
+# day SEED FILE generates the day of a seed and writes it to a file.
 day() {
 	local seed=$1 file=$2 plan='' faults='' n kind
 	RANDOM=$seed
--- a/measure/policy.sh
+++ b/measure/policy.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures the decisions against baselines, in modelled time; writes CSV files
-# and plots to docs/policy.
+# Compares routing decisions with baselines in simulated time, and writes CSV files and
+# plots to docs/policy.
 set -eu
 cd "$(dirname "$0")/../daemon"
 mkdir -p ../docs/policy
--- a/measure/restarts.sh
+++ b/measure/restarts.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Plays short days on which most requests of a service fail while daemons are ended and
-# started again, some times in a row, and lists those on which a rule is broken.
+# Runs random short days on which most requests of a service fail while daemons are
+# stopped and restarted several times, and reports on which of them a rule is broken.
 #
 #   measure/restarts.sh BENCH SITE [DRAWS [FIRST]]
 #
-# BENCH, SITE, DRAWS, FIRST, JOBS, SMALL and KEEP (bin/restarts) are as for pairs.sh.
-# TROUBLES other impairments come besides (3). EVERY=S ends all daemons every S seconds
-# instead of two to four times. QUIET=1 ends none.
+# BENCH, SITE, DRAWS, FIRST, JOBS, SMALL and KEEP (default bin/restarts) are as for
+# pairs.sh. TROUBLES is the number of other impairments (default 3). EVERY=S kills all
+# daemons every S seconds instead of stopping some two to four times. QUIET=1 stops none.
 set -eu
 bench=$1 site=$2 draws=${3:-100} first=${4:-1}
 cd "$(dirname "$0")/.."
@@ -46,7 +46,7 @@
 )
 plan='' faults=''
 
-# draw draws a day by its seed and writes it to a file.
+# draw SEED FILE generates the day of a seed and writes it to a file.
 draw() {
 	local seed=$1 file=$2 at from span n end
 	RANDOM=$seed
