--- a/daemon/scenario/bench_measure_test.go
+++ b/daemon/scenario/bench_measure_test.go
@@ -20,8 +20,8 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// engineProcess starts an engine stand-in as a process of its own, so that its
-// work does not count as the daemon's or the load's.
+// engineProcess starts a stand-in engine in a process of its own, so that its CPU time does
+// not count as that of the daemon or of the load generator.
 func (c *cluster) engineProcess(id, version string) {
 	tool := filepath.Join(c.dir, "ladderridge")
 	if out, err := exec.Command("go", "build", "-o", tool, "../cmd/ladderridge").CombinedOutput(); err != nil {
@@ -39,31 +39,31 @@
 	c.vms = append(c.vms, platform.VM{ID: id, Role: platform.RoleEngine, Hall: c.hall(0), Addr: addr})
 }
 
-// plan is the load that is sent directly and through a daemon in turn.
-func plan(target string, echo bool, workers, requests int) *load.Plan {
+// newPlan returns a load plan for one target: an engine, if echo is set, or a daemon.
+func newPlan(target string, echo bool, workers, requests int) *load.Plan {
 	return &load.Plan{Targets: []string{target}, Key: otherKey, Model: "roster", MaxTokens: 4, Requests: requests, Workers: workers, EngineTargets: echo}
 }
 
-// TestBenchLatency measures what a daemon adds to an engine stand-in's latency,
-// and how many requests a core of the daemon carries: direct and routed load in
-// turn, in one run.
+// TestBenchLatency measures the latency that a daemon adds to that of a stand-in engine, and
+// the requests a second that one core of the daemon handles. Direct and routed load alternate
+// within one run.
 func TestBenchLatency(t *testing.T) {
-	// The second daemon holds copies of the first one's bills.
+	// The second daemon keeps copies of the first daemon's bills.
 	c := &cluster{t: t, halls: 1, backends: 0}
-	c.begin(2)
+	c.start(2)
 	c.engineProcess("engine-x", "v1")
 	c.platform.SetVMs(c.vms)
 	direct, routed := "http://"+c.vms[len(c.vms)-1].Addr, "http://"+c.daemons["entry-0"].callers
-	c.await("the daemon knows the engine", func() bool {
-		return plan(routed, false, 1, 1).Run(context.Background()).Complete == 1
+	c.await("the daemon routes to the engine", func() bool {
+		return newPlan(routed, false, 1, 1).Run(context.Background()).Complete == 1
 	})
 	const rounds = 5
 	var d50, d99, r50, r99, ratio []float64
 	for range rounds {
-		d := plan(direct, true, 1, 3000).Run(context.Background())
-		r := plan(routed, false, 1, 3000).Run(context.Background())
+		d := newPlan(direct, true, 1, 3000).Run(context.Background())
+		r := newPlan(routed, false, 1, 3000).Run(context.Background())
 		if d.Complete != d.Sent || r.Complete != r.Sent {
-			t.Fatalf("answered whole: %d of %d direct, %d of %d routed", d.Complete, d.Sent, r.Complete, r.Sent)
+			t.Fatalf("complete answers: %d of %d direct, %d of %d routed", d.Complete, d.Sent, r.Complete, r.Sent)
 		}
 		d50 = append(d50, float64(d.Total.ValueAtQuantile(50)))
 		d99 = append(d99, float64(d.Total.ValueAtQuantile(99)))
@@ -79,23 +79,23 @@
 	figure("latency added p99", median(r99)-median(d99), "us")
 	figure("latency ratio p50", median(ratio), "routed/direct")
 	before := c.daemons["entry-0"].cpu(t)
-	r := plan(routed, false, 16, 30_000).Run(context.Background())
+	r := newPlan(routed, false, 16, 30_000).Run(context.Background())
 	used := c.daemons["entry-0"].cpu(t) - before
 	figure("throughput routed, 16 workers", float64(r.Sent)/r.Elapsed.Seconds(), "requests/s")
 	figure("throughput per core of the daemon", float64(r.Complete)/used, "requests/s")
-	d := plan(direct, true, 16, 30_000).Run(context.Background())
+	d := newPlan(direct, true, 16, 30_000).Run(context.Background())
 	figure("throughput direct, 16 workers", float64(d.Sent)/d.Elapsed.Seconds(), "requests/s")
-	p := plan(routed, false, 16, 2000)
+	p := newPlan(routed, false, 16, 2000)
 	p.Stream, p.MaxTokens = true, 200
 	before = c.daemons["entry-0"].cpu(t)
 	s := p.Run(context.Background())
 	figure("tokens streamed per core of the daemon", float64(s.Tokens)/(c.daemons["entry-0"].cpu(t)-before), "tokens/s")
 }
 
-// TestBenchMemoryPerStream measures the memory of open streams.
+// TestBenchMemoryPerStream measures the memory that a daemon uses for each open stream.
 func TestBenchMemoryPerStream(t *testing.T) {
 	c := &cluster{t: t, halls: 1, backends: 2}
-	c.begin(1)
+	c.start(1)
 	e := c.engines["engine-0"]
 	e.SetFault(standin.EngineFault{HoldAnswers: true})
 	before := c.daemons["entry-0"].memory(t)
@@ -103,7 +103,7 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: streams}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p := plan("http://"+c.daemons["entry-0"].callers, false, streams, streams)
+	p := newPlan("http://"+c.daemons["entry-0"].callers, false, streams, streams)
 	p.Stream, p.HTTP, p.Model = true, client, v1.String()
 	done := make(chan load.Result, 1)
 	go func() { done <- p.Run(ctx) }()
@@ -114,19 +114,18 @@
 	figure("memory per open stream", 1024*(c.daemons["entry-0"].memory(t)-before)/streams, "KB")
 	e.SetFault(standin.EngineFault{})
 	if r := <-done; r.Complete != streams {
-		t.Errorf("%d of %d streams are whole", r.Complete, streams)
+		t.Errorf("%d of %d streams are complete", r.Complete, streams)
 	}
 }
 
-// tableCalls is what the platform's table service has been asked.
+// tableCalls returns the numbers of transactions and of operations of the platform's table service.
 func (c *cluster) tableCalls() (calls, ops float64) {
 	stats := c.platform.Stats()
 	return float64(stats["table POST"]), float64(stats["table ops"])
 }
 
-// TestBenchPlatformCalls counts the transactions that each kind of request
-// costs the platform, at 30 requests a second of one daemon: the rate of each
-// of 400 daemons at the peak.
+// TestBenchPlatformCalls counts the platform transactions for each kind of request at 30
+// requests a second, the peak rate of each of 400 daemons.
 func TestBenchPlatformCalls(t *testing.T) {
 	c := newCluster(t, 2)
 	kinds := []struct {
@@ -146,16 +145,16 @@
 	const requests = 300
 	for _, k := range kinds {
 		calls, ops := c.tableCalls()
-		billed := c.bills()
+		billed := c.billCount()
 		for i := range requests {
 			if a := k.do(i); a.status != http.StatusOK {
 				t.Fatalf("%s: %d %s", k.name, a.status, a.body)
 			}
 			time.Sleep(time.Second / 30)
 		}
-		c.await("all are billed and settled", func() bool {
+		c.await("all requests are billed and their claims settled", func() bool {
 			d, err := c.dump("entry-0")
-			return err == nil && d.SettlingClaims == 0 && c.bills() == billed+requests
+			return err == nil && d.SettlingClaims == 0 && c.billCount() == billed+requests
 		})
 		calls2, ops2 := c.tableCalls()
 		figure("platform transactions, "+k.name, 1000*(calls2-calls)/requests, "transactions per 1000 requests")
@@ -163,7 +162,7 @@
 	}
 }
 
-// TestBenchPlannedStop measures a planned stop with streams open.
+// TestBenchPlannedStop measures a graceful shutdown with open streams.
 func TestBenchPlannedStop(t *testing.T) {
 	c := newCluster(t, 2)
 	const streams, tokens = 200, 100
@@ -172,7 +171,7 @@
 	}
 	var open []<-chan answer
 	for range streams {
-		open = append(open, begin(func() answer {
+		open = append(open, inBackground(func() answer {
 			return c.do("entry-0", http.MethodPost, wire.PathChat, chatBody(v1.String(), true, tokens))
 		}))
 	}
@@ -184,48 +183,48 @@
 	c.signal("entry-0", syscall.SIGTERM)
 	cut := 0
 	for _, w := range open {
-		if err := wholeStream(<-w, v1, tokens); err != nil {
+		if err := checkStream(<-w, v1, tokens); err != nil {
 			cut++
 		}
 	}
 	lastAnswer := time.Since(begun)
-	c.ended("entry-0")
+	c.awaitExit("entry-0")
 	figure("planned stop, streams cut", float64(cut), "streams of 200")
 	figure("planned stop, from signal to last answer", lastAnswer.Seconds(), "s")
 	figure("planned stop, from last answer to exit", time.Since(begun).Seconds()-lastAnswer.Seconds(), "s")
-	c.await("the bills are there", func() bool { return len(c.platform.Keys(control.BillPrefix)) == streams })
+	c.await("the platform has a bill for each stream", func() bool { return len(c.platform.Keys(control.BillPrefix)) == streams })
 }
 
 func init() {
 	if _, err := os.Stat("/proc/self/stat"); err != nil {
-		panic("the measurements read /proc")
+		panic("the measurements need /proc")
 	}
 }
 
-// TestBenchFailureRuns counts what became of requests over runs with faults.
+// TestBenchFailureRuns counts the outcomes of requests in runs with injected faults.
 func TestBenchFailureRuns(t *testing.T) {
 	const runs, faults = 3, 12
-	var sum chaosTally
+	var sum chaosCounts
 	for seed := range uint64(runs) {
 		got := runChaos(t, 100+seed, faults)
 		sum.faults += got.faults
 		sum.answered += got.answered
 		sum.refused += got.refused
-		sum.broken += got.broken
-		sum.doubled += got.doubled
+		sum.interrupted += got.interrupted
+		sum.duplicated += got.duplicated
 		sum.falselyNotRun += got.falselyNotRun
 		sum.moved += got.moved
 		sum.unbilled += got.unbilled
-		sum.odd += got.odd
+		sum.wrong += got.wrong
 	}
 	figure("failure runs", runs, "runs")
 	figure("failure runs, faults", float64(sum.faults), "faults")
 	figure("failure runs, answered whole", float64(sum.answered), "requests")
 	figure("failure runs, refused", float64(sum.refused), "requests")
-	figure("failure runs, broken off by a daemon's death", float64(sum.broken), "requests")
-	figure("failure runs, ran twice", float64(sum.doubled), "requests")
+	figure("failure runs, broken off by a daemon's death", float64(sum.interrupted), "requests")
+	figure("failure runs, ran twice", float64(sum.duplicated), "requests")
 	figure("failure runs, said not run but ran", float64(sum.falselyNotRun), "requests")
 	figure("failure runs, sessions moved", float64(sum.moved), "requests")
 	figure("failure runs, answered and not billed", float64(sum.unbilled), "requests")
-	figure("failure runs, wrong answers", float64(sum.odd), "requests")
+	figure("failure runs, wrong answers", float64(sum.wrong), "requests")
 }
--- a/daemon/scenario/capacity_measure_test.go
+++ b/daemon/scenario/capacity_measure_test.go
@@ -14,14 +14,14 @@
 	"ladderridge.example/core/table"
 )
 
-// The lengths of the measurements.
+// Durations of the warm-up and of a measurement, and the number of measured table edits.
 const (
-	warmUp   = 12 * time.Second
-	measured = 20 * time.Second
-	edits    = 5
+	warmUp      = 12 * time.Second
+	measureTime = 20 * time.Second
+	editCount   = 5
 )
 
-// ticksPerSecond is the unit of processor time in /proc.
+// ticksPerSecond is the number of clock ticks a second in which /proc counts CPU time.
 const ticksPerSecond = 100
 
 func (d *daemon) proc(t *testing.T, file string) string {
@@ -32,7 +32,7 @@
 	return string(data)
 }
 
-// cpu is the processor time that a daemon has used, in seconds.
+// cpu returns the CPU time that the daemon has used, in seconds.
 func (d *daemon) cpu(t *testing.T) float64 {
 	stat := d.proc(t, "stat")
 	fields := strings.Fields(stat[strings.LastIndex(stat, ")")+1:])
@@ -41,7 +41,7 @@
 	return (user + system) / ticksPerSecond
 }
 
-// memory is a daemon's resident memory, in megabytes.
+// memory returns the daemon's resident memory in MiB.
 func (d *daemon) memory(t *testing.T) float64 {
 	for line := range strings.SplitSeq(d.proc(t, "status"), "\n") {
 		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
@@ -52,7 +52,8 @@
 	return 0
 }
 
-// sample is what one daemon has used so far.
+// sample has the CPU time in seconds, the peer and platform traffic in bytes, and the platform
+// calls of one daemon since its start.
 type sample struct {
 	cpu      float64
 	peers    float64
@@ -84,21 +85,21 @@
 	return xs[len(xs)/2]
 }
 
-// figure prints one measured figure.
+// figure prints one result as a line that the scripts in measure/ read.
 func figure(name string, value float64, unit string) {
 	fmt.Printf("%s: %.4g %s\n", name, value, unit)
 }
 
-// TestCapacityOfDaemons measures what a daemon without traffic uses for
-// control, with 7 to 100 daemons in 4 data halls.
+// TestCapacityOfDaemons measures the control overhead of a daemon without traffic, with 7
+// to 100 daemons in 4 data halls.
 func TestCapacityOfDaemons(t *testing.T) {
 	for _, n := range daemonCounts() {
 		c := &cluster{t: t, halls: 4, backends: 4}
-		c.begin(n)
+		c.start(n)
 		time.Sleep(warmUp)
 		before := c.sampleAll()
 		begun := time.Now()
-		time.Sleep(measured)
+		time.Sleep(measureTime)
 		after := c.sampleAll()
 		seconds := time.Since(begun).Seconds()
 		var cpu, peers, platform, memory []float64
@@ -123,23 +124,23 @@
 		c.measureEdits(name)
 		c.stop()
 		for id := range c.daemons {
-			c.ended(id)
+			c.awaitExit(id)
 		}
 	}
 }
 
-// measureEdits measures the time from an edit's acceptance until the table is
-// in force on the last daemon, by the daemons' logs.
+// measureEdits measures the time from the acceptance of a table edit until the last daemon
+// logs that the new table is in force.
 func (c *cluster) measureEdits(name string) {
 	var took []float64
-	for i := range edits {
+	for i := range editCount {
 		t := baseTable()
 		t.Allows[0].Weight = i + 2
 		c.apply(t)
 		accepted := time.Now()
 		last := accepted
 		for _, d := range c.daemons {
-			if at := c.loggedForce(d); at.After(last) {
+			if at := c.loggedInForceAt(d); at.After(last) {
 				last = at
 			}
 		}
@@ -149,11 +150,11 @@
 	figure(name+"edit in force most", slices.Max(took), "s")
 }
 
-// loggedForce is when a daemon logged that the newest table is in force.
-func (c *cluster) loggedForce(d *daemon) time.Time {
-	mark := fmt.Sprintf("generation=%d control: a table is in force", c.number)
+// loggedInForceAt returns the time at which a daemon logged that the newest table is in force.
+func (c *cluster) loggedInForceAt(d *daemon) time.Time {
+	mark := fmt.Sprintf("generation=%d control: a table is in force", c.generation)
 	var at time.Time
-	c.await("the log of "+d.id+" says so", func() bool {
+	c.await("the log of "+d.id+" shows the table in force", func() bool {
 		for line := range strings.SplitSeq(d.log.String(), "\n") {
 			if strings.Contains(line, mark) {
 				at, _ = time.Parse("2006-01-02T15:04:05.000Z07:00", strings.Fields(line)[0])
@@ -165,25 +166,25 @@
 	return at
 }
 
-// TestCapacityOfBackends measures what a daemon's knowledge of backend servers
-// costs, without traffic: all of them are in its own data hall.
+// TestCapacityOfBackends measures the overhead of a daemon without traffic by the number of
+// backend servers, all in its own data hall.
 func TestCapacityOfBackends(t *testing.T) {
 	for _, n := range []int{4, 60, 180, 720} {
 		c := &cluster{t: t, halls: 1, backends: n}
-		c.begin(1)
+		c.start(1)
 		time.Sleep(warmUp / 2)
 		before := c.sample("entry-0")
-		time.Sleep(measured)
+		time.Sleep(measureTime)
 		after := c.sample("entry-0")
 		name := fmt.Sprintf("backend servers %d ", n)
-		figure(name+"control cpu", 100*(after.cpu-before.cpu)/measured.Seconds(), "% of a core")
+		figure(name+"control cpu", 100*(after.cpu-before.cpu)/measureTime.Seconds(), "% of a core")
 		figure(name+"memory", c.daemons["entry-0"].memory(t), "MB")
 		c.stop()
-		c.ended("entry-0")
+		c.awaitExit("entry-0")
 	}
 }
 
-// TestCapacityOfRows measures what a table row costs in time and memory.
+// TestCapacityOfRows measures the encoded size of a table row and the time and memory to parse it.
 func TestCapacityOfRows(t *testing.T) {
 	for _, n := range []int{100, 1000, 10_000} {
 		data := wideTable(n).Encode()
@@ -202,7 +203,7 @@
 	}
 }
 
-// wideTable has n rows: organisations with ten versions each.
+// wideTable returns a table of about n rows: organisations that may each use ten versions.
 func wideTable(n int) *table.Table {
 	var t table.Table
 	for i := range 10 {
@@ -218,8 +219,8 @@
 	return table.New(t)
 }
 
-// daemonCounts are the numbers of daemons to measure: LADDERRIDGE_COUNTS, or
-// 7 to 100.
+// daemonCounts returns the numbers of daemons to measure: LADDERRIDGE_COUNTS, by default 7 to
+// 100.
 func daemonCounts() []int {
 	text := os.Getenv("LADDERRIDGE_COUNTS")
 	if text == "" {
--- a/daemon/scenario/chaos_test.go
+++ b/daemon/scenario/chaos_test.go
@@ -19,34 +19,34 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// chaos is callers of all kinds at work while one fault follows another.
+// chaos runs callers of all kinds against a cluster while faults are injected one after another.
 type chaos struct {
 	*cluster
-	t    *testing.T
-	stop chan struct{}
-	wg   sync.WaitGroup
-	n    atomic.Int64
+	t       *testing.T
+	stop    chan struct{}
+	wg      sync.WaitGroup
+	nextKey atomic.Int64
 
 	mu sync.Mutex
-	// whole are the ids of requests that were answered whole.
-	whole []string
-	tally chaosTally
+	// completed has the ids of the requests with a complete answer.
+	completed []string
+	counts    chaosCounts
 }
 
-// chaosTally is what went well and what did not.
-type chaosTally struct {
-	faults, answered, refused, broken            int
-	doubled, falselyNotRun, moved, unbilled, odd int
+// chaosCounts counts the injected faults and the outcomes of requests.
+type chaosCounts struct {
+	faults, answered, refused, interrupted            int
+	duplicated, falselyNotRun, moved, unbilled, wrong int
 }
 
-func (c *chaos) count(f func(*chaosTally)) {
+func (c *chaos) count(f func(*chaosCounts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f(&c.tally)
+	f(&c.counts)
 }
 
-// work repeats what a caller does until the faults are over.
-func (c *chaos) work(seed uint64, caller func(*rand.Rand)) {
+// runCaller calls caller repeatedly in the background until c.stop is closed.
+func (c *chaos) runCaller(seed uint64, caller func(*rand.Rand)) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	c.wg.Go(func() {
 		for {
@@ -64,50 +64,50 @@
 	return fmt.Sprintf("entry-%d", rng.IntN(len(c.daemons)))
 }
 
-var soon = header{wire.HeaderDeadline, "2000"}
+var shortDeadline = header{wire.HeaderDeadline, "2000"}
 
-// checkOut sends a call that may not be repeated until its outcome is known, or
-// known to be unknown, through one daemon after another.
-func (c *chaos) checkOut(rng *rand.Rand) {
-	key := fmt.Sprintf("chaos-%d", c.n.Add(1))
+// sendCheckout sends a non-repeatable call through random daemons until its outcome is known
+// or reported as unknown.
+func (c *chaos) sendCheckout(rng *rand.Rand) {
+	key := fmt.Sprintf("chaos-%d", c.nextKey.Add(1))
 	for range 20 {
-		a := c.do(c.anyDaemon(rng), http.MethodPost, checkout, key, header{wire.HeaderKey, key}, soon)
+		a := c.do(c.anyDaemon(rng), http.MethodPost, checkout, key, header{wire.HeaderKey, key}, shortDeadline)
 		ran := c.broker.Runs()[key]
 		switch {
 		case ran > 1:
-			c.count(func(t *chaosTally) { t.doubled++ })
+			c.count(func(t *chaosCounts) { t.duplicated++ })
 			return
 		case a.err == nil && a.run() == "not_run" && ran > 0:
-			c.t.Logf("%s has run, but %s says not run: %d %s", key, a.header.Get(wire.HeaderRequest), a.status, a.code())
-			c.count(func(t *chaosTally) { t.falselyNotRun++ })
+			c.t.Logf("%s ran, but request %s reports that it did not: %d %s", key, a.header.Get(wire.HeaderRequest), a.status, a.code())
+			c.count(func(t *chaosCounts) { t.falselyNotRun++ })
 			return
 		case a.err == nil && a.run() == "done" && ran == 1:
-			c.count(func(t *chaosTally) { t.answered++ })
+			c.count(func(t *chaosCounts) { t.answered++ })
 			return
 		case a.err == nil && a.code() == "outcome_unknown":
-			c.count(func(t *chaosTally) { t.refused++ })
+			c.count(func(t *chaosCounts) { t.refused++ })
 			return
 		case a.err == nil && a.run() == "done":
-			c.count(func(t *chaosTally) { t.odd++ })
+			c.count(func(t *chaosCounts) { t.wrong++ })
 			return
 		}
-		c.rest(rng)
+		c.waitToRetry(rng)
 	}
-	c.count(func(t *chaosTally) { t.refused++ })
+	c.count(func(t *chaosCounts) { t.refused++ })
 }
 
-// rest lets a refused caller come back a little later.
-func (c *chaos) rest(rng *rand.Rand) {
+// waitToRetry waits 20 to 100 ms before a refused caller tries again.
+func (c *chaos) waitToRetry(rng *rand.Rand) {
 	select {
 	case <-clock.After(time.Duration(20+rng.IntN(80)) * time.Millisecond):
 	case <-c.stop:
 	}
 }
 
-// ask sends a chat request, streamed or not.
-func (c *chaos) ask(rng *rand.Rand) {
+// sendChat sends a chat request, at random streamed or not.
+func (c *chaos) sendChat(rng *rand.Rand) {
 	stream := rng.IntN(2) == 0
-	a := c.do(c.anyDaemon(rng), http.MethodPost, wire.PathChat, chatBody("roster", stream, 8), soon)
+	a := c.do(c.anyDaemon(rng), http.MethodPost, wire.PathChat, chatBody("roster", stream, 8), shortDeadline)
 	ref := v1
 	if a.err == nil && a.header.Get(wire.HeaderVersion) == v2.String() {
 		ref = v2
@@ -117,44 +117,44 @@
 		id = a.header.Get(wire.HeaderRequest)
 	}
 	switch {
-	case a.err != nil || (a.status == http.StatusOK && stream && wholeStream(a, ref, 8) != nil):
-		c.count(func(t *chaosTally) { t.broken++ })
+	case a.err != nil || (a.status == http.StatusOK && stream && checkStream(a, ref, 8) != nil):
+		c.count(func(t *chaosCounts) { t.interrupted++ })
 	case a.status != http.StatusOK:
-		c.count(func(t *chaosTally) { t.refused++ })
-		c.rest(rng)
+		c.count(func(t *chaosCounts) { t.refused++ })
+		c.waitToRetry(rng)
 	case !strings.Contains(a.body, id):
-		c.count(func(t *chaosTally) { t.odd++ })
+		c.count(func(t *chaosCounts) { t.wrong++ })
 	default:
 		c.mu.Lock()
-		c.whole = append(c.whole, id)
-		c.tally.answered++
+		c.completed = append(c.completed, id)
+		c.counts.answered++
 		c.mu.Unlock()
 	}
 }
 
-// converse holds one session through whatever happens.
-func (c *chaos) converse(rng *rand.Rand) {
+// runSession sends the requests of one session and counts changes of its version.
+func (c *chaos) runSession(rng *rand.Rand) {
 	token, version := "", ""
 	for range 30 {
 		h := header{wire.HeaderSession, wire.SessionNew}
 		if token != "" {
 			h = header{wire.HeaderPin, token}
 		}
-		a := c.chat(c.anyDaemon(rng), "roster", h, soon)
+		a := c.chat(c.anyDaemon(rng), "roster", h, shortDeadline)
 		if a.err != nil || a.status != http.StatusOK {
-			c.rest(rng)
+			c.waitToRetry(rng)
 			continue
 		}
 		now := a.header.Get(wire.HeaderVersion)
 		if version != "" && now != version {
-			c.count(func(t *chaosTally) { t.moved++ })
+			c.count(func(t *chaosCounts) { t.moved++ })
 		}
 		token, version = a.header.Get(wire.HeaderPin), now
 	}
 }
 
-// fault does one harm and mends it.
-func (c *chaos) fault(rng *rand.Rand) {
+// injectFault injects one random fault and ends it.
+func (c *chaos) injectFault(rng *rand.Rand) {
 	id := c.anyDaemon(rng)
 	engine := fmt.Sprintf("engine-%d", rng.IntN(4))
 	switch rng.IntN(7) {
@@ -164,63 +164,63 @@
 		c.awaitServing(id)
 	case 1:
 		c.signal(id, syscall.SIGSTOP)
-		c.lasts(4 * time.Second)
+		c.keepFault(4 * time.Second)
 		c.signal(id, syscall.SIGCONT)
 	case 2:
 		c.platform.SetFault(platform.Fault{Service: "table", Down: true})
-		c.lasts(2 * time.Second)
+		c.keepFault(2 * time.Second)
 		c.platform.SetFault(platform.Fault{Service: "table"})
 	case 3:
 		c.platform.SetFault(platform.Fault{Service: "table", LoseAnswers: 10})
-		c.lasts(time.Second)
+		c.keepFault(time.Second)
 		c.platform.SetFault(platform.Fault{Service: "table"})
 	case 4:
 		c.engines[engine].SetFault(standin.EngineFault{CutAfter: 3, CrossAnswers: 3})
-		c.lasts(time.Second)
+		c.keepFault(time.Second)
 		c.engines[engine].SetFault(standin.EngineFault{})
 	case 5:
 		c.broker.SetFault(standin.ServiceFault{CutAnswers: 5})
-		c.lasts(time.Second)
+		c.keepFault(time.Second)
 	case 6:
 		edited := baseTable()
 		edited.Allows[0].Weight = rng.IntN(10)
 		c.apply(table.New(*edited))
-		c.lasts(time.Second)
+		c.keepFault(time.Second)
 	}
-	c.count(func(t *chaosTally) { t.faults++ })
+	c.count(func(t *chaosCounts) { t.faults++ })
 }
 
-// lasts lets a fault last while callers are at work.
-func (c *chaos) lasts(d time.Duration) {
+// keepFault keeps a fault active for d while the callers run.
+func (c *chaos) keepFault(d time.Duration) {
 	end := time.NewTimer(d)
 	defer end.Stop()
 	<-end.C
 }
 
-// runChaos lets callers work while faults happen, mends all and looks what
-// became of every request.
-func runChaos(t *testing.T, seed uint64, faults int) chaosTally {
+// runChaos runs callers while it injects faults, waits until all bills are written, and
+// returns what became of the requests.
+func runChaos(t *testing.T, seed uint64, faults int) chaosCounts {
 	c := &chaos{cluster: newCluster(t, 4), t: t, stop: make(chan struct{})}
 	for i := range uint64(4) {
-		c.work(seed+10*i, c.checkOut)
-		c.work(seed+10*i+1, c.ask)
-		c.work(seed+10*i+2, c.converse)
+		c.runCaller(seed+10*i, c.sendCheckout)
+		c.runCaller(seed+10*i+1, c.sendChat)
+		c.runCaller(seed+10*i+2, c.runSession)
 	}
 	rng := rand.New(rand.NewPCG(seed, 8))
 	for range faults {
-		c.fault(rng)
+		c.injectFault(rng)
 	}
 	close(c.stop)
 	c.wg.Wait()
 	for id := range c.daemons {
-		c.await(id+" holds no bill", func() bool {
+		c.await(id+" has no pending bill", func() bool {
 			d, err := c.dump(id)
 			return err == nil && d.Control.PendingBills == 0 && d.Control.CopiesHeld == 0
 		})
 	}
 	c.checkBills()
 	c.cluster.stop()
-	return c.tally
+	return c.counts
 }
 
 func (c *chaos) checkBills() {
@@ -228,28 +228,29 @@
 	for _, e := range c.platform.Keys(control.BillPrefix) {
 		billed[e.Key] = true
 	}
-	for _, id := range c.whole {
+	for _, id := range c.completed {
 		if !billed[control.BillPrefix+"voluntas/"+id] {
-			c.tally.unbilled++
-			c.t.Logf("request %s was answered whole and is not billed", id)
+			c.counts.unbilled++
+			c.t.Logf("request %s was answered completely but not billed", id)
 		}
 	}
 	for key, n := range c.broker.Runs() {
 		if n > 1 {
-			c.tally.doubled++
+			c.counts.duplicated++
 			c.t.Logf("%s ran %d times", key, n)
 		}
 	}
 }
 
-// TestChaos checks the promises with all kinds of callers while faults follow
-// each other.
+// TestChaos checks the guarantees to callers of all kinds while faults are injected: no
+// call runs twice or is wrongly reported as not run, no session changes its version, and
+// each complete answer is billed and is the right one.
 func TestChaos(t *testing.T) {
 	t.Parallel()
 	got := runChaos(t, 1, 8)
 	t.Logf("%+v", got)
-	if got.doubled+got.falselyNotRun+got.moved+got.unbilled+got.odd > 0 {
-		t.Errorf("a promise was broken: %+v", got)
+	if got.duplicated+got.falselyNotRun+got.moved+got.unbilled+got.wrong > 0 {
+		t.Errorf("a guarantee was broken: %+v", got)
 	}
 	if got.answered < 100 {
 		t.Errorf("only %d requests were answered", got.answered)
--- a/daemon/scenario/cluster_test.go
+++ b/daemon/scenario/cluster_test.go
@@ -32,16 +32,16 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// program is the daemon's binary, built once for all tests.
-var program string
+// daemonBinary is the path of the daemon's binary, which TestMain builds once for all tests.
+var daemonBinary string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "ladderridge")
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "ladderridged")
-	out, err := exec.Command("go", "build", "-o", program, "../cmd/ladderridged").CombinedOutput()
+	daemonBinary = filepath.Join(dir, "ladderridged")
+	out, err := exec.Command("go", "build", "-o", daemonBinary, "../cmd/ladderridged").CombinedOutput()
 	if err != nil {
 		panic(string(out))
 	}
@@ -53,9 +53,9 @@
 const (
 	orgKey   = "key-of-voluntas"
 	otherKey = "key-of-licence-desk"
-	// patience bounds every wait for an event; no verdict depends on it while
-	// the events come.
-	patience = 60 * time.Second
+	// eventTimeout bounds every wait for an event. Its length affects only tests whose
+	// event never happens.
+	eventTimeout = 60 * time.Second
 )
 
 var (
@@ -63,31 +63,31 @@
 	v2 = table.Ref{Model: "roster", Version: "v2"}
 )
 
-// cluster is a platform, engines and a service in the test's own process, and
-// daemons in processes of their own.
+// cluster runs a platform, engines and a service in the test process, and each daemon
+// in a process of its own.
 type cluster struct {
-	t        *testing.T
-	dir      string
-	platform *standin.Platform
-	server   *httptest.Server
-	store    *tablestore.Store
-	vms      []platform.VM
-	engines  map[string]*standin.Engine
-	broker   *standin.Service
-	daemons  map[string]*daemon
-	number   uint64
-	// halls is the number of data halls, backends that of engines.
+	t          *testing.T
+	dir        string
+	platform   *standin.Platform
+	server     *httptest.Server
+	store      *tablestore.Store
+	vms        []platform.VM
+	engines    map[string]*standin.Engine
+	broker     *standin.Service
+	daemons    map[string]*daemon
+	generation uint64
+	// halls is the number of data halls, backends the number of engines.
 	halls    int
 	backends int
-	// batch is how many requests an engine runs at once; 0 is no limit.
+	// batch is the number of requests that an engine runs concurrently; 0 means no limit.
 	batch int
-	// slots is how many versions fit into an engine; 0 is unknown.
+	// slots is the number of versions that an engine can load; 0 means unknown.
 	slots int
-	// deadly is what the body of a request has that ends each server that begins to run it;
-	// deaths counts them.
-	deadly string
-	deaths atomic.Int64
-	// refs are the two versions that the engines have loaded.
+	// A server that starts to run a request whose body contains crashBody crashes; crashes
+	// counts these servers.
+	crashBody string
+	crashes   atomic.Int64
+	// refs are the two versions, each loaded on one half of the engines.
 	refs [2]table.Ref
 }
 
@@ -99,7 +99,7 @@
 	admin   string
 	peers   string
 	cmd     *exec.Cmd
-	ended   chan error
+	exited  chan error
 	log     *lockedBuffer
 }
 
@@ -120,7 +120,7 @@
 	return b.buf.String()
 }
 
-// baseTable allows voluntas both versions and the licence desk the first one.
+// baseTable allows voluntas to use both versions, and licence-desk the first one.
 func baseTable() *table.Table {
 	return table.New(table.Table{
 		Organisations: []table.Organisation{
@@ -140,17 +140,17 @@
 	})
 }
 
-// newCluster starts two engines of each version, a broker and n daemons spread
-// over two halls, and waits until all of them serve.
+// newCluster starts two engines for each version, a broker and n daemons in two data
+// halls, and waits until all daemons are ready.
 func newCluster(t *testing.T, n int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, halls: 2, backends: 4}
-	c.begin(n)
+	c.start(n)
 	return c
 }
 
-// begin starts a cluster of n daemons.
-func (c *cluster) begin(n int) {
+// start starts the cluster with n daemons and waits until all of them are ready.
+func (c *cluster) start(n int) {
 	t := c.t
 	t.Helper()
 	c.dir, c.platform = t.TempDir(), standin.NewPlatform()
@@ -194,7 +194,7 @@
 
 func (c *cluster) backend(id string, role platform.Role, hall, service string, h http.Handler) {
 	s := httptest.NewUnstartedServer(nil)
-	s.Config.Handler = c.mortal(s, h)
+	s.Config.Handler = c.crashOnBody(s, h)
 	s.Start()
 	c.t.Cleanup(s.Close)
 	c.vms = append(c.vms, platform.VM{
@@ -202,15 +202,15 @@
 	})
 }
 
-// mortal ends a server when it begins to run a request with a deadly body.
-func (c *cluster) mortal(s *httptest.Server, h http.Handler) http.Handler {
+// crashOnBody wraps the handler of s: a request whose body contains c.crashBody crashes the server.
+func (c *cluster) crashOnBody(s *httptest.Server, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		if c.deadly != "" && strings.Contains(string(body), c.deadly) {
-			c.deaths.Add(1)
+		if c.crashBody != "" && strings.Contains(string(body), c.crashBody) {
+			c.crashes.Add(1)
 			_ = s.Listener.Close()
 			go s.CloseClientConnections()
 			panic(http.ErrAbortHandler)
@@ -220,8 +220,8 @@
 	})
 }
 
-// The range that test daemons listen in: below the ports that the system gives
-// to outgoing connections, which would otherwise take them first.
+// Test daemons listen on ports below the system's ephemeral range. An outgoing
+// connection could otherwise occupy a port before its daemon listens on it.
 const (
 	firstPort = 12_000
 	portCount = 18_000
@@ -229,8 +229,8 @@
 
 var nextPort atomic.Uint64
 
-// freeTCP returns an address that is free for TCP and UDP and was not given
-// out before.
+// freeTCP returns an address that is free for TCP and UDP and that it has not returned
+// before.
 func freeTCP(t *testing.T) string {
 	for range portCount {
 		port := firstPort + (uint64(os.Getpid())*101+nextPort.Add(1))%portCount
@@ -247,7 +247,7 @@
 		_ = u.Close()
 		return addr
 	}
-	t.Fatal("no port is free")
+	t.Fatal("no free port in the range of the test daemons")
 	return ""
 }
 
@@ -260,9 +260,9 @@
 	c.vms = append(c.vms, platform.VM{ID: id, Role: platform.RoleEntry, Hall: hall, Addr: d.callers, Admin: d.admin, Peer: d.peers})
 }
 
-// platformTimeout is how long daemons wait for an answer of the platform. The stand-in
-// refuses, cuts and loses at once and never keeps silent, so only a machine that is busy
-// with other things could make one late: that is not what these tests are about.
+// platformTimeout is the daemons' timeout for platform requests. The stand-in injects every
+// fault immediately and never leaves a request unanswered, so that only a busy machine can
+// delay a response. The long timeout keeps such delays from failing these tests.
 const platformTimeout = 30 * time.Second
 
 func (c *cluster) settingsOf(d *daemon) string {
@@ -285,19 +285,19 @@
 func (c *cluster) startDaemon(id string) {
 	d := c.daemons[id]
 	d.log = &lockedBuffer{}
-	d.cmd = exec.Command(program, "--config", c.settingsOf(d))
+	d.cmd = exec.Command(daemonBinary, "--config", c.settingsOf(d))
 	d.cmd.Stderr = d.log
-	// In the test's own process group a paused daemon would be let go on by the
-	// system (SIGCONT) when the shell that started the test ends.
+	// A separate process group: when the shell that started the test exits, the system
+	// sends SIGCONT to the test's own group and would resume a paused daemon.
 	d.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := d.cmd.Start(); err != nil {
 		c.t.Fatal(err)
 	}
-	d.ended = make(chan error, 1)
-	go func() { d.ended <- d.cmd.Wait() }()
+	d.exited = make(chan error, 1)
+	go func() { d.exited <- d.cmd.Wait() }()
 }
 
-// stop ends every daemon that still runs, and shows their logs of a failed test.
+// stop kills all daemons that still run and, if the test failed, logs the end of their output.
 func (c *cluster) stop() {
 	for _, d := range c.daemons {
 		_ = d.cmd.Process.Signal(syscall.SIGCONT)
@@ -320,8 +320,8 @@
 	}
 }
 
-// stopped reports whether a process has stopped: the signal takes effect a moment
-// after it was sent.
+// stopped reports whether a process is in the stopped state, as SIGSTOP takes effect
+// asynchronously.
 func stopped(pid int) bool {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -331,52 +331,52 @@
 	return strings.HasPrefix(state, "T")
 }
 
-// ended waits until a daemon's process is gone, however it ended.
-func (c *cluster) ended(id string) {
-	if err := <-c.daemons[id].ended; err != nil {
-		c.t.Logf("%s ended with %v", id, err)
+// awaitExit waits until a daemon's process has exited, with whatever status.
+func (c *cluster) awaitExit(id string) {
+	if err := <-c.daemons[id].exited; err != nil {
+		c.t.Logf("%s exited with %v", id, err)
 	}
 }
 
-// kill ends a daemon at once and waits until it is gone.
+// kill sends SIGKILL to a daemon and waits until it has exited.
 func (c *cluster) kill(id string) {
 	c.signal(id, syscall.SIGKILL)
-	if err := <-c.daemons[id].ended; err == nil {
-		c.t.Fatalf("%s ended well although it was killed", id)
+	if err := <-c.daemons[id].exited; err == nil {
+		c.t.Fatalf("%s exited with status 0 although it was killed", id)
 	}
 }
 
-// await waits for an event by looking for it.
-func (c *cluster) await(what string, happened func() bool) {
+// await polls until done returns true, and fails the test after the timeout.
+func (c *cluster) await(what string, done func() bool) {
 	c.t.Helper()
-	look := clock.NewTicker(10 * time.Millisecond)
-	defer look.Stop()
-	end := clock.After(patience)
-	for !happened() {
+	ticker := clock.NewTicker(10 * time.Millisecond)
+	defer ticker.Stop()
+	timeout := clock.After(eventTimeout)
+	for !done() {
 		select {
-		case <-look.C:
-		case <-end:
-			c.t.Fatalf("gave up waiting until %s", what)
+		case <-ticker.C:
+		case <-timeout:
+			c.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
 func (c *cluster) apply(t *table.Table) {
 	c.t.Helper()
-	h, err := c.store.Apply(context.Background(), tablestore.Edit{From: c.number, Table: t, Author: "test"})
+	h, err := c.store.Apply(context.Background(), tablestore.Edit{From: c.generation, Table: t, Author: "test"})
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.number = h.Number
+	c.generation = h.Number
 }
 
-// inForce waits until every daemon that answers has the newest generation.
-func (c *cluster) inForce(ids ...string) {
+// awaitGeneration waits until each of the daemons uses the newest table generation.
+func (c *cluster) awaitGeneration(ids ...string) {
 	c.t.Helper()
 	for _, id := range ids {
-		c.await(fmt.Sprintf("generation %d is in force on %s", c.number, id), func() bool {
+		c.await(fmt.Sprintf("%[2]s uses table generation %[1]d", c.generation, id), func() bool {
 			d, err := c.dump(id)
-			return err == nil && d.Control.Generation.Number >= c.number
+			return err == nil && d.Control.Generation.Number >= c.generation
 		})
 	}
 }
@@ -391,20 +391,20 @@
 	return d, json.NewDecoder(resp.Body).Decode(&d)
 }
 
-// awaitServing waits until a daemon has a table and has heard from every
-// backend server and every other daemon.
+// awaitServing waits until a daemon is ready, has the newest table, and has received
+// reports from every backend server and every other daemon.
 func (c *cluster) awaitServing(id string) {
 	c.t.Helper()
-	c.await(id+" serves", func() bool {
+	c.await(id+" is ready", func() bool {
 		d, err := c.dump(id)
-		if err != nil || d.Control.Generation.Number < c.number {
+		if err != nil || d.Control.Generation.Number < c.generation {
 			return false
 		}
-		return len(d.Control.Members) == len(c.daemons) && allHeard(d.Control.Servers, len(c.engines)+1) && c.ready(id)
+		return len(d.Control.Members) == len(c.daemons) && allReported(d.Control.Servers, len(c.engines)+1) && c.ready(id)
 	})
 }
 
-// ready reports whether a daemon says so itself.
+// ready reports whether the daemon's readiness check succeeds.
 func (c *cluster) ready(id string) bool {
 	resp, err := http.Get("http://" + c.daemons[id].admin + admin.PathReady)
 	if err != nil {
@@ -414,7 +414,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func allHeard(servers []control.ServerDump, want int) bool {
+func allReported(servers []control.ServerDump, want int) bool {
 	for _, s := range servers {
 		if s.Role == string(platform.RoleEngine) && len(s.Loaded) == 0 {
 			return false
@@ -423,7 +423,7 @@
 	return len(servers) == want
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received, or the error of its request.
 type answer struct {
 	status int
 	header http.Header
@@ -439,7 +439,7 @@
 
 func (a answer) run() string { return a.header.Get(wire.HeaderRun) }
 
-// header is one header of a request.
+// header is a request header.
 type header struct{ name, value string }
 
 func (c *cluster) do(id, method, path, body string, headers ...header) answer {
@@ -472,16 +472,16 @@
 	return c.do(id, http.MethodPost, wire.PathChat, chatBody(model, false, 4), headers...)
 }
 
-// begin sends a request whose answer comes later.
-func begin(f func() answer) <-chan answer {
+// inBackground calls f in the background and returns a channel for its answer.
+func inBackground(f func() answer) <-chan answer {
 	ch := make(chan answer, 1)
 	go func() { ch <- f() }()
 	return ch
 }
 
-// wholeStream reports whether a streamed answer has all its tokens, in order,
-// all of one version, and its terminator.
-func wholeStream(a answer, ref table.Ref, tokens int) error {
+// checkStream returns an error unless a streamed answer has all its tokens in order,
+// all from version ref, and the terminator.
+func checkStream(a answer, ref table.Ref, tokens int) error {
 	if a.err != nil {
 		return a.err
 	}
@@ -493,7 +493,7 @@
 		}
 		if data == wire.Terminator {
 			if next != tokens {
-				return fmt.Errorf("%d tokens and the terminator, want %d", next, tokens)
+				return fmt.Errorf("stream ended after %d tokens, want %d", next, tokens)
 			}
 			return nil
 		}
@@ -513,10 +513,10 @@
 	return errors.New("the stream has no terminator")
 }
 
-// bills returns how many bills the platform has.
-func (c *cluster) bills() int { return len(c.platform.Keys(control.BillPrefix)) }
+// billCount returns the number of bills stored on the platform.
+func (c *cluster) billCount() int { return len(c.platform.Keys(control.BillPrefix)) }
 
-func (c *cluster) runsOf(engine string) int {
+func (c *cluster) runCount(engine string) int {
 	n := 0
 	for _, times := range c.engines[engine].Runs() {
 		n += times
--- a/daemon/scenario/input_test.go
+++ b/daemon/scenario/input_test.go
@@ -13,9 +13,9 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// TestBadInput sends what callers get wrong: each is a clear refusal, and no
-// work is done.
-func TestBadInput(t *testing.T) {
+// TestInvalidRequestsAreRefused sends invalid requests: each is refused with its
+// status and error code, and none reaches an engine.
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
 	chat := chatBody("roster", false, 1)
@@ -54,26 +54,26 @@
 	if a := c.do("entry-0", "POST", wire.PathChat, `{"model":"roster","messages":7}`); strings.Contains(a.body, "Go ") || !strings.Contains(a.body, "the field messages must be a list") {
 		t.Errorf("a wrong type: %s", a.body)
 	}
-	if a := cutShort(t, c.daemons["entry-0"].callers); !strings.Contains(a, "400") {
-		t.Errorf("a body cut short: %s", a)
+	if a := sendTruncated(t, c.daemons["entry-0"].callers); !strings.Contains(a, "400") {
+		t.Errorf("a truncated body: %s", a)
 	}
 	for id := range c.engines {
-		if n := c.runsOf(id); n != 0 {
+		if n := c.runCount(id); n != 0 {
 			t.Errorf("%s ran %d requests", id, n)
 		}
 	}
 }
 
-// TestClientLibrariesUnderstandAnswers has what the published client of the chat
-// API sends and needs: content as a list of parts, a count of all tokens, and a
-// closing chunk that looks like the others.
+// TestClientLibrariesUnderstandAnswers checks what the published client library of the
+// chat API sends and requires: content as a list of parts, a total token count, and a final
+// chunk of the same form as the others.
 func TestClientLibrariesUnderstandAnswers(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
 	const parts = `{"model":"roster","max_tokens":2,"stream":%v,"messages":[{"role":"user","content":[{"type":"text","text":"hello"}]}]}`
 	a := c.do("entry-0", "POST", wire.PathChat, fmt.Sprintf(parts, false))
-	var whole wire.ChatAnswer
-	if err := json.Unmarshal([]byte(a.body), &whole); err != nil || a.status != 200 || whole.Usage.TotalTokens < whole.Usage.CompletionTokens {
+	var full wire.ChatAnswer
+	if err := json.Unmarshal([]byte(a.body), &full); err != nil || a.status != 200 || full.Usage.TotalTokens < full.Usage.CompletionTokens {
 		t.Fatalf("%d %s, %v", a.status, a.body, err)
 	}
 	a = c.do("entry-0", "POST", wire.PathChat, fmt.Sprintf(parts, true))
@@ -85,12 +85,12 @@
 	}
 	var chunk map[string]json.RawMessage
 	if err := json.Unmarshal([]byte(last), &chunk); err != nil || string(chunk["choices"]) != "[]" || chunk["id"] == nil || string(chunk["object"]) != `"chat.completion.chunk"` {
-		t.Errorf("the closing chunk is %s, %v", last, err)
+		t.Errorf("the final chunk is %s, %v", last, err)
 	}
 }
 
-// cutShort sends less of a body than it announces, and returns the status line.
-func cutShort(t *testing.T, addr string) string {
+// sendTruncated sends a body shorter than its Content-Length and returns the status line.
+func sendTruncated(t *testing.T, addr string) string {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 	return line
 }
 
-// TestHTTP2 sends a request over HTTP/2 without TLS, as balancers do.
+// TestHTTP2 sends a request over HTTP/2 without TLS, as load balancers do.
 func TestHTTP2(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
@@ -130,17 +130,17 @@
 	}
 }
 
-// TestModelsAndServices looks at what an organisation may use and passes calls
-// of every method through.
+// TestModelsAndServices checks that an organisation sees only the versions that it may
+// use, and that calls of every method are forwarded to a service.
 func TestModelsAndServices(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
 	a := c.do("entry-0", http.MethodGet, wire.PathModels, "", header{"Authorization", "Bearer " + otherKey})
 	if strings.Contains(a.body, "v2") || !strings.Contains(a.body, v1.String()) {
-		t.Errorf("the licence desk may use %s", a.body)
+		t.Errorf("licence-desk may use %s", a.body)
 	}
 	if a := c.chat("entry-0", v1.String()); !strings.Contains(a.body, "system_fingerprint") || !strings.Contains(a.body, a.header.Get(wire.HeaderRequest)) {
-		t.Errorf("a field that only the engine knows is lost: %s", a.body)
+		t.Errorf("a field that only the engine sets was dropped: %s", a.body)
 	}
 	for _, method := range []string{"GET", "PUT", "DELETE", "PATCH"} {
 		a := c.do("entry-0", method, wire.PathService+"broker/seats/7?all=1", "body")
--- a/daemon/scenario/notice_test.go
+++ b/daemon/scenario/notice_test.go
@@ -9,42 +9,43 @@
 	"ladderridge.example/daemon/standin"
 )
 
-// A model server that ends soon serves on and says so in its answers; until it declines, the
-// chat door went on sending there, as the VM list and the polls tell it only seconds later.
-// Nothing read such a word in an answer.
-func TestEngineThatSaysItLeavesGetsNothingNew(t *testing.T) {
+// Guards against new requests to a model server that announces in its answers that it will
+// shut down soon, while it still serves. The VM list and the polls show it only seconds
+// later, and the chat front end used to ignore the announcement.
+func TestEngineThatAnnouncesShutdownGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
-	leaver := c.engines["engine-0"]
-	leaver.SetFault(standin.EngineFault{SaysLeaving: true})
-	for leaver.Arrived() == 0 {
+	leavingEngine := c.engines["engine-0"]
+	leavingEngine.SetFault(standin.EngineFault{SaysLeaving: true})
+	for leavingEngine.Arrived() == 0 {
 		if a := c.chat("entry-0", v1.String()); a.status != http.StatusOK {
 			t.Fatalf("%d %s", a.status, a.body)
 		}
 	}
-	heard := leaver.Arrived()
+	before := leavingEngine.Arrived()
 	for range 20 {
 		if a := c.chat("entry-0", v1.String()); a.status != http.StatusOK {
 			t.Errorf("%d %s", a.status, a.code())
 		}
 	}
-	if more := leaver.Arrived() - heard; more > 0 {
-		t.Errorf("%d of 20 requests reached a server that had said that it leaves", more)
+	if more := leavingEngine.Arrived() - before; more > 0 {
+		t.Errorf("%d of 20 requests reached a server that had announced its shutdown", more)
 	}
-	c.await("the other daemon knows", func() bool {
+	c.await("the other daemon knows that the server is leaving", func() bool {
 		d, err := c.dump("entry-1")
 		return err == nil && leaving(d.Control.Servers, "engine-0")
 	})
 }
 
-// A model server that declined and asked for rest was a free one again at the next poll, two
-// seconds later at most, and got requests in its rest: Retry-After was not read.
-func TestEngineThatWantsRestGetsIt(t *testing.T) {
+// Guards against requests to a model server during the back-off that it asked for when it
+// declined a request. Its Retry-After used to be ignored, so that the next poll, at most two
+// seconds later, marked it as free again.
+func TestEngineInBackoffGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
-	resting := c.engines["engine-0"]
-	resting.SetFault(standin.EngineFault{RestS: 3600})
-	for resting.Arrived() == 0 {
+	inBackoff := c.engines["engine-0"]
+	inBackoff.SetFault(standin.EngineFault{RestS: 3600})
+	for inBackoff.Arrived() == 0 {
 		if a := c.chat("entry-0", v1.String()); a.status != http.StatusOK {
 			t.Fatalf("%d %s", a.status, a.body)
 		}
@@ -54,34 +55,34 @@
 			t.Errorf("%d %s", a.status, a.code())
 		}
 	}
-	if more := resting.Arrived() - 1; more > 0 {
-		t.Errorf("%d of 200 requests reached a server that wants rest", more)
+	if more := inBackoff.Arrived() - 1; more > 0 {
+		t.Errorf("%d of 200 requests reached a server in back-off", more)
 	}
 }
 
-// A plain service that answers 503 with a time to come back got each of the next calls all
-// the same. Its one server wants rest, so they can't be served: they are refused at once,
-// with the time that is left.
-func TestServiceThatWantsRestGetsIt(t *testing.T) {
+// Guards against calls to a plain service during the back-off that it asked for with 503 and
+// Retry-After. As its only server is in back-off, calls are refused immediately, with the
+// remaining back-off in Retry-After.
+func TestServiceInBackoffGetsNoCalls(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
 	c.broker.SetFault(standin.ServiceFault{RestS: 500})
 	for n := range 20 {
 		a := c.do("entry-0", http.MethodPost, "/services/broker/seats", fmt.Sprint(n))
-		again, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
-		if a.status != http.StatusServiceUnavailable || err != nil || again < 100 || again > 500 {
-			t.Fatalf("call %d: %d, to come back after %q", n, a.status, a.header.Get("Retry-After"))
+		retryAfter, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
+		if a.status != http.StatusServiceUnavailable || err != nil || retryAfter < 100 || retryAfter > 500 {
+			t.Fatalf("call %d: status %d, Retry-After %q", n, a.status, a.header.Get("Retry-After"))
 		}
 	}
 	if n := c.broker.Arrived(); n != 1 {
-		t.Errorf("%d of 20 calls reached a server that wants rest", n-1)
+		t.Errorf("%d of 20 calls reached a server in back-off", n-1)
 	}
 }
 
-// A model server that has unloaded a version on its own declines requests for it as not
-// loaded. The daemon took that for a server that is full, and sent the next request there as
-// well until a poll told what is loaded, two seconds later at most.
-func TestEngineThatHasUnloadedAVersionGetsNoMoreForIt(t *testing.T) {
+// Guards against requests for a version to a model server that has unloaded it on its own
+// and declines them as not loaded. The daemon used to treat the server as full and kept
+// sending requests until the next poll, at most two seconds later, listed the loaded versions.
+func TestEngineThatUnloadedAVersionGetsNoRequestsForIt(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
 	unloaded := c.engines["engine-0"]
@@ -91,13 +92,14 @@
 			t.Fatalf("%d %s", a.status, a.body)
 		}
 	}
-	// What it says is worked in behind the answer; a few requests may be on their way.
+	// The daemon processes the refusal after it has answered the caller, so that a few more
+	// requests may reach the server.
 	for range 100 {
 		if a := c.chat("entry-0", v1.String()); a.status != http.StatusOK {
 			t.Errorf("%d %s", a.status, a.code())
 		}
 	}
 	if n := unloaded.Arrived(); n > 5 {
-		t.Errorf("%d of 100 requests reached a server that has not loaded the version", n)
+		t.Errorf("%d requests reached a server that has unloaded the version, want at most 5", n)
 	}
 }
--- a/daemon/scenario/placement_test.go
+++ b/daemon/scenario/placement_test.go
@@ -11,13 +11,13 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// TestEnginesArePlaced has the daemons load a version on a second engine, while
-// both are busy, and unload one that is withdrawn; an order of a holder that
-// was paused is refused.
-func TestEnginesArePlaced(t *testing.T) {
+// TestVersionsArePlacedOnEngines checks that the daemons load a version on a second engine while
+// both engines are busy, and unload a version that is withdrawn. An order with an old
+// fencing token, as from a lease holder that was paused, is refused.
+func TestVersionsArePlacedOnEngines(t *testing.T) {
 	t.Parallel()
 	c := &cluster{t: t, halls: 1, backends: 2, slots: 2}
-	c.begin(2)
+	c.start(2)
 	stop := make(chan struct{})
 	busy := make(chan struct{})
 	go func() {
@@ -58,21 +58,21 @@
 	c.await("both engines have v1", func() bool { return loadedOn("engine-0", v1) && loadedOn("engine-1", v1) })
 	c.apply(withdraw(wanted, v2))
 	c.await("v2 is unloaded", func() bool { return !loadedOn("engine-1", v2) })
-	late := orders.Issuer{Platform: c.store.Platform, HTTP: &http.Client{}, Holder: "paused"}
-	old := orders.Fence{Number: 1, Order: placement.Order{Engine: "engine-1", Action: placement.Unload, Ref: v1}}
+	issuer := orders.Issuer{Platform: c.store.Platform, HTTP: &http.Client{}, Holder: "paused"}
+	oldFence := orders.Fence{Number: 1, Order: placement.Order{Engine: "engine-1", Action: placement.Unload, Ref: v1}}
 	addr := ""
 	for _, vm := range c.vms {
 		if vm.ID == "engine-1" {
 			addr = vm.Addr
 		}
 	}
-	if err := late.Send(t.Context(), old, addr); !fault.Is(err, orders.Superseded) {
-		t.Errorf("an order with an old fence: %v", err)
+	if err := issuer.Send(t.Context(), oldFence, addr); !fault.Is(err, orders.Superseded) {
+		t.Errorf("an order with an old fencing token: %v", err)
 	}
 	if !loadedOn("engine-1", v1) {
-		t.Error("the late order was obeyed")
+		t.Error("the engine carried out the order with the old fencing token")
 	}
-	if a := c.do("entry-0", http.MethodPost, wire.PathChat, chatBody(v1.String(), true, 5)); wholeStream(a, v1, 5) != nil {
+	if a := c.do("entry-0", http.MethodPost, wire.PathChat, chatBody(v1.String(), true, 5)); checkStream(a, v1, 5) != nil {
 		t.Errorf("%d %s", a.status, a.body)
 	}
 }
--- a/daemon/scenario/policy_test.go
+++ b/daemon/scenario/policy_test.go
@@ -16,7 +16,7 @@
 	"ladderridge.example/daemon/wire"
 )
 
-// rollingOut is the base table with v2 at its first stage.
+// rollingOut returns the base table with v2 at its first rollout stage.
 func rollingOut() *table.Table {
 	v, _ := baseTable().Version(v2)
 	v.Status, v.Stages, v.StepAfter, v.StepAnswers = table.RollingOut, []float64{50, 100}, time.Second, 10
@@ -32,13 +32,13 @@
 	return t, h.Note
 }
 
-// TestRollOutIsDrivenAndResumed has the daemons step a roll-out by themselves,
-// the one that drove it killed half-way.
-func TestRollOutIsDrivenAndResumed(t *testing.T) {
+// TestRolloutAdvancesAfterItsDriverIsKilled checks that the daemons advance a rollout
+// on their own, even when the daemon that drives it is killed.
+func TestRolloutAdvancesAfterItsDriverIsKilled(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 4)
 	c.apply(rollingOut())
-	c.inForce("entry-0", "entry-1", "entry-2", "entry-3")
+	c.awaitGeneration("entry-0", "entry-1", "entry-2", "entry-3")
 	for id := range c.daemons {
 		if d, err := c.dump(id); err == nil && d.Control.Rank == 0 && d.Control.Hall == "hall-0" {
 			c.kill(id)
@@ -55,18 +55,17 @@
 		return v.Stage == 1
 	})
 	if _, note := c.newest(); !strings.Contains(note, "stage 0 to 1") {
-		t.Errorf("the history says %q", note)
+		t.Errorf("the note in the table's history is %q", note)
 	}
 }
 
-// TestBadVersionIsWithdrawn breaks a version that is being rolled out: the
-// daemons together find it and withdraw it through the table, and the history
-// says why.
-func TestBadVersionIsWithdrawn(t *testing.T) {
+// TestFaultyVersionIsWithdrawn makes a version fail while it is rolled out: the daemons detect
+// it from their combined evidence and withdraw it in the table, with the reason in the history.
+func TestFaultyVersionIsWithdrawn(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	c.apply(rollingOut())
-	c.inForce("entry-0", "entry-1", "entry-2")
+	c.awaitGeneration("entry-0", "entry-1", "entry-2")
 	for _, id := range []string{"engine-2", "engine-3"} {
 		c.engines[id].SetFault(standin.EngineFault{ErrorRate: 0.6})
 	}
@@ -81,18 +80,18 @@
 		return isWithdrawn(v)
 	})
 	if _, note := c.newest(); !strings.Contains(note, "withdrawn at stage") {
-		t.Errorf("the history says %q", note)
+		t.Errorf("the note in the table's history is %q", note)
 	}
 	t.Logf("withdrawn after %d requests, of which %d were refused", i, refused)
 }
 
-// TestVersionThatBreaksStreamsIsWithdrawn has a version break its streams off:
-// that counts against it like a failure.
-func TestVersionThatBreaksStreamsIsWithdrawn(t *testing.T) {
+// TestVersionThatInterruptsStreamsIsWithdrawn makes a version interrupt its streams, which
+// counts as a failure of the version.
+func TestVersionThatInterruptsStreamsIsWithdrawn(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
 	c.apply(rollingOut())
-	c.inForce("entry-0", "entry-1")
+	c.awaitGeneration("entry-0", "entry-1")
 	for _, id := range []string{"engine-2", "engine-3"} {
 		c.engines[id].SetFault(standin.EngineFault{CutAfter: 2})
 	}
@@ -108,9 +107,9 @@
 
 func isWithdrawn(v table.Version) bool { return v.Status == table.Withdrawn }
 
-// TestRatingsCountAgainstAVersion rates one organisation's answers of a version
-// badly: the version is found bad by ratings alone.
-func TestRatingsCountAgainstAVersion(t *testing.T) {
+// TestBadlyRatedVersionIsWithdrawn gives a version low ratings from one organisation: it is
+// withdrawn because of the ratings alone.
+func TestBadlyRatedVersionIsWithdrawn(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
 	c.apply(rollingOut())
@@ -123,18 +122,18 @@
 		return isWithdrawn(v)
 	})
 	if _, note := c.newest(); !strings.Contains(note, "ratings") {
-		t.Errorf("the history says %q", note)
+		t.Errorf("the note in the table's history is %q", note)
 	}
 }
 
-// TestCascade tries the cheap model first and keeps its answer only if the
-// engine's own signal is good enough; the caller is billed once, for the answer
-// that it got.
+// TestCascade checks that the cheaper model is tried first and its answer kept only if the
+// engine's own quality signal reaches the confidence threshold. The caller is billed once,
+// for the answer that it received.
 func TestCascade(t *testing.T) {
 	t.Parallel()
 	large, small := table.Ref{Model: "large", Version: "v1"}, table.Ref{Model: "small", Version: "v1"}
 	c := &cluster{t: t, halls: 1, backends: 4, refs: [2]table.Ref{large, small}}
-	c.begin(1)
+	c.start(1)
 	edited := baseTable()
 	edited.Versions = []table.Version{{Ref: large, Price: 20, Quality: 0.9}, {Ref: small, Price: 10, Quality: 0.5}}
 	edited.Allows = []table.Allow{
@@ -142,7 +141,7 @@
 		{Organisation: "voluntas", Ref: small, Weight: 1, Target: 0.8, Cascade: 0.7},
 	}
 	c.apply(table.New(*edited))
-	c.inForce("entry-0")
+	c.awaitGeneration("entry-0")
 	for _, step := range []struct {
 		signal float64
 		want   table.Ref
@@ -151,7 +150,7 @@
 		for _, id := range []string{"engine-2", "engine-3"} {
 			c.engines[id].SetQuality(step.signal)
 		}
-		before := c.bills()
+		before := c.billCount()
 		a := c.chat("entry-0", "auto")
 		if a.status != http.StatusOK || a.header.Get(wire.HeaderVersion) != step.want.String() {
 			t.Errorf("with a signal of %v: %d by %s, want %s", step.signal, a.status, a.header.Get(wire.HeaderVersion), step.want)
@@ -160,9 +159,9 @@
 		if rec.Cost != step.cost {
 			t.Errorf("with a signal of %v billed %d, want %d", step.signal, rec.Cost, step.cost)
 		}
-		c.await("one bill is there", func() bool { return c.bills() == before+1 })
+		c.await("the request is billed once", func() bool { return c.billCount() == before+1 })
 	}
-	// A session keeps one version, so nothing is tried first.
+	// A session keeps one version, so the cheaper model is not tried first.
 	a := c.chat("entry-0", "auto", header{wire.HeaderSession, wire.SessionNew})
 	if got := a.header.Get(wire.HeaderVersion); got != large.String() {
 		t.Errorf("in a session answered by %s", got)
@@ -182,35 +181,35 @@
 	return rec
 }
 
-// TestFullServersQueueAndShed fills every place: requests wait for one, those
-// that could not be in time are refused at once, and all that were accepted are
-// answered whole.
+// TestFullServersQueueAndShed fills all slots of the servers: further requests are queued,
+// one that could not meet its deadline is refused immediately, and all accepted requests are
+// answered.
 func TestFullServersQueueAndShed(t *testing.T) {
 	t.Parallel()
 	c := &cluster{t: t, halls: 1, backends: 2, batch: 2}
-	c.begin(1)
+	c.start(1)
 	for _, e := range c.engines {
 		e.SetFault(standin.EngineFault{HoldAnswers: true})
 	}
-	patient := header{wire.HeaderDeadline, "300000"}
+	longDeadline := header{wire.HeaderDeadline, "300000"}
 	var open []<-chan answer
 	for range 12 {
-		open = append(open, begin(func() answer { return c.chat("entry-0", v1.String(), patient) }))
+		open = append(open, inBackground(func() answer { return c.chat("entry-0", v1.String(), longDeadline) }))
 	}
-	c.await("two run and ten wait", func() bool {
+	c.await("two requests run and ten are queued", func() bool {
 		d, err := c.dump("entry-0")
 		return err == nil && d.Front.Queued == 10
 	})
 	a := c.chat("entry-0", v1.String(), header{wire.HeaderDeadline, "1000"})
 	if a.status != http.StatusServiceUnavailable || a.code() != "overloaded" || a.run() != "not_run" || a.header.Get("Retry-After") == "" {
-		t.Errorf("with 1 s to go behind ten others: %d %s %s", a.status, a.code(), a.run())
+		t.Errorf("with a deadline of 1 s behind ten queued requests: %d %s %s", a.status, a.code(), a.run())
 	}
 	for _, e := range c.engines {
 		e.SetFault(standin.EngineFault{})
 	}
 	for _, w := range open {
 		if a := <-w; a.status != http.StatusOK {
-			t.Errorf("accepted, but %d %s", a.status, a.body)
+			t.Errorf("accepted, but answered with %d %s", a.status, a.body)
 		}
 	}
 }
--- a/daemon/scenario/scenario_test.go
+++ b/daemon/scenario/scenario_test.go
@@ -27,13 +27,13 @@
 	return t.WithVersion(v)
 }
 
-// TestKilledDaemonLosesNoBillAndDoublesNoCall kills a daemon (SIGKILL) right
-// after it answered requests and while a call that may not be repeated runs.
-func TestKilledDaemonLosesNoBillAndDoublesNoCall(t *testing.T) {
+// TestKilledDaemonLosesNoBillAndRepeatsNoCall kills a daemon (SIGKILL) right after it
+// answered requests and while a non-repeatable call runs.
+func TestKilledDaemonLosesNoBillAndRepeatsNoCall(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
-	// The platform takes no bill, so that all of them are lost with the daemon
-	// unless another one has them.
+	// The daemon cannot write bills to the platform, so that they are lost with it unless
+	// another daemon has copies.
 	c.platform.SetFault(platform.Fault{Service: "table", CutHalls: []string{c.daemons["entry-0"].hall}})
 	for i := range 10 {
 		if a := c.chat("entry-0", "roster"); a.status != http.StatusOK || a.run() != "done" {
@@ -43,59 +43,59 @@
 	c.platform.SetFault(platform.Fault{Service: "table"})
 	c.broker.SetFault(standin.ServiceFault{HoldAnswers: true})
 	key := header{wire.HeaderKey, "seat-17"}
-	soon := header{wire.HeaderDeadline, "1000"}
-	begin(func() answer { return c.do("entry-0", http.MethodPost, checkout, "seat=17", key, soon) })
+	shortDeadline := header{wire.HeaderDeadline, "1000"}
+	inBackground(func() answer { return c.do("entry-0", http.MethodPost, checkout, "seat=17", key, shortDeadline) })
 	c.await("the checkout runs", func() bool { return c.broker.Runs()["seat-17"] == 1 })
 	c.kill("entry-0")
 	c.broker.SetFault(standin.ServiceFault{})
 
-	a := c.do("entry-1", http.MethodPost, checkout, "seat=17", key, soon)
+	a := c.do("entry-1", http.MethodPost, checkout, "seat=17", key, shortDeadline)
 	if a.status != http.StatusConflict || a.code() != "in_progress" || a.run() != "unknown" || a.header.Get("Retry-After") == "" {
-		t.Errorf("repeated while it may run: %d %s %s", a.status, a.code(), a.run())
+		t.Errorf("repeated while the first attempt may still run: %d %s %s", a.status, a.code(), a.run())
 	}
-	c.await("the claim's time has passed", func() bool {
-		a = c.do("entry-2", http.MethodPost, checkout, "seat=17", key, soon)
+	c.await("the claim has expired", func() bool {
+		a = c.do("entry-2", http.MethodPost, checkout, "seat=17", key, shortDeadline)
 		return a.code() == "outcome_unknown"
 	})
 	if a.run() != "unknown" {
-		t.Errorf("an outcome that nobody knows is told as %q", a.run())
+		t.Errorf("an unknown outcome is reported as %q", a.run())
 	}
 	if n := c.broker.Runs()["seat-17"]; n != 1 {
 		t.Errorf("the checkout ran %d times", n)
 	}
-	c.await("the platform has the ten bills", func() bool { return c.bills() == 10 })
+	c.await("the platform has the ten bills", func() bool { return c.billCount() == 10 })
 }
 
-// TestPausedDaemonServesNothingWithdrawn stops a daemon (SIGSTOP), withdraws a
-// version, and lets it go on (SIGCONT) with requests waiting for it.
+// TestPausedDaemonServesNothingWithdrawn pauses a daemon (SIGSTOP), withdraws a version,
+// and resumes the daemon (SIGCONT) with requests waiting for it.
 func TestPausedDaemonServesNothingWithdrawn(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	c.signal("entry-0", syscall.SIGSTOP)
 	var waiting []<-chan answer
 	for range 20 {
-		waiting = append(waiting, begin(func() answer { return c.chat("entry-0", v2.String()) }))
+		waiting = append(waiting, inBackground(func() answer { return c.chat("entry-0", v2.String()) }))
 	}
 	c.apply(withdraw(baseTable(), v2))
-	c.inForce("entry-1", "entry-2")
-	c.await("the others no longer count on the paused daemon", func() bool {
+	c.awaitGeneration("entry-1", "entry-2")
+	c.await("the other daemons consider the paused daemon down", func() bool {
 		d, err := c.dump("entry-1")
 		return err == nil && memberState(d.Control.Members, "entry-0") == "down"
 	})
-	before := c.runsOf("engine-2") + c.runsOf("engine-3")
+	before := c.runCount("engine-2") + c.runCount("engine-3")
 	c.signal("entry-0", syscall.SIGCONT)
 	for _, w := range waiting {
 		a := <-w
 		if a.status == http.StatusOK {
-			t.Errorf("a withdrawn version answered: %s", a.header.Get(wire.HeaderVersion))
+			t.Errorf("answered by a withdrawn version: %s", a.header.Get(wire.HeaderVersion))
 		} else if a.run() != "not_run" {
 			t.Errorf("refused with %d %s, run %q", a.status, a.code(), a.run())
 		}
 	}
-	if after := c.runsOf("engine-2") + c.runsOf("engine-3"); after != before {
+	if after := c.runCount("engine-2") + c.runCount("engine-3"); after != before {
 		t.Errorf("%d requests ran on a withdrawn version", after-before)
 	}
-	c.inForce("entry-0")
+	c.awaitGeneration("entry-0")
 	c.await("the daemon serves again", func() bool { return c.chat("entry-0", v1.String()).status == http.StatusOK })
 }
 
@@ -108,9 +108,9 @@
 	return ""
 }
 
-// TestPlannedStopCutsNothing stops a daemon (SIGTERM) with streams open, while
-// the platform takes no bills.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// TestGracefulShutdownInterruptsNoStream stops a daemon gracefully (SIGTERM) with
+// streams open, while it cannot write bills to the platform.
+func TestGracefulShutdownInterruptsNoStream(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	for _, e := range c.engines {
@@ -119,7 +119,7 @@
 	const streams, tokens = 12, 20
 	var open []<-chan answer
 	for range streams {
-		open = append(open, begin(func() answer {
+		open = append(open, inBackground(func() answer {
 			return c.do("entry-0", http.MethodPost, wire.PathChat, chatBody(v1.String(), true, tokens))
 		}))
 	}
@@ -129,7 +129,7 @@
 	})
 	c.platform.SetFault(platform.Fault{Service: "table", CutHalls: []string{c.daemons["entry-0"].hall}})
 	c.signal("entry-0", syscall.SIGTERM)
-	c.await("the daemon says that it is not ready", func() bool {
+	c.await("the readiness check fails", func() bool {
 		resp, err := http.Get("http://" + c.daemons["entry-0"].admin + "/readyz")
 		if err != nil {
 			return false
@@ -141,19 +141,19 @@
 		e.SetFault(standin.EngineFault{})
 	}
 	for _, w := range open {
-		if err := wholeStream(<-w, v1, tokens); err != nil {
+		if err := checkStream(<-w, v1, tokens); err != nil {
 			t.Error(err)
 		}
 	}
-	if err := <-c.daemons["entry-0"].ended; err != nil {
-		t.Errorf("the daemon ended with %v", err)
+	if err := <-c.daemons["entry-0"].exited; err != nil {
+		t.Errorf("the daemon exited with %v", err)
 	}
 	c.platform.SetFault(platform.Fault{Service: "table"})
-	c.await("the platform has the bills", func() bool { return c.bills() == streams })
+	c.await("the platform has a bill for each stream", func() bool { return c.billCount() == streams })
 }
 
-// TestOutageAndLostAnswers serves through a platform that is down, and then one
-// that loses the answers of writes that took effect.
+// TestOutageAndLostAnswers sends requests while the platform is down, and then while it
+// applies writes but loses the responses to them.
 func TestOutageAndLostAnswers(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
@@ -164,28 +164,28 @@
 		}
 	}
 	a := c.do("entry-0", http.MethodPost, checkout, "seat=1", header{wire.HeaderKey, "seat-1"})
-	// Whether an earlier request with the key ran, only the platform could tell.
+	// Only the platform knows whether an earlier request with this key ran.
 	if a.status != http.StatusServiceUnavailable || a.code() != "claim_unavailable" || a.run() != "unknown" || a.header.Get("Retry-After") == "" {
-		t.Errorf("a call that may not be repeated, with the platform down: %d %s %s", a.status, a.code(), a.run())
+		t.Errorf("a non-repeatable call with the platform down: %d %s %s", a.status, a.code(), a.run())
 	}
 	if n := len(c.broker.Runs()); n != 0 {
-		t.Errorf("%d calls ran without a record", n)
+		t.Errorf("%d calls ran without a claim record", n)
 	}
 	if a := c.chat("entry-0", "roster", header{wire.HeaderSession, "named-by-caller"}); a.code() != "session_unconfirmed" || a.run() != "not_run" {
-		t.Errorf("a session named by its caller, with the platform down: %d %s", a.status, a.code())
+		t.Errorf("a session named by its caller with the platform down: %d %s", a.status, a.code())
 	}
 	if a := c.chat("entry-0", "roster", header{wire.HeaderSession, wire.SessionNew}); a.status != http.StatusOK {
-		t.Errorf("a new session, with the platform down: %d %s", a.status, a.code())
+		t.Errorf("a new session with the platform down: %d %s", a.status, a.code())
 	}
 	c.platform.SetFault(platform.Fault{Service: "table", LoseAnswers: 6})
 	for i := range 8 {
 		key := fmt.Sprintf("lost-%d", i)
 		a := c.do(fmt.Sprintf("entry-%d", i%2), http.MethodPost, checkout, "seat=2", header{wire.HeaderKey, key})
 		if a.status != http.StatusOK || c.broker.Runs()[key] != 1 {
-			t.Errorf("with lost answers: %d %s, ran %d times", a.status, a.code(), c.broker.Runs()[key])
+			t.Errorf("with lost responses: %d %s, ran %d times", a.status, a.code(), c.broker.Runs()[key])
 		}
 	}
-	c.await("the platform has every bill", func() bool { return c.bills() == 10+1+8 })
+	c.await("the platform has every bill", func() bool { return c.billCount() == 10+1+8 })
 	for i := range 8 {
 		key := fmt.Sprintf("lost-%d", i)
 		c.await("the outcome is recorded", func() bool {
@@ -198,40 +198,39 @@
 	}
 }
 
-// TestStreamSurvivesItsServer breaks the streams of one server off in the
-// middle: they go on from another server of the same version.
-func TestStreamSurvivesItsServer(t *testing.T) {
+// TestStreamContinuesOnAnotherServer interrupts the streams of one server: they continue from
+// another server of the same version.
+func TestStreamContinuesOnAnotherServer(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
 	c.engines["engine-0"].SetFault(standin.EngineFault{CutAfter: 5})
 	const tokens = 12
 	for range 10 {
 		a := c.do("entry-0", http.MethodPost, wire.PathChat, chatBody(v1.String(), true, tokens))
-		if err := wholeStream(a, v1, tokens); err != nil {
+		if err := checkStream(a, v1, tokens); err != nil {
 			t.Error(err)
 		}
 	}
-	c.await("each request is billed once", func() bool { return c.bills() == 10 })
+	c.await("each request is billed once", func() bool { return c.billCount() == 10 })
 	for _, e := range c.platform.Keys(control.BillPrefix) {
 		var b struct{ Tokens int64 }
 		if err := json.Unmarshal(e.Value, &b); err != nil || b.Tokens != tokens {
 			t.Errorf("bill %s says %d tokens, want %d", e.Key, b.Tokens, tokens)
 		}
 	}
-	// With no other server left the stream ends in an error event, and is not
-	// billed.
+	// With no other server left the stream ends with an error event and is not billed.
 	for _, id := range []string{"engine-0", "engine-1"} {
 		c.engines[id].SetFault(standin.EngineFault{CutAfter: 2})
 	}
 	a := c.do("entry-0", http.MethodPost, wire.PathChat, chatBody(v1.String(), true, tokens))
-	if err := wholeStream(a, v1, tokens); err == nil {
-		t.Error("a stream that broke off looks whole")
+	if err := checkStream(a, v1, tokens); err == nil {
+		t.Error("an interrupted stream looks complete")
 	}
 }
 
-// TestCrossedAnswersAreDropped has one engine of each version answer with the
-// ids of other attempts.
-func TestCrossedAnswersAreDropped(t *testing.T) {
+// TestMismatchedAnswersAreDropped makes one engine of each version answer with the ids of
+// other attempts: no caller may receive an answer to another request.
+func TestMismatchedAnswersAreDropped(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
 	for _, id := range []string{"engine-0", "engine-2"} {
@@ -243,19 +242,19 @@
 		if a.header.Get(wire.HeaderVersion) == v2.String() {
 			ref = v2
 		}
-		if err := wholeStream(a, ref, 3); err != nil {
+		if err := checkStream(a, ref, 3); err != nil {
 			t.Error(err)
 		}
 	}
 	d, err := c.dump("entry-0")
 	if err != nil || d.Front.CrossedAnswers == 0 {
-		t.Errorf("no crossed answer was counted: %v", err)
+		t.Errorf("no mismatched answer was counted: %v", err)
 	}
 }
 
-// TestOnceCallIsSentOnce has the service break the answer off after it ran: the
-// call is not sent again, and nobody says "not run".
-func TestOnceCallIsSentOnce(t *testing.T) {
+// TestNonRepeatableCallIsSentOnce makes the service interrupt the answer of a non-repeatable call
+// after running it: the call is not sent again and never reported as not run.
+func TestNonRepeatableCallIsSentOnce(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
 	for _, h := range [][]header{{{wire.HeaderKey, "cut"}}, nil} {
@@ -263,18 +262,18 @@
 		before := total(c.broker.Runs())
 		a := c.do("entry-0", http.MethodPost, checkout, "seat=9", h...)
 		if a.status != http.StatusBadGateway || a.run() != "unknown" {
-			t.Errorf("answer cut off: %d, run %q", a.status, a.run())
+			t.Errorf("interrupted answer: %d, run %q", a.status, a.run())
 		}
 		if n := total(c.broker.Runs()) - before; n != 1 {
 			t.Errorf("the call ran %d times", n)
 		}
 	}
-	c.await("the record says so", func() bool {
+	c.await("the claim record has the unknown outcome", func() bool {
 		a := c.do("entry-1", http.MethodPost, checkout, "seat=9", header{wire.HeaderKey, "cut"})
 		return a.code() == "outcome_unknown" && a.run() == "unknown"
 	})
 	if a := c.do("entry-1", http.MethodPost, checkout, "seat=10", header{wire.HeaderKey, "cut"}); a.code() != "key_reused" {
-		t.Errorf("another request under the same key: %d %s", a.status, a.code())
+		t.Errorf("another request with the same key: %d %s", a.status, a.code())
 	}
 }
 
@@ -286,8 +285,8 @@
 	return n
 }
 
-// TestSessionKeepsItsVersion keeps sessions through edits and a daemon's
-// replacement, and ends them when their version is withdrawn.
+// TestSessionKeepsItsVersion checks that sessions keep their version when the table is
+// edited and a daemon is restarted, and that they end when the version is withdrawn.
 func TestSessionKeepsItsVersion(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
@@ -315,7 +314,7 @@
 	c.kill("entry-0")
 	c.startDaemon("entry-0")
 	c.awaitServing("entry-0")
-	c.inForce("entry-1")
+	c.awaitGeneration("entry-1")
 	headers := func(s session) header {
 		if s.token != "" {
 			return header{wire.HeaderPin, s.token}
@@ -330,10 +329,10 @@
 		}
 	}
 	if moved > 0 {
-		t.Errorf("%d of %d sessions were moved", moved, len(sessions))
+		t.Errorf("%d of %d sessions changed their version", moved, len(sessions))
 	}
 	c.apply(withdraw(weights, v1))
-	c.inForce("entry-0", "entry-1")
+	c.awaitGeneration("entry-0", "entry-1")
 	for i, s := range sessions {
 		a := c.chat(fmt.Sprintf("entry-%d", i%2), "roster", headers(s))
 		if s.version == v1.String() && (a.code() != "session_version_gone" || a.run() != "not_run") {
@@ -345,13 +344,13 @@
 	}
 }
 
-// TestLeavingServerGetsNothingNew has an engine decline work: one daemon finds
-// out and the others know without asking it.
-func TestLeavingServerGetsNothingNew(t *testing.T) {
+// TestLeavingServerGetsNoNewRequests makes an engine decline requests because it is leaving:
+// one daemon notices, and the others learn it from that daemon.
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	c.engines["engine-0"].SetFault(standin.EngineFault{Leaving: true})
-	c.await("some daemon has met the leaving server", func() bool {
+	c.await("a daemon has noticed that the server is leaving", func() bool {
 		if a := c.chat("entry-0", v1.String()); a.status != http.StatusOK {
 			t.Fatalf("%d %s", a.status, a.body)
 		}
@@ -359,18 +358,18 @@
 		return err == nil && leaving(d.Control.Servers, "engine-0")
 	})
 	for _, id := range []string{"entry-1", "entry-2"} {
-		c.await(id+" knows", func() bool {
+		c.await(id+" knows that the server is leaving", func() bool {
 			d, err := c.dump(id)
 			return err == nil && leaving(d.Control.Servers, "engine-0")
 		})
 	}
-	before := c.runsOf("engine-0")
+	before := c.runCount("engine-0")
 	for i := range 30 {
 		if a := c.chat(fmt.Sprintf("entry-%d", i%3), v1.String()); a.status != http.StatusOK {
 			t.Errorf("%d %s", a.status, a.code())
 		}
 	}
-	if n := c.runsOf("engine-0") - before; n != 0 {
+	if n := c.runCount("engine-0") - before; n != 0 {
 		t.Errorf("%d requests ran on a leaving server", n)
 	}
 }
@@ -384,9 +383,9 @@
 	return false
 }
 
-// TestRacingOperators applies many edits made from the same generation, while
-// the platform loses answers: each time one wins, and none reverts another.
-func TestRacingOperators(t *testing.T) {
+// TestOneOfConcurrentEditsWins applies concurrent edits based on the same generation while the
+// platform loses responses: exactly one edit wins each round, and none reverts another.
+func TestOneOfConcurrentEditsWins(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
 	for round := range 5 {
@@ -399,40 +398,40 @@
 				edited := baseTable()
 				edited.Allows[0].Weight = 10*round + op + 2
 				author := fmt.Sprintf("operator-%d", op)
-				h, err := c.store.Apply(context.Background(), tablestore.Edit{From: c.number, Table: edited, Author: author, At: time.Unix(0, 0)})
+				h, err := c.store.Apply(context.Background(), tablestore.Edit{From: c.generation, Table: edited, Author: author, At: time.Unix(0, 0)})
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
 					won[author] = h.Number
 				} else if !fault.Is(err, tablestore.Stale) {
-					t.Errorf("%s lost with %v", author, err)
+					t.Errorf("edit by %s failed with %v", author, err)
 				}
 			})
 		}
 		wg.Wait()
 		newest, _, err := c.store.Newest(context.Background())
-		if err != nil || len(won) != 1 || won[newest.Author] != newest.Number || newest.Number != c.number+1 {
-			t.Fatalf("round %d: %v won, the newest is %d by %s (%v)", round, won, newest.Number, newest.Author, err)
+		if err != nil || len(won) != 1 || won[newest.Author] != newest.Number || newest.Number != c.generation+1 {
+			t.Fatalf("round %d: winners %v, newest generation %d by %s (%v)", round, won, newest.Number, newest.Author, err)
 		}
-		c.number = newest.Number
+		c.generation = newest.Number
 	}
-	c.inForce("entry-0", "entry-1")
+	c.awaitGeneration("entry-0", "entry-1")
 }
 
-// TestStartsWhileThePlatformIsDown replaces a daemon during an outage: it takes
-// the newest table from another one.
+// TestStartsWhileThePlatformIsDown restarts a daemon during a platform outage: it fetches
+// the newest table from another daemon.
 func TestStartsWhileThePlatformIsDown(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2)
 	c.apply(withdraw(baseTable(), v2))
-	c.inForce("entry-0", "entry-1")
+	c.awaitGeneration("entry-0", "entry-1")
 	for _, service := range []string{"table", "objects", "vms", "ratings"} {
 		c.platform.SetFault(platform.Fault{Service: service, Down: true})
 	}
 	c.kill("entry-0")
 	c.startDaemon("entry-0")
-	c.inForce("entry-0")
-	c.await("it serves", func() bool { return c.chat("entry-0", "roster").status == http.StatusOK })
+	c.awaitGeneration("entry-0")
+	c.await("it serves requests", func() bool { return c.chat("entry-0", "roster").status == http.StatusOK })
 	if a := c.chat("entry-0", v2.String()); a.run() != "not_run" {
 		t.Errorf("a withdrawn version: %d %s", a.status, a.run())
 	}
