--- a/daemon/scenario/bench_measure_test.go
+++ b/daemon/scenario/bench_measure_test.go
@@ -167,7 +167,7 @@
 	c := newCluster(t, 2)
 	const streams, tokens = 200, 100
 	for _, e := range c.engines {
-		e.TokenPace = 10 * time.Millisecond
+		e.TokenInterval = 10 * time.Millisecond
 	}
 	var open []<-chan answer
 	for range streams {
--- a/daemon/standin/engine.go
+++ b/daemon/standin/engine.go
@@ -42,8 +42,8 @@
 	ID      string
 	Model   string
 	Version string
-	// TokenPace is the time between two tokens.
-	TokenPace time.Duration
+	// TokenInterval is the time between two tokens.
+	TokenInterval time.Duration
 	// Batch is the maximum number of concurrent requests; 0 is no limit.
 	Batch int
 	// Quality, in [0,1], is written into the answers. Raters read it there.
@@ -363,8 +363,8 @@
 		if f.CutAfter > 0 && i-offset >= f.CutAfter {
 			panic(http.ErrAbortHandler)
 		}
-		if e.TokenPace > 0 {
-			clock.Wait(r.Context(), e.TokenPace)
+		if e.TokenInterval > 0 {
+			clock.Wait(r.Context(), e.TokenInterval)
 		}
 		if r.Context().Err() != nil {
 			return
@@ -393,8 +393,8 @@
 const fingerprint = "standin"
 
 func (e *Engine) writeAnswer(w http.ResponseWriter, r *http.Request, tokens []string) {
-	if e.TokenPace > 0 {
-		clock.Wait(r.Context(), e.TokenPace*time.Duration(len(tokens)))
+	if e.TokenInterval > 0 {
+		clock.Wait(r.Context(), e.TokenInterval*time.Duration(len(tokens)))
 	}
 	e.tokens.Add(int64(len(tokens)))
 	write(w, answer{status: http.StatusOK, body: engineAnswer{Fingerprint: fingerprint, ChatAnswer: wire.ChatAnswer{
