--- a/daemon/scenario/notice_test.go
+++ b/daemon/scenario/notice_test.go
@@ -86,7 +86,7 @@
 	t.Parallel()
 	c := newCluster(t, 1)
 	unloaded := c.engines["engine-0"]
-	unloaded.Forget(v1.Model, v1.Version)
+	unloaded.Unload(v1.Model, v1.Version)
 	for unloaded.Arrived() == 0 {
 		if a := c.chat("entry-0", v1.String()); a.status != http.StatusOK {
 			t.Fatalf("%d %s", a.status, a.body)
--- a/daemon/standin/engine.go
+++ b/daemon/standin/engine.go
@@ -111,8 +111,8 @@
 	e.Quality = q
 }
 
-// Forget unloads a version without an order.
-func (e *Engine) Forget(model, version string) {
+// Unload unloads a version without an order.
+func (e *Engine) Unload(model, version string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.loaded = slices.DeleteFunc(e.loaded, func(l wire.Loaded) bool { return l.Model == model && l.Version == version })
