--- a/daemon/cmd/ladderridge/cmd_standin.go
+++ b/daemon/cmd/ladderridge/cmd_standin.go
@@ -90,7 +90,7 @@
 	cmd.Flags().StringVar(&e.Version, "model-version", "v1", "the version")
 	cmd.Flags().DurationVar(&e.TokenInterval, "pace", 5*time.Millisecond, "time between two tokens")
 	cmd.Flags().DurationVar(&e.Prefill, "prefill", 0, "time to the first token of a prompt that is not cached")
-	cmd.Flags().IntVar(&e.Prefixes, "prefixes", 0, "number of prompt prefixes that the prefix cache holds")
+	cmd.Flags().IntVar(&e.PrefixCacheSize, "prefixes", 0, "number of prompt prefixes that the prefix cache holds")
 	cmd.Flags().DurationVar(&e.ReportLag, "report-lag", 0, "maximum age of the load in a report")
 	cmd.Flags().IntVar(&e.Slots, "slots", 0, "number of versions that fit; 0 is unknown")
 	cmd.Flags().DurationVar(&e.LoadTime, "load-time", 0, "time to load a version")
--- a/daemon/standin/engine.go
+++ b/daemon/standin/engine.go
@@ -50,8 +50,8 @@
 	Quality float64
 	// Prefill is the additional time to the first token of a prompt whose prefix is not
 	// in the prefix cache. Prefixes is the capacity of that cache in prefixes; 0 is no cache.
-	Prefill  time.Duration
-	Prefixes int
+	Prefill         time.Duration
+	PrefixCacheSize int
 	// ReportLag is the maximum age of the in-flight count in a load report.
 	ReportLag time.Duration
 	// Slots is how many model versions fit into memory, LoadTime the time to load one.
@@ -285,7 +285,7 @@
 // lookUpPrefix reports whether the prompt's prefix is in the prefix cache, and
 // makes it the most recently used one. A full cache evicts the least recently used.
 func (e *Engine) lookUpPrefix(req wire.ChatRequest) bool {
-	if e.Prefixes == 0 {
+	if e.PrefixCacheSize == 0 {
 		return false
 	}
 	prefix := ""
@@ -300,7 +300,7 @@
 		e.prefixes = slices.Delete(e.prefixes, i, i+1)
 	}
 	e.prefixes = append(e.prefixes, prefix)
-	e.prefixes = e.prefixes[max(0, len(e.prefixes)-e.Prefixes):]
+	e.prefixes = e.prefixes[max(0, len(e.prefixes)-e.PrefixCacheSize):]
 	return i >= 0
 }
 
--- a/daemon/standin/engine_test.go
+++ b/daemon/standin/engine_test.go
@@ -32,7 +32,7 @@
 // the first request takes the prefill time.
 func TestPrefixCacheShortensTheFirstToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &standin.Engine{Model: "m", Version: "v", Prefill: time.Second, Prefixes: 1, TokenInterval: time.Millisecond}
+		e := &standin.Engine{Model: "m", Version: "v", Prefill: time.Second, PrefixCacheSize: 1, TokenInterval: time.Millisecond}
 		h := e.Handler()
 		if took := serve(t, h); took != time.Second+time.Millisecond {
 			t.Errorf("a new prompt took %v", took)
