--- a/daemon/standin/engine.go
+++ b/daemon/standin/engine.go
@@ -59,8 +59,8 @@
 	LoadTime time.Duration
 	// ChecksFence makes the engine refuse orders with an outdated fencing token.
 	ChecksFence bool
-	// Rating, if set, is called with the request id and the quality of every answer.
-	Rating func(request string, quality float64)
+	// OnRating, if set, is called with the request id and the quality of every answer.
+	OnRating func(request string, quality float64)
 
 	mu       sync.Mutex
 	fault    EngineFault
@@ -268,8 +268,8 @@
 	} else {
 		e.writeAnswer(w, r, tokens)
 	}
-	if e.Rating != nil {
-		e.Rating(id, e.quality())
+	if e.OnRating != nil {
+		e.OnRating(id, e.quality())
 	}
 }
 
