--- a/daemon/scenario/notice_test.go
+++ b/daemon/scenario/notice_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	c := newCluster(t, 2)
 	leavingEngine := c.engines["engine-0"]
-	leavingEngine.SetFault(standin.EngineFault{SaysLeaving: true})
+	leavingEngine.SetFault(standin.EngineFault{AnnounceLeaving: true})
 	for leavingEngine.Arrived() == 0 {
 		if a := c.chat("entry-0", v1.String()); a.status != http.StatusOK {
 			t.Fatalf("%d %s", a.status, a.body)
--- a/daemon/standin/engine.go
+++ b/daemon/standin/engine.go
@@ -29,9 +29,9 @@
 	CrossAnswers int `json:"cross_answers"`
 	// HoldAnswers delays the start of every answer until it is set to false.
 	HoldAnswers bool `json:"hold_answers"`
-	// SaysLeaving makes the engine announce in its answers that it is shutting down. It still
+	// AnnounceLeaving makes the engine announce in its answers that it is shutting down. It still
 	// serves requests.
-	SaysLeaving bool `json:"says_leaving"`
+	AnnounceLeaving bool `json:"says_leaving"`
 	// RestS makes the engine decline all requests and ask for a back-off of that many seconds.
 	RestS float64 `json:"rest_s"`
 }
@@ -201,7 +201,7 @@
 	f := e.fault
 	released := e.released
 	e.mu.Unlock()
-	if f.SaysLeaving {
+	if f.AnnounceLeaving {
 		w.Header().Set(wire.HeaderLeaving, wire.LeavingYes)
 	}
 	switch {
