--- a/daemon/standin/service.go
+++ b/daemon/standin/service.go
@@ -33,9 +33,9 @@
 	CutAnswers int `json:"cut_answers"`
 	// HoldAnswers delays every answer until it is set to false.
 	HoldAnswers bool `json:"hold_answers"`
-	// SaysLeaving makes the service announce in its answers that it is shutting down. It still
+	// AnnounceLeaving makes the service announce in its answers that it is shutting down. It still
 	// serves calls.
-	SaysLeaving bool `json:"says_leaving"`
+	AnnounceLeaving bool `json:"says_leaving"`
 	// RestS makes the service refuse all calls and ask for a back-off of that many seconds, as
 	// any HTTP service may do.
 	RestS float64 `json:"rest_s"`
@@ -71,7 +71,7 @@
 		s.released = make(chan struct{})
 	}
 	s.hold, s.leaving, s.cutAnswers = f.HoldAnswers, f.Leaving, f.CutAnswers
-	s.announceLeaving, s.backoffS = f.SaysLeaving, f.RestS
+	s.announceLeaving, s.backoffS = f.AnnounceLeaving, f.RestS
 }
 
 // Arrived returns the number of calls received, including those that were refused.
