--- a/daemon/scenario/notice_test.go
+++ b/daemon/scenario/notice_test.go
@@ -44,7 +44,7 @@
 	t.Parallel()
 	c := newCluster(t, 1)
 	inBackoff := c.engines["engine-0"]
-	inBackoff.SetFault(standin.EngineFault{RestS: 3600})
+	inBackoff.SetFault(standin.EngineFault{BackoffS: 3600})
 	for inBackoff.Arrived() == 0 {
 		if a := c.chat("entry-0", v1.String()); a.status != http.StatusOK {
 			t.Fatalf("%d %s", a.status, a.body)
--- a/daemon/standin/engine.go
+++ b/daemon/standin/engine.go
@@ -32,8 +32,8 @@
 	// AnnounceLeaving makes the engine announce in its answers that it is shutting down. It still
 	// serves requests.
 	AnnounceLeaving bool `json:"says_leaving"`
-	// RestS makes the engine decline all requests and ask for a back-off of that many seconds.
-	RestS float64 `json:"rest_s"`
+	// BackoffS makes the engine decline all requests and ask for a back-off of that many seconds.
+	BackoffS float64 `json:"rest_s"`
 }
 
 // Engine is a fake of a model engine. Set the exported fields before the first
@@ -208,8 +208,8 @@
 	case f.Leaving:
 		e.decline(w, wire.DeclinedLeaving)
 		return f, false
-	case f.RestS > 0:
-		w.Header().Set(wire.HeaderRetryAfter, strconv.FormatFloat(f.RestS, 'f', -1, 64))
+	case f.BackoffS > 0:
+		w.Header().Set(wire.HeaderRetryAfter, strconv.FormatFloat(f.BackoffS, 'f', -1, 64))
 		e.decline(w, wire.DeclinedFull)
 		return f, false
 	case e.Batch > 0 && int(e.inFlight.Load()) > e.Batch:
