--- a/daemon/scenario/notice_test.go
+++ b/daemon/scenario/notice_test.go
@@ -66,7 +66,7 @@
 func TestServiceInBackoffGetsNoCalls(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
-	c.broker.SetFault(standin.ServiceFault{RestS: 500})
+	c.broker.SetFault(standin.ServiceFault{BackoffS: 500})
 	for n := range 20 {
 		a := c.do("entry-0", http.MethodPost, "/services/broker/seats", fmt.Sprint(n))
 		retryAfter, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
--- a/daemon/standin/service.go
+++ b/daemon/standin/service.go
@@ -36,9 +36,9 @@
 	// AnnounceLeaving makes the service announce in its answers that it is shutting down. It still
 	// serves calls.
 	AnnounceLeaving bool `json:"says_leaving"`
-	// RestS makes the service refuse all calls and ask for a back-off of that many seconds, as
+	// BackoffS makes the service refuse all calls and ask for a back-off of that many seconds, as
 	// any HTTP service may do.
-	RestS float64 `json:"rest_s"`
+	BackoffS float64 `json:"rest_s"`
 }
 
 // Handler returns the handler of the calls, on every path, and of the admin calls.
@@ -71,7 +71,7 @@
 		s.released = make(chan struct{})
 	}
 	s.hold, s.leaving, s.cutAnswers = f.HoldAnswers, f.Leaving, f.CutAnswers
-	s.announceLeaving, s.backoffS = f.AnnounceLeaving, f.RestS
+	s.announceLeaving, s.backoffS = f.AnnounceLeaving, f.BackoffS
 }
 
 // Arrived returns the number of calls received, including those that were refused.
