--- a/daemon/scenario/chaos_test.go
+++ b/daemon/scenario/chaos_test.go
@@ -175,7 +175,7 @@
 		c.keepFault(time.Second)
 		c.platform.SetFault(platform.Fault{Service: "table"})
 	case 4:
-		c.engines[engine].SetFault(standin.EngineFault{CutAfter: 3, CrossAnswers: 3})
+		c.engines[engine].SetFault(standin.EngineFault{CutAfter: 3, MismatchAnswers: 3})
 		c.keepFault(time.Second)
 		c.engines[engine].SetFault(standin.EngineFault{})
 	case 5:
--- a/daemon/scenario/scenario_test.go
+++ b/daemon/scenario/scenario_test.go
@@ -234,7 +234,7 @@
 	t.Parallel()
 	c := newCluster(t, 1)
 	for _, id := range []string{"engine-0", "engine-2"} {
-		c.engines[id].SetFault(standin.EngineFault{CrossAnswers: 3})
+		c.engines[id].SetFault(standin.EngineFault{MismatchAnswers: 3})
 	}
 	for range 20 {
 		a := c.do("entry-0", http.MethodPost, wire.PathChat, chatBody("roster", true, 3))
--- a/daemon/standin/engine.go
+++ b/daemon/standin/engine.go
@@ -25,8 +25,8 @@
 	ErrorRate float64 `json:"error_rate"`
 	// CutAfter interrupts streams after that many tokens; 0 is never.
 	CutAfter int `json:"cut_after"`
-	// CrossAnswers is the number of answers that carry a wrong attempt id.
-	CrossAnswers int `json:"cross_answers"`
+	// MismatchAnswers is the number of answers that carry a wrong attempt id.
+	MismatchAnswers int `json:"cross_answers"`
 	// HoldAnswers delays the start of every answer until it is set to false.
 	HoldAnswers bool `json:"hold_answers"`
 	// AnnounceLeaving makes the engine announce in its answers that it is shutting down. It still
@@ -315,8 +315,8 @@
 func (e *Engine) echoAttempt(id string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.fault.CrossAnswers > 0 {
-		e.fault.CrossAnswers--
+	if e.fault.MismatchAnswers > 0 {
+		e.fault.MismatchAnswers--
 		return "crossed-" + id
 	}
 	return id
