--- a/daemon/cmd/ladderridge/cmd_standin_site.go
+++ b/daemon/cmd/ladderridge/cmd_standin_site.go
@@ -41,7 +41,7 @@
 		Short: "Send requests to the gateways of a stand-in site, and fail unless every answer is complete",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			t := standin.AskSite(cmd.Context(), strings.Split(targets, ","), n)
+			t := standin.CallSite(cmd.Context(), strings.Split(targets, ","), n)
 			cmd.Printf("sent: %d, answered whole: %d, refused: %d\n", t.Sent, t.Whole, t.Refused)
 			for _, what := range slices.Sorted(maps.Keys(t.Others)) {
 				cmd.Printf("%d times: %s\n", t.Others[what], what)
--- a/daemon/standin/site.go
+++ b/daemon/standin/site.go
@@ -104,9 +104,9 @@
 	Others map[string]int
 }
 
-// AskSite sends n requests to the gateways at the addresses in turn and counts the
+// CallSite sends n requests to the gateways at the addresses in turn and counts the
 // outcomes. Every second request is a chat.
-func AskSite(ctx context.Context, addrs []string, n int) Tally {
+func CallSite(ctx context.Context, addrs []string, n int) Tally {
 	client := &http.Client{}
 	out := Tally{Others: map[string]int{}}
 	for i := range n {
