--- a/daemon/standin/site.go
+++ b/daemon/standin/site.go
@@ -95,8 +95,8 @@
 	return fmt.Sprintf("status %d %s", r.Status, strings.TrimSpace(r.Body))
 }
 
-// Tally counts the outcomes of the requests to a site.
-type Tally struct {
+// Summary counts the outcomes of the requests to a site.
+type Summary struct {
 	Sent    int
 	Whole   int
 	Refused int
@@ -106,9 +106,9 @@
 
 // CallSite sends n requests to the gateways at the addresses in turn and counts the
 // outcomes. Every second request is a chat.
-func CallSite(ctx context.Context, addrs []string, n int) Tally {
+func CallSite(ctx context.Context, addrs []string, n int) Summary {
 	client := &http.Client{}
-	out := Tally{Others: map[string]int{}}
+	out := Summary{Others: map[string]int{}}
 	for i := range n {
 		c := standin.Call{ID: fmt.Sprintf("ask-%d-%d", time.Now().UnixNano(), i), Method: http.MethodPost, Host: SiteHost, Target: SiteCall, Key: SiteKey, Body: "ask", Wait: siteLimit}
 		if i%2 == 0 {
