--- a/daemon/cmd/ladderridge/cmd_standin_site.go
+++ b/daemon/cmd/ladderridge/cmd_standin_site.go
@@ -42,11 +42,11 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			t := standin.CallSite(cmd.Context(), strings.Split(targets, ","), n)
-			cmd.Printf("sent: %d, answered whole: %d, refused: %d\n", t.Sent, t.Whole, t.Refused)
+			cmd.Printf("sent: %d, answered whole: %d, refused: %d\n", t.Sent, t.Complete, t.Refused)
 			for _, what := range slices.Sorted(maps.Keys(t.Others)) {
 				cmd.Printf("%d times: %s\n", t.Others[what], what)
 			}
-			if t.Whole != t.Sent {
+			if t.Complete != t.Sent {
 				return errors.New("not every request got a complete answer: look for the request IDs in the gateways' logs")
 			}
 			return nil
--- a/daemon/standin/site.go
+++ b/daemon/standin/site.go
@@ -97,9 +97,9 @@
 
 // Summary counts the outcomes of the requests to a site.
 type Summary struct {
-	Sent    int
-	Whole   int
-	Refused int
+	Sent     int
+	Complete int
+	Refused  int
 	// Others counts the other outcomes, by their description.
 	Others map[string]int
 }
@@ -117,7 +117,7 @@
 		r := c.Send(ctx, client, addrs[i%len(addrs)])
 		out.Sent++
 		if r.Status == http.StatusOK && r.Complete && r.Err == nil {
-			out.Whole++
+			out.Complete++
 			continue
 		}
 		if r.NotRun() {
