--- a/daemon/standin/engine.go
+++ b/daemon/standin/engine.go
@@ -49,7 +49,7 @@
 	// Quality, in [0,1], is written into the answers. Raters read it there.
 	Quality float64
 	// Prefill is the additional time to the first token of a prompt whose prefix is not
-	// in the prefix cache. Prefixes is the capacity of that cache in prefixes; 0 is no cache.
+	// in the prefix cache. PrefixCacheSize is the capacity of that cache in prefixes; 0 is no cache.
 	Prefill         time.Duration
 	PrefixCacheSize int
 	// ReportLag is the maximum age of the in-flight count in a load report.
@@ -311,7 +311,7 @@
 	e.ran[id]++
 }
 
-// echoAttempt returns the attempt id, or a wrong one while CrossAnswers is in force.
+// echoAttempt returns the attempt id, or a wrong one while MismatchAnswers is in force.
 func (e *Engine) echoAttempt(id string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
