--- a/soak/backend.go
+++ b/soak/backend.go
@@ -12,91 +12,92 @@
 	"ladderridge.example/platform/standin"
 )
 
-// backend is a backend server behind a link. When it crashes a new one takes its
-// place at the same address, under a new id or the same one.
+// backend is a backend server behind a TCP proxy. After a crash, a new server starts at the
+// same address, under a new id or the same one.
 type backend struct {
-	site    *site
+	cluster *cluster
 	service string
 	hall    string
 	version string
-	link    *Link
+	link    *TCPProxy
 	server  *httptest.Server
 
 	mu     sync.Mutex
 	runner *standin.Runner
 	starts int
-	// id is the present one, born when it began; again has the next start keep the id.
-	id      string
-	born    int64
-	again   bool
-	name    string
-	fault   standin.RunnerFault
-	present bool
-	// word is what the present start says of itself, but for its limit.
-	word  standin.Announcement
-	limit string
-	// deaths is how often a deadly request has ended it.
-	deaths atomic.Uint64
-	// retired servers do not start anew.
+	// id is the server's current id and startedAt its start time in Unix milliseconds; keepID
+	// has the next start reuse the id.
+	id        string
+	startedAt int64
+	keepID    bool
+	name      string
+	fault     standin.RunnerFault
+	present   bool
+	// announcement is what the server currently announces in its answers, except for its rate limit.
+	announcement standin.Announcement
+	limit        string
+	// crashes counts how often a crashing request has terminated the server.
+	crashes atomic.Uint64
+	// retired servers are not started again.
 	retired bool
 }
 
-// The work of backend servers.
+// The capacity, services and models of the backend servers.
 const (
-	slots       = 16
-	streamed    = 6
-	workTime    = 15 * time.Millisecond
-	modelPlain  = "api"
-	modelStream = "llm"
-	smallModel  = "small"
-	largeModel  = "large"
+	slots          = 16
+	streamEvents   = 6
+	processingTime = 15 * time.Millisecond
+	modelPlain     = "api"
+	modelStream    = "llm"
+	smallModel     = "small"
+	largeModel     = "large"
 )
 
-func newBackend(s *site, name, service, hall, version string) (*backend, error) {
-	b := &backend{site: s, service: service, hall: hall, version: version, name: name}
+func newBackend(s *cluster, name, service, hall, version string) (*backend, error) {
+	b := &backend{cluster: s, service: service, hall: hall, version: version, name: name}
 	b.server = httptest.NewServer(b)
 	var err error
-	if b.link, err = NewLink(strings.TrimPrefix(b.server.URL, "http://")); err != nil {
+	if b.link, err = NewTCPProxy(strings.TrimPrefix(b.server.URL, "http://")); err != nil {
 		return nil, err
 	}
-	return b, b.begin()
+	return b, b.launch()
 }
 
-// begin starts a server anew, under a new id unless it is to keep its own, and lists it.
-func (b *backend) begin() error {
+// launch starts the server, under a new id unless keepID is set, and registers it in the store.
+func (b *backend) launch() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.retired {
 		return nil
 	}
 	b.starts++
-	if !b.again || b.runner == nil {
+	if !b.keepID || b.runner == nil {
 		b.id = fmt.Sprintf("%s-%d", b.name, b.starts)
 	}
-	b.again, b.born = false, time.Now().UnixMilli()
+	b.keepID, b.startedAt = false, time.Now().UnixMilli()
 	start := b.starts
-	r := &standin.Runner{ID: b.id, Slots: slots, Work: workTime}
+	r := &standin.Runner{ID: b.id, Slots: slots, Work: processingTime}
 	if b.service == modelStream {
-		r.Events, r.Confidence = streamed, map[string]int{smallModel: 40, largeModel: 90}
+		r.Events, r.Confidence = streamEvents, map[string]int{smallModel: 40, largeModel: 90}
 	}
 	r.OnRun = func(run standin.Run) {
-		b.site.oracle.ran(Ran{Run: run, Server: r.ID, Service: b.service, Version: b.version, Start: start, At: time.Now()})
-		if run.Body == deadlyBody {
-			go b.die()
+		b.cluster.recorder.ran(Execution{Run: run, Server: r.ID, Service: b.service, Version: b.version, Start: start, At: time.Now()})
+		if run.Body == crashingBody {
+			go b.crashByRequest()
 		}
 	}
 	r.OnArrival = func(id string, w standin.Announcement) {
-		b.site.oracle.arrived(Arrival{ID: id, Server: r.ID, Start: start, Word: w, At: time.Now()})
+		b.cluster.recorder.arrived(Arrival{ID: id, Server: r.ID, Start: start, Announcement: w, At: time.Now()})
 	}
 	r.Play(b.fault)
-	b.runner, b.present, b.word, b.limit = r, true, standin.Announcement{}, ""
-	return b.list(false)
+	b.runner, b.present, b.announcement, b.limit = r, true, standin.Announcement{}, ""
+	return b.register(false)
 }
 
-// list writes the server's entry; b is locked.
-func (b *backend) list(leaving bool) error {
-	return b.site.store.SetServer(b.runner.ID, standin.Entry{
-		Service: b.service, Addr: b.link.Addr(), Hall: b.hall, Version: b.version, Slots: slots, Leaving: leaving, Born: b.born,
+// register writes the server's entry to the store. The caller holds b.mu.
+func (b *backend) register(leaving bool) error {
+	return b.cluster.store.SetServer(b.runner.ID, standin.Entry{
+		Service: b.service, Addr: b.link.Addr(), Hall: b.hall, Version: b.version, Slots: slots, Leaving: leaving, Born: b.startedAt,
 	})
 }
 
@@ -111,19 +112,18 @@
 	runner.ServeHTTP(w, r)
 }
 
-// play sets what the server does instead of answering.
-func (b *backend) play(f standin.RunnerFault) {
+// setFault sets the fault that the server simulates.
+func (b *backend) setFault(f standin.RunnerFault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fault = f
 	b.runner.Play(f)
 }
 
-// lapseAfter is how long the entry of a server that has gone without a word
-// stays.
-const lapseAfter = 1500 * time.Millisecond
+// entryTTL is how long the store entry of a crashed server remains.
+const entryTTL = 1500 * time.Millisecond
 
-// crash ends the server without a word; its entry goes later.
+// crash terminates the server without announcing it; its store entry is removed after entryTTL.
 func (b *backend) crash() {
 	b.mu.Lock()
 	id := b.runner.ID
@@ -131,32 +131,33 @@
 	b.mu.Unlock()
 	b.link.Refuse(true)
 	b.link.Reset()
-	time.AfterFunc(lapseAfter, func() { b.site.store.RemoveServer(id) })
+	time.AfterFunc(entryTTL, func() { b.cluster.store.RemoveServer(id) })
 }
 
-// leave says that the server takes no new work; it serves on.
+// leave announces that the server is draining: it accepts no new requests, but completes those
+// in progress.
 func (b *backend) leave() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tell(standin.Announcement{Leaving: true}, b.limit)
-	if err := b.list(true); err == nil {
-		b.site.oracle.left(Incarnation{Server: b.runner.ID, Start: b.starts}, time.Now())
+	b.applyAnnouncement(standin.Announcement{Leaving: true}, b.limit)
+	if err := b.register(true); err == nil {
+		b.cluster.recorder.left(Incarnation{Server: b.runner.ID, Start: b.starts}, time.Now())
 	}
 }
 
-// renew puts a new server in the place of one that has left or crashed.
-func (b *backend) renew() {
+// replace starts a new server in place of one that has left or crashed.
+func (b *backend) replace() {
 	b.mu.Lock()
 	id := b.runner.ID
 	b.mu.Unlock()
-	b.site.store.RemoveServer(id)
+	b.cluster.store.RemoveServer(id)
 	b.link.Refuse(false)
-	if err := b.begin(); err != nil {
-		b.site.oracle.found("SOAK", err.Error())
+	if err := b.launch(); err != nil {
+		b.cluster.recorder.found("SOAK", err.Error())
 	}
 }
 
-// retire ends the server for good and takes its entry away.
+// retire stops the server permanently and removes its store entry.
 func (b *backend) retire() {
 	b.mu.Lock()
 	b.present, b.retired = false, true
@@ -164,7 +165,7 @@
 	b.mu.Unlock()
 	b.link.Refuse(true)
 	b.link.Reset()
-	b.site.store.RemoveServer(id)
+	b.cluster.store.RemoveServer(id)
 }
 
 func (b *backend) close() {
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -15,18 +15,18 @@
 	"ladderridge.example/platform/standin"
 )
 
-// callers ask the daemons all the time. Each keeps its connection to one daemon
-// until that breaks, as callers do that the balancer has given a daemon.
+// callers send requests to the daemons continuously. Each caller keeps its connection to one
+// daemon until that breaks, as behind a load balancer that assigns connections.
 type callers struct {
-	site    *site
+	cluster *cluster
 	seed    uint64
 	workers int
 	stopped atomic.Bool
 	running sync.WaitGroup
 }
 
-func newCallers(s *site, o Options) *callers {
-	c := &callers{site: s, seed: o.Seed, workers: o.Workers}
+func newCallers(s *cluster, o Options) *callers {
+	c := &callers{cluster: s, seed: o.Seed, workers: o.Workers}
 	if c.workers == 0 {
 		c.workers = workersEach * len(s.daemons)
 	}
@@ -34,14 +34,13 @@
 }
 
 const (
-	// workersEach is how many callers there are for each daemon.
+	// workersEach is the number of callers for each daemon.
 	workersEach = 3
 	// thinkTime is the longest pause of a caller between two requests.
 	thinkTime = 20 * time.Millisecond
-	// moveOne is how often a caller goes to another daemon without need: once
-	// in that many requests.
-	moveOne = 25
-	// sessions is how many sessions there are.
+	// reconnectOneIn is how often a caller reconnects without need: once in this many requests.
+	reconnectOneIn = 25
+	// sessions is the number of distinct sessions.
 	sessions = 40
 )
 
@@ -52,7 +51,7 @@
 	}
 }
 
-// stop ends the callers after their present request.
+// stop stops the callers once their current requests have completed.
 func (c *callers) stop() {
 	c.stopped.Store(true)
 	c.running.Wait()
@@ -63,71 +62,71 @@
 	callers *callers
 	number  int
 	random  *rand.Rand
-	asked   int
+	sent    int
 
 	daemon *daemon
 	client *http.Client
 }
 
 func (w *worker) run(ctx context.Context) {
-	defer w.leave()
+	defer w.disconnect()
 	for !w.callers.stopped.Load() && ctx.Err() == nil {
-		if w.daemon == nil || w.random.IntN(moveOne) == 0 {
-			w.move()
+		if w.daemon == nil || w.random.IntN(reconnectOneIn) == 0 {
+			w.connect()
 		}
-		if a := w.ask(ctx); a.Reply.Err != nil {
-			w.leave()
+		if a := w.send(ctx); a.Reply.Err != nil {
+			w.disconnect()
 		}
 		clock.Wait(ctx, time.Duration(w.random.Int64N(int64(thinkTime))))
 	}
 }
 
-// move goes to one of the daemons that are ready, or to any if none is.
-func (w *worker) move() {
-	w.leave()
-	all := w.callers.site.daemons
-	var in []*daemon
+// connect chooses one of the ready daemons, or any daemon if none is ready.
+func (w *worker) connect() {
+	w.disconnect()
+	all := w.callers.cluster.daemons
+	var candidates []*daemon
 	for _, d := range all {
 		if d.ready.Load() {
-			in = append(in, d)
+			candidates = append(candidates, d)
 		}
 	}
-	if len(in) == 0 {
-		in = all
+	if len(candidates) == 0 {
+		candidates = all
 	}
-	w.daemon = in[w.random.IntN(len(in))]
+	w.daemon = candidates[w.random.IntN(len(candidates))]
 	w.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 }
 
-func (w *worker) leave() {
+func (w *worker) disconnect() {
 	if w.client != nil {
 		w.client.CloseIdleConnections()
 	}
 	w.daemon = nil
 }
 
-// ask sends a request and tells what came of it.
-func (w *worker) ask(ctx context.Context) Ask {
-	a := w.draw()
-	call := standin.Call{ID: a.ID, Method: a.Method, Host: host, Target: a.Target, Key: a.Key, Body: a.Body, Wait: a.Limit + patience}
+// send sends a request and records its outcome.
+func (w *worker) send(ctx context.Context) Request {
+	a := w.nextRequest()
+	call := standin.Call{ID: a.ID, Method: a.Method, Host: host, Target: a.Target, Key: a.Key, Body: a.Body, Wait: a.Limit + callerGrace}
 	if a.Kind == standin.Streaming {
 		call.Model, call.Session = "*", fmt.Sprintf("session-%d", w.random.IntN(sessions))
 	}
-	a.Daemon, a.Life, a.Sent = w.daemon.number, w.daemon.process(), time.Now()
+	a.Daemon, a.Process, a.Sent = w.daemon.number, w.daemon.processNumber(), time.Now()
 	a.Reply = call.Send(ctx, w.client, w.daemon.callers.Addr())
-	a.Ended, a.LifeAfter = time.Now(), w.daemon.process()
-	w.callers.site.oracle.answered(a)
+	a.Ended, a.ProcessAfter = time.Now(), w.daemon.processNumber()
+	w.callers.cluster.recorder.answered(a)
 	return a
 }
 
-// patience is how much longer than the route's limit a caller waits.
-const patience = 3 * time.Second
+// callerGrace is how much longer than the route's limit a caller waits for an answer.
+const callerGrace = 3 * time.Second
 
-// draw chooses what to ask.
-func (w *worker) draw() Ask {
-	w.asked++
-	a := Ask{ID: fmt.Sprintf("s%d-w%d-%d", w.callers.seed, w.number, w.asked), Key: keyName(w.random.IntN(keys)), Service: modelPlain, Limit: routeLimit}
-	tail := fmt.Sprintf("x%%2Fy?n=%d", w.asked)
+// nextRequest draws the next request.
+func (w *worker) nextRequest() Request {
+	w.sent++
+	a := Request{ID: fmt.Sprintf("s%d-w%d-%d", w.callers.seed, w.number, w.sent), Key: keyName(w.random.IntN(keys)), Service: modelPlain, Limit: routeLimit}
+	tail := fmt.Sprintf("x%%2Fy?n=%d", w.sent)
 	switch n := w.random.IntN(100); {
 	case n < 40:
 		a.Kind, a.Method, a.Target, a.Body = standin.Unsafe, http.MethodPost, onceRoute+tail, "body of "+a.ID
@@ -137,7 +136,7 @@
 		a.Kind, a.Method, a.Target, a.Body = standin.Streaming, http.MethodPost, streamRoute+tail, "prompt of "+a.ID
 		a.Service, a.Limit = modelStream, streamLimit
 	default:
-		a.Kind, a.Method, a.Added = standin.Safe, http.MethodGet, w.callers.site.someAdded(w.random)
+		a.Kind, a.Method, a.Added = standin.Safe, http.MethodGet, w.callers.cluster.randomAddedRoute(w.random)
 		a.Target = addedRoute(a.Added) + tail
 		if a.Added == 0 {
 			a.Target = readRoute + tail
@@ -146,10 +145,9 @@
 	return a
 }
 
-// someAdded is the number of a configuration that has added a route; 0 if none
-// has.
-func (s *site) someAdded(r *rand.Rand) uint64 {
-	numbers := slices.Sorted(maps.Keys(s.oracle.routes()))
+// randomAddedRoute returns the number of a configuration that has added a route; 0 if none has.
+func (s *cluster) randomAddedRoute(r *rand.Rand) uint64 {
+	numbers := slices.Sorted(maps.Keys(s.recorder.routes()))
 	if len(numbers) == 0 {
 		return 0
 	}
--- a/soak/check.go
+++ b/soak/check.go
@@ -9,22 +9,23 @@
 	"ladderridge.example/platform/standin"
 )
 
-// Check looks for broken promises that hold at any time, whatever happens.
-func Check(s Seen) []Finding {
+// Check checks the guarantees that hold at any time, during faults as well, and returns the
+// violations.
+func Check(s Observations) []Finding {
 	c := newChecker(s)
 	for _, r := range s.Runs {
 		c.run(r)
 	}
-	for _, a := range s.Asks {
-		c.once(a)
+	for _, a := range s.Requests {
+		c.ranOnce(a)
 		c.refusal(a)
 		c.answer(a)
 		c.denied(a)
 	}
 	c.backwards()
-	c.heeded()
-	c.limited()
-	for _, o := range s.Orders {
+	c.announcementsRespected()
+	c.limitsRespected()
+	for _, o := range s.Rollouts {
 		if o.Bad && o.State == standin.RolloutCompleted {
 			c.found("VERDICT", "version %s fails and was completed", o.Version)
 		}
@@ -32,21 +33,21 @@
 	return c.findings
 }
 
-// checker has what was seen by request.
+// checker holds the observations, indexed by request.
 type checker struct {
-	seen     Seen
-	runs     map[string][]Ran
-	asks     map[string]Ask
+	seen     Observations
+	runs     map[string][]Execution
+	requests map[string]Request
 	findings []Finding
 }
 
-func newChecker(s Seen) *checker {
-	c := &checker{seen: s, runs: map[string][]Ran{}, asks: map[string]Ask{}}
+func newChecker(s Observations) *checker {
+	c := &checker{seen: s, runs: map[string][]Execution{}, requests: map[string]Request{}}
 	for _, r := range s.Runs {
 		c.runs[r.Run.ID] = append(c.runs[r.Run.ID], r)
 	}
-	for _, a := range s.Asks {
-		c.asks[a.ID] = a
+	for _, a := range s.Requests {
+		c.requests[a.ID] = a
 	}
 	return c
 }
@@ -55,10 +56,10 @@
 	c.findings = append(c.findings, Finding{Rule: rule, Text: fmt.Sprintf(format, args...)})
 }
 
-// run checks that a server ran what a caller has sent, for its organisation, at
-// the service of its route, and with a key that was not taken away.
-func (c *checker) run(r Ran) {
-	a, ok := c.asks[r.Run.ID]
+// run checks that a server ran a request as the caller sent it, for the caller's organisation,
+// on the service of its route and with a key that was not revoked.
+func (c *checker) run(r Execution) {
+	a, ok := c.requests[r.Run.ID]
 	if !ok {
 		c.found("UNASKED", "%s ran request %q, which nobody has sent", r.Server, r.Run.ID)
 		return
@@ -77,21 +78,21 @@
 	}
 }
 
-// once checks that a request that may not be repeated ran at most once.
-func (c *checker) once(a Ask) {
+// ranOnce checks that an unsafe request ran at most once.
+func (c *checker) ranOnce(a Request) {
 	if runs := c.runs[a.ID]; a.Kind == standin.Unsafe && len(runs) > 1 {
 		c.found("TWICE", "request %s ran on %s", a.ID, serversOf(runs))
 	}
 }
 
-// refusal checks that what was called not run has not run.
-func (c *checker) refusal(a Ask) {
+// refusal checks that a request reported as not run has not run.
+func (c *checker) refusal(a Request) {
 	if runs := c.runs[a.ID]; a.Reply.NotRun() && len(runs) > 0 {
 		c.found("REFUSED", "request %s was refused with %d as not run, and ran on %s", a.ID, a.Reply.Status, serversOf(runs))
 	}
 }
 
-func serversOf(runs []Ran) string {
+func serversOf(runs []Execution) string {
 	var names []string
 	for _, r := range runs {
 		names = append(names, r.Server)
@@ -99,9 +100,9 @@
 	return strings.Join(names, ", ")
 }
 
-// answer checks that an answer is that of a server that ran the request, and
-// whole if it looks so.
-func (c *checker) answer(a Ask) {
+// answer checks that an answer comes from a server that ran the request, and that an answer
+// which appears complete is complete.
+func (c *checker) answer(a Request) {
 	if a.Reply.Status != http.StatusOK {
 		return
 	}
@@ -123,20 +124,21 @@
 	}
 }
 
-// expected is the whole answer to a request.
-func expected(a Ask) string {
+// expected returns the complete answer to a request.
+func expected(a Request) string {
 	if a.Kind != standin.Streaming {
 		return (&standin.Runner{ID: a.Reply.Server}).Answer(a.ID)
 	}
 	var b strings.Builder
-	for i := 1; i <= streamed; i++ {
+	for i := 1; i <= streamEvents; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %s\n\n", i, a.ID)
 	}
 	return b.String()
 }
 
-// denied checks that what every configuration allows is not called unknown.
-func (c *checker) denied(a Ask) {
+// denied checks that a request which every configuration allows is not rejected as
+// unauthorised, forbidden or not found.
+func (c *checker) denied(a Request) {
 	if _, gone := c.seen.Revoked[a.Key]; gone || a.Added > 0 {
 		return
 	}
@@ -146,7 +148,7 @@
 	}
 }
 
-// backwards checks that no process goes back to an earlier configuration.
+// backwards checks that no process reverts to an earlier configuration.
 func (c *checker) backwards() {
 	type life struct{ daemon, life int }
 	type shown struct {
@@ -154,17 +156,17 @@
 		at     time.Time
 	}
 	first := map[life][]shown{}
-	for _, a := range c.seen.Asks {
-		if a.Added > 0 && a.Reply.Status == http.StatusOK && a.Life == a.LifeAfter {
-			key := life{a.Daemon, a.Life}
+	for _, a := range c.seen.Requests {
+		if a.Added > 0 && a.Reply.Status == http.StatusOK && a.Process == a.ProcessAfter {
+			key := life{a.Daemon, a.Process}
 			first[key] = append(first[key], shown{a.Added, a.Ended})
 		}
 	}
-	for _, a := range c.seen.Asks {
-		if a.Added == 0 || a.Reply.Status != http.StatusNotFound || a.Life != a.LifeAfter {
+	for _, a := range c.seen.Requests {
+		if a.Added == 0 || a.Reply.Status != http.StatusNotFound || a.Process != a.ProcessAfter {
 			continue
 		}
-		for _, s := range first[life{a.Daemon, a.Life}] {
+		for _, s := range first[life{a.Daemon, a.Process}] {
 			if s.number >= a.Added && s.at.Before(a.Sent) {
 				c.found("BACKWARDS", "daemon %d knew configuration %d, and %v later not the route of %d", a.Daemon, s.number, a.Sent.Sub(s.at), a.Added)
 				break
--- a/soak/site.go
+++ b/soak/cluster.go
@@ -13,35 +13,35 @@
 	"ladderridge.example/platform/standin"
 )
 
-// site is everything that runs: the store, the backend servers, the daemons.
-type site struct {
-	seed    uint64
-	oracle  *oracle
-	store   *standin.Store
-	server  *httptest.Server
-	daemons []*daemon
-	// backends are the servers, those of models first.
+// cluster holds everything that a run starts: the store, the backend servers and the daemons.
+type cluster struct {
+	seed     uint64
+	recorder *recorder
+	store    *standin.Store
+	server   *httptest.Server
+	daemons  []*daemon
+	// backends lists the backend servers; those that serve models come first.
 	backends []*backend
 	cancel   context.CancelFunc
 
 	mu     sync.Mutex
 	config standin.Config
-	// ordered tells that a version has been brought in; there is one order in a
-	// run.
-	ordered bool
+	// rolloutStarted reports whether the roll-out of the new version has started; each run has
+	// at most one.
+	rolloutStarted bool
 }
 
-// The configuration.
+// The initial configuration.
 const (
 	host         = "soak.example"
 	organisation = "org"
-	// keys is how many keys there are; the first ones are never taken away.
-	keys, lastingKeys = 12, 4
-	routeLimit        = 2 * time.Second
-	streamLimit       = 4 * time.Second
+	// keys is the number of API keys; the first permanentKeys of them are never revoked.
+	keys, permanentKeys = 12, 4
+	routeLimit          = 2 * time.Second
+	streamLimit         = 4 * time.Second
 )
 
-// The routes that are always there.
+// The paths of the routes in every configuration.
 const (
 	onceRoute   = "/once/"
 	readRoute   = "/read/"
@@ -50,10 +50,10 @@
 
 func keyName(n int) string { return fmt.Sprintf("key-%d", n) }
 
-// addedRoute is the path of the route that a configuration brings.
+// addedRoute returns the path of the route that the configuration with this number adds.
 func addedRoute(number uint64) string { return fmt.Sprintf("/added-%d/", number) }
 
-func firstConfig() standin.Config {
+func initialConfig() standin.Config {
 	c := standin.Config{Number: 1, Host: host, Keys: map[string][]string{}, Routes: []standin.Route{
 		{Name: "once", Prefix: onceRoute, Kind: standin.Unsafe, Service: modelPlain, Attempts: 1, Limit: routeLimit},
 		{Name: "read", Prefix: readRoute, Kind: standin.Safe, Service: modelPlain, Attempts: 3, Limit: routeLimit},
@@ -65,9 +65,9 @@
 	return c
 }
 
-func newSite(o Options, p Plan) (*site, error) {
+func newCluster(o Options, p Plan) (*cluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &site{seed: o.Seed, oracle: newOracle(), store: standin.NewStore(), cancel: cancel, config: firstConfig()}
+	s := &cluster{seed: o.Seed, recorder: newRecorder(), store: standin.NewStore(), cancel: cancel, config: initialConfig()}
 	s.server = httptest.NewServer(s.store)
 	if err := s.build(ctx, o, p); err != nil {
 		s.close()
@@ -76,8 +76,8 @@
 	return s, nil
 }
 
-// build starts the servers and then the daemons.
-func (s *site) build(ctx context.Context, o Options, p Plan) error {
+// build starts the backend servers, then the daemons.
+func (s *cluster) build(ctx context.Context, o Options, p Plan) error {
 	if err := s.store.SetConfig(s.config); err != nil {
 		return &Error{Op: "write configuration", Kind: NoStart, Err: err}
 	}
@@ -92,8 +92,8 @@
 		}
 		s.backends = append(s.backends, b)
 	}
-	if o.Liar {
-		s.backends[servers-1].play(standin.Lying)
+	if o.LyingServer {
+		s.backends[servers-1].setFault(standin.Lying)
 	}
 	for n := range p.Daemons {
 		d, err := newDaemon(o, n, p.Halls, strings.TrimPrefix(s.server.URL, "http://"))
@@ -107,11 +107,11 @@
 	return nil
 }
 
-// close ends all that was started.
-func (s *site) close() {
+// close stops the daemons, the backend servers and the store.
+func (s *cluster) close() {
 	s.cancel()
 	for _, d := range s.daemons {
-		d.end()
+		d.stop()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,8 +122,8 @@
 	s.server.Close()
 }
 
-// awaitReady waits until all daemons are ready.
-func (s *site) awaitReady(ctx context.Context, within time.Duration) error {
+// awaitReady waits until all daemons report ready, and fails if that takes longer than within.
+func (s *cluster) awaitReady(ctx context.Context, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for {
@@ -143,44 +143,46 @@
 	}
 }
 
-// addRoute brings a new configuration with one more route.
-func (s *site) addRoute() {
+// addRoute writes a new configuration with one more route.
+func (s *cluster) addRoute() {
 	s.configure(func(c *standin.Config) {
 		n := c.Number
 		c.Routes = append(c.Routes[:len(c.Routes):len(c.Routes)], standin.Route{
 			Name: fmt.Sprintf("added-%d", n), Prefix: addedRoute(n), Kind: standin.Safe, Service: modelPlain, Attempts: 2, Limit: routeLimit,
 		})
-	}, func(c standin.Config, at time.Time) { s.oracle.added(c.Number, at) })
+	}, func(c standin.Config, at time.Time) { s.recorder.added(c.Number, at) })
 }
 
-// revokeKey brings a new configuration without one of the keys.
-func (s *site) revokeKey() {
-	var gone string
+// revokeKey writes a new configuration without one of the keys. It does nothing when only the
+// permanent keys are left.
+func (s *cluster) revokeKey() {
+	var revokedKey string
 	s.configure(func(c *standin.Config) {
-		held := c.Keys[organisation]
-		if len(held) > lastingKeys {
-			gone = held[len(held)-1]
+		current := c.Keys[organisation]
+		if len(current) > permanentKeys {
+			revokedKey = current[len(current)-1]
 			c.Keys = maps.Clone(c.Keys)
-			c.Keys[organisation] = held[:len(held)-1]
+			c.Keys[organisation] = current[:len(current)-1]
 		}
 	}, func(_ standin.Config, at time.Time) {
-		if gone != "" {
-			s.oracle.revoked(gone, at)
+		if revokedKey != "" {
+			s.recorder.revoked(revokedKey, at)
 		}
 	})
 }
 
-// configure changes the configuration and then tells of the acknowledged one.
-func (s *site) configure(change func(*standin.Config), tell func(standin.Config, time.Time)) {
+// configure writes a changed configuration to the store and calls record once the store has
+// acknowledged it.
+func (s *cluster) configure(change func(*standin.Config), record func(standin.Config, time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := s.config
 	next.Number += 3
 	change(&next)
 	if err := s.store.SetConfig(next); err != nil {
-		s.oracle.found("SOAK", err.Error())
+		s.recorder.found("SOAK", err.Error())
 		return
 	}
 	s.config = next
-	tell(next, time.Now())
+	record(next, time.Now())
 }
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -17,40 +17,40 @@
 	"ladderridge.example/platform"
 )
 
-// daemon is one real daemon with the links before and behind it. It is started
-// again whenever its process ends, as the platform does.
+// daemon is a real daemon process with its proxies. It is restarted whenever the process ends,
+// as the platform does.
 type daemon struct {
 	number int
 	id     string
 	hall   string
 	file   string
 	log    *os.File
-	// program is the daemon's binary.
+	// program is the path of the daemon's binary.
 	program string
 
-	callers *Link
-	store   *Link
-	peers   *Datagrams
-	// readiness is where the balancer asks.
+	callers *TCPProxy
+	store   *TCPProxy
+	peers   *UDPProxy
+	// readiness is the address of the readiness check that the load balancer queries.
 	readiness string
 	ready     atomic.Bool
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	life    int
+	starts  int
 	downFor time.Duration
 	ended   bool
-	// exited is closed when the process has ended for good.
+	// exited is closed when the process has ended and is not restarted.
 	exited chan struct{}
 }
 
-// nextPort numbers the ports that were given out. They lie below those that the
-// system gives to connections.
+// nextPort counts the ports handed out. They lie below the ephemeral port range, so that
+// outgoing connections don't take them.
 var nextPort atomic.Int64
 
 const firstPort, portSpan = 12000, 18000
 
-// freeAddr returns an address on loopback that nobody listens at.
+// freeAddr returns a loopback address that is not in use.
 func freeAddr() string {
 	for {
 		port := firstPort + (int64(os.Getpid())*97+nextPort.Add(1))%portSpan
@@ -64,13 +64,14 @@
 	}
 }
 
-// grace is how long a stopping daemon has; keyAge is how long a key passes.
+// shutdownGrace is how long a daemon may take to shut down; keyAge is how long a cached key
+// remains usable.
 const (
-	grace  = 6 * time.Second
-	keyAge = 5 * time.Second
+	shutdownGrace = 6 * time.Second
+	keyAge        = 5 * time.Second
 )
 
-// newDaemon makes a daemon that does not run yet.
+// newDaemon prepares a daemon without starting it.
 func newDaemon(o Options, number, halls int, store string) (*daemon, error) {
 	d := &daemon{
 		number: number, id: fmt.Sprintf("entry-%d", number), hall: hallName(number % halls), program: o.Program,
@@ -78,13 +79,13 @@
 	}
 	callers, peers := freeAddr(), freeAddr()
 	var err error
-	if d.callers, err = NewLink(callers); err != nil {
+	if d.callers, err = NewTCPProxy(callers); err != nil {
 		return nil, err
 	}
-	if d.store, err = NewLink(store); err != nil {
+	if d.store, err = NewTCPProxy(store); err != nil {
 		return nil, err
 	}
-	if d.peers, err = NewDatagrams(peers, newRand(o.Seed, uint64(1000+number))); err != nil {
+	if d.peers, err = NewUDPProxy(peers, newRand(o.Seed, uint64(1000+number))); err != nil {
 		return nil, err
 	}
 	d.file = filepath.Join(o.Dir, d.id+".ini")
@@ -105,7 +106,7 @@
 slack = 50
 [stop]
 grace = %s
-`, d.id, d.hall, callers, d.readiness, freeAddr(), peers, d.peers.Addr(), d.store.Addr(), keyAge, grace)
+`, d.id, d.hall, callers, d.readiness, freeAddr(), peers, d.peers.Addr(), d.store.Addr(), keyAge, shutdownGrace)
 	if err := os.WriteFile(d.file, []byte(settings), 0o600); err != nil {
 		return nil, &Error{Op: "write settings", Kind: NoStart, Err: err}
 	}
@@ -117,10 +118,10 @@
 
 func hallName(n int) string { return fmt.Sprintf("hall-%d", n) }
 
-// restartAfter is how long the platform takes to start a process again.
+// restartAfter is how long the platform takes to restart a process.
 const restartAfter = 200 * time.Millisecond
 
-// run keeps the process running until end is called or ctx ends, which kills it.
+// run restarts the process until stop is called or ctx ends, which kills it.
 func (d *daemon) run(ctx context.Context) {
 	defer close(d.exited)
 	for d.start(ctx) {
@@ -133,7 +134,7 @@
 	}
 }
 
-// start starts the process, unless the daemon has ended.
+// start starts the process, unless the daemon was stopped.
 func (d *daemon) start(ctx context.Context) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -142,10 +143,11 @@
 	}
 	cmd := exec.CommandContext(ctx, d.program, "gateway", "--config", d.file)
 	cmd.Stdout, cmd.Stderr = d.log, d.log
-	// In the soak's own process group a paused daemon would be let go on by the
-	// system when the shell that started the soak ends.
+	// A process group of its own: the system resumes stopped processes of an orphaned group, so
+	// a paused daemon in the soak's group would resume when the shell that started the soak
+	// exits.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	d.life++
+	d.starts++
 	if err := cmd.Start(); err != nil {
 		fmt.Fprintln(d.log, err)
 		d.ended = true
@@ -155,7 +157,7 @@
 	return true
 }
 
-// signal sends a signal to the process, if there is one.
+// signal sends a signal to the process, if it is running.
 func (d *daemon) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -164,7 +166,7 @@
 	}
 }
 
-// kill ends the process at once; it stays down for a time.
+// kill kills the process and keeps it down for the given time.
 func (d *daemon) kill(down time.Duration) {
 	d.mu.Lock()
 	d.downFor = down
@@ -172,26 +174,26 @@
 	d.signal(syscall.SIGKILL)
 }
 
-// terminate stops the process as planned, and kills it after the grace.
+// terminate stops the process gracefully, and kills it after shutdownGrace.
 func (d *daemon) terminate() {
-	life := d.process()
+	life := d.processNumber()
 	d.signal(syscall.SIGTERM)
-	time.AfterFunc(grace, func() {
-		if d.process() == life {
+	time.AfterFunc(shutdownGrace, func() {
+		if d.processNumber() == life {
 			d.signal(syscall.SIGKILL)
 		}
 	})
 }
 
-// process is the number of the present process, from 1.
-func (d *daemon) process() int {
+// processNumber returns how often the process was started: the first process is 1.
+func (d *daemon) processNumber() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.life
+	return d.starts
 }
 
-// end ends the daemon for good.
-func (d *daemon) end() {
+// stop stops the daemon permanently.
+func (d *daemon) stop() {
 	d.mu.Lock()
 	d.ended = true
 	d.mu.Unlock()
@@ -203,15 +205,15 @@
 	_ = d.log.Close()
 }
 
-// The balancer's rhythm.
+// The readiness checks of the load balancer.
 const (
 	readyEvery = 500 * time.Millisecond
-	// readyMisses is how many questions without a yes take a daemon out.
+	// readyMisses is the number of consecutive failed checks after which a daemon is removed
+	// from the load balancer.
 	readyMisses = 2
 )
 
-// watchReady asks whether the daemon is ready until ctx ends, as the balancer
-// does.
+// watchReady polls the daemon's readiness until ctx ends, as the load balancer does.
 func (d *daemon) watchReady(ctx context.Context) {
 	client := &http.Client{Timeout: readyEvery, Transport: &http.Transport{DisableKeepAlives: true}}
 	misses := 0
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -8,57 +8,57 @@
 	"time"
 )
 
-// Trouble is a kind of fault.
-type Trouble string
+// FaultKind is a kind of fault.
+type FaultKind string
 
-// The troubles. Those of daemons name one daemon, those of servers one server.
+// The kinds of faults. Those of daemons affect one daemon, those of servers one server.
 const (
-	// Processes.
-	Terminate Trouble = "daemon is stopped as planned"
-	Kill      Trouble = "daemon is killed"
-	KillAll   Trouble = "all daemons are killed"
-	Pause     Trouble = "daemon is paused"
-	Reload    Trouble = "daemon's settings change"
-
-	// Ways to and between daemons.
-	CutStore     Trouble = "daemon's way to the store is silent"
-	ResetStore   Trouble = "daemon's connections to the store are reset"
-	SlowCallers  Trouble = "daemon's callers are delayed"
-	ResetCallers Trouble = "daemon's callers are reset"
-	CutPeers     Trouble = "daemon hears no others"
-	LosePeers    Trouble = "daemon loses messages of others"
-
-	// The store.
-	StoreDown   Trouble = "store is down"
-	StoreSilent Trouble = "store is silent"
-	StoreLossy  Trouble = "store loses answers"
-	StoreSlow   Trouble = "store is slow"
-	StoreForget Trouble = "store forgets its history"
-
-	// StoreReturns is not drawn with the others.
-	StoreReturns Trouble = "store returns from a copy"
-
-	// Servers and the ways to them.
-	SlowServer    Trouble = "server is delayed"
-	ResetServer   Trouble = "server's connections are reset"
-	CutToServer   Trouble = "server hears nothing"
-	CutFromServer Trouble = "server is not heard"
-	FailServer    Trouble = "server fails"
-	LoseAnswers   Trouble = "server loses answers"
-	BreakStreams  Trouble = "server breaks streams"
-	CrashServer   Trouble = "server crashes and starts anew"
-	LeaveServer   Trouble = "server leaves"
-
-	// The operator.
-	AddRoute  Trouble = "operator adds a route"
-	RevokeKey Trouble = "operator takes a key away"
-	OrderGood Trouble = "operator brings in a good version"
-	OrderBad  Trouble = "operator brings in a version that fails"
+	// Faults of daemon processes.
+	Terminate FaultKind = "daemon is stopped as planned"
+	Kill      FaultKind = "daemon is killed"
+	KillAll   FaultKind = "all daemons are killed"
+	Pause     FaultKind = "daemon is paused"
+	Reload    FaultKind = "daemon's settings change"
+
+	// Faults of connections to and between daemons.
+	CutStore     FaultKind = "daemon's way to the store is silent"
+	ResetStore   FaultKind = "daemon's connections to the store are reset"
+	SlowCallers  FaultKind = "daemon's callers are delayed"
+	ResetCallers FaultKind = "daemon's callers are reset"
+	CutPeers     FaultKind = "daemon hears no others"
+	LosePeers    FaultKind = "daemon loses messages of others"
+
+	// Faults of the store.
+	StoreDown   FaultKind = "store is down"
+	StoreSilent FaultKind = "store is silent"
+	StoreLossy  FaultKind = "store loses answers"
+	StoreSlow   FaultKind = "store is slow"
+	StoreForget FaultKind = "store forgets its history"
+
+	// StoreReturns is not drawn at random; Options.StoreRestores enables it.
+	StoreReturns FaultKind = "store returns from a copy"
+
+	// Faults of backend servers and of the connections to them.
+	SlowServer    FaultKind = "server is delayed"
+	ResetServer   FaultKind = "server's connections are reset"
+	CutToServer   FaultKind = "server hears nothing"
+	CutFromServer FaultKind = "server is not heard"
+	FailServer    FaultKind = "server fails"
+	LoseAnswers   FaultKind = "server loses answers"
+	BreakStreams  FaultKind = "server breaks streams"
+	CrashServer   FaultKind = "server crashes and starts anew"
+	LeaveServer   FaultKind = "server leaves"
+
+	// Actions of the operator.
+	AddRoute  FaultKind = "operator adds a route"
+	RevokeKey FaultKind = "operator takes a key away"
+	OrderGood FaultKind = "operator brings in a good version"
+	OrderBad  FaultKind = "operator brings in a version that fails"
 )
 
-// weights are how often troubles are drawn, relative to each other.
+// weights gives the relative frequency of the kinds of faults.
 var weights = []struct {
-	trouble Trouble
+	trouble FaultKind
 	weight  int
 }{
 	{Terminate, 4},
@@ -92,22 +92,22 @@
 	{OrderBad, 2},
 }
 
-// Fault is a trouble with its place and time.
+// Fault is a fault with its target and time.
 type Fault struct {
-	Trouble Trouble
-	// Target numbers a daemon or a server, by the trouble.
+	Kind FaultKind
+	// Target is the number of a daemon or server, depending on Kind, modulo how many there are.
 	Target int
-	// At is counted from the start of the faults.
+	// At is the start of the fault, relative to the start of the plan.
 	At  time.Duration
 	For time.Duration
 }
 
-// String says what comes when.
+// String returns the time, kind and target of the fault.
 func (f Fault) String() string {
-	return fmt.Sprintf("%6.2f s, for %4.2f s: %s (%d)", f.At.Seconds(), f.For.Seconds(), f.Trouble, f.Target)
+	return fmt.Sprintf("%6.2f s, for %4.2f s: %s (%d)", f.At.Seconds(), f.For.Seconds(), f.Kind, f.Target)
 }
 
-// Plan is what a seed brings.
+// Plan is the plan of a run, as determined by its seed.
 type Plan struct {
 	Seed    uint64
 	Halls   int
@@ -115,48 +115,50 @@
 	Faults  []Fault
 }
 
-// The bounds of what is drawn.
+// The bounds of the random choices.
 const (
-	fewestDaemons, mostDaemons = 3, 8
-	fewestHalls, mostHalls     = 2, 3
-	// faultEvery is the mean time between two faults: several overlap.
-	faultEvery                 = 700 * time.Millisecond
-	shortestFault, spanFault   = 300 * time.Millisecond, 2500 * time.Millisecond
+	minDaemons, maxDaemons = 3, 8
+	minHalls, maxHalls     = 2, 3
+	// meanFaultInterval is the mean time between two faults; it is short enough that several
+	// overlap.
+	meanFaultInterval          = 700 * time.Millisecond
+	minFault, faultSpan        = 300 * time.Millisecond, 2500 * time.Millisecond
 	modelServers, plainServers = 4, 3
 	servers                    = modelServers + plainServers
 )
 
-// newRand is the source of all that a seed decides; part tells users apart.
-func newRand(seed, part uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, part)) }
+// newRand returns a random source for a seed. Each user has a stream (part) of its own, so that
+// its draws don't change those of others.
+func newRand(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// NewPlan draws the plan of a seed.
+// NewPlan derives the plan from the options and their seed.
 func NewPlan(o Options) Plan {
 	r := newRand(o.Seed, 0)
-	p := Plan{Seed: o.Seed, Halls: fewestHalls + r.IntN(mostHalls-fewestHalls+1), Daemons: fewestDaemons + r.IntN(mostDaemons-fewestDaemons+1)}
+	p := Plan{Seed: o.Seed, Halls: minHalls + r.IntN(maxHalls-minHalls+1), Daemons: minDaemons + r.IntN(maxDaemons-minDaemons+1)}
 	if o.Daemons > 0 {
 		p.Daemons = o.Daemons
 	}
 	n := o.Faults
 	if n == 0 {
-		n = int(o.Length / faultEvery)
+		n = int(o.Length / meanFaultInterval)
 	}
 	for range n {
-		p.Faults = append(p.Faults, draw(r, p, o.Length))
+		p.Faults = append(p.Faults, drawFault(r, p, o.Length))
 	}
 	slices.SortFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return p
 }
 
-func draw(r *rand.Rand, p Plan, length time.Duration) Fault {
+func drawFault(r *rand.Rand, p Plan, length time.Duration) Fault {
 	total := 0
 	for _, w := range weights {
 		total += w.weight
 	}
-	f := Fault{At: time.Duration(r.Int64N(int64(length))), For: shortestFault + time.Duration(r.Int64N(int64(spanFault)))}
+	f := Fault{At: time.Duration(r.Int64N(int64(length))), For: minFault + time.Duration(r.Int64N(int64(faultSpan)))}
 	at := r.IntN(total)
 	for _, w := range weights {
 		if at -= w.weight; at < 0 {
-			f.Trouble = w.trouble
+			f.Kind = w.trouble
 			break
 		}
 	}
--- a/soak/links_test.go
+++ b/soak/proxy_test.go
@@ -10,7 +10,7 @@
 	"ladderridge.example/soak"
 )
 
-// echo answers each connection with what it sends.
+// echo starts a server that echoes what each connection sends, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -40,16 +40,16 @@
 	return c
 }
 
-// say sends a word and reads it back.
-func say(t *testing.T, c net.Conn, word string) {
+// sendAndExpect sends a word and expects it to be echoed.
+func sendAndExpect(t *testing.T, c net.Conn, word string) {
 	t.Helper()
 	if _, err := io.WriteString(c, word); err != nil {
 		t.Fatal(err)
 	}
-	hear(t, c, word)
+	expect(t, c, word)
 }
 
-func hear(t *testing.T, c net.Conn, word string) {
+func expect(t *testing.T, c net.Conn, word string) {
 	t.Helper()
 	got := make([]byte, len(word))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != word {
@@ -57,38 +57,38 @@
 	}
 }
 
-func TestLinkHoldsAndLetsGo(t *testing.T) {
-	link, err := soak.NewLink(echo(t))
+func TestTCPProxyStallsAndResumes(t *testing.T) {
+	link, err := soak.NewTCPProxy(echo(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer link.Close()
 	c := dial(t, link.Addr())
-	say(t, c, "one")
-	for _, d := range []soak.Direction{soak.Forth, soak.Back} {
-		link.Hold(d, true)
+	sendAndExpect(t, c, "one")
+	for _, d := range []soak.Direction{soak.ToServer, soak.ToClient} {
+		link.Stall(d, true)
 		if _, err := io.WriteString(c, "held"); err != nil {
 			t.Fatal(err)
 		}
-		link.Hold(d, false)
-		hear(t, c, "held")
+		link.Stall(d, false)
+		expect(t, c, "held")
 	}
 }
 
-func TestLinkResetsAndRefuses(t *testing.T) {
-	link, err := soak.NewLink(echo(t))
+func TestTCPProxyResetsAndRefuses(t *testing.T) {
+	link, err := soak.NewTCPProxy(echo(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer link.Close()
 	c := dial(t, link.Addr())
-	say(t, c, "one")
+	sendAndExpect(t, c, "one")
 	link.Refuse(true)
 	link.Reset()
 	if _, err := c.Read(make([]byte, 1)); err == nil || err == io.EOF { //nolint:errorlint // Read returns io.EOF itself.
 		t.Errorf("the connection was not reset: %v", err)
 	}
-	// The reset may come before the connection is reported or after.
+	// The reset may arrive before or after Dial returns.
 	if fresh, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", link.Addr()); err == nil {
 		if _, err := fresh.Read(make([]byte, 1)); err == nil {
 			t.Error("a new connection was not refused")
@@ -96,36 +96,36 @@
 		_ = fresh.Close()
 	}
 	link.Refuse(false)
-	say(t, dial(t, link.Addr()), "two")
+	sendAndExpect(t, dial(t, link.Addr()), "two")
 }
 
-func TestLinkThatIsDownIsRefusedAndComesBack(t *testing.T) {
-	l, err := soak.NewLink(echo(t))
+func TestTCPProxyDownRefusesAndRecovers(t *testing.T) {
+	l, err := soak.NewTCPProxy(echo(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	for range 3 {
-		if err := l.Down(true); err != nil {
+		if err := l.SetDown(true); err != nil {
 			t.Fatal(err)
 		}
 		if c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", l.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Fatalf("%v, %v", c, err)
 		}
-		if err := l.Down(false); err != nil {
+		if err := l.SetDown(false); err != nil {
 			t.Fatal(err)
 		}
-		say(t, dial(t, l.Addr()), "there")
+		sendAndExpect(t, dial(t, l.Addr()), "there")
 	}
 }
 
-func TestDatagramsLoseWhatTheyAreTold(t *testing.T) {
+func TestUDPProxyForwardsDatagrams(t *testing.T) {
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = server.Close() }()
-	proxy, err := soak.NewDatagrams(server.LocalAddr().String(), nil)
+	proxy, err := soak.NewUDPProxy(server.LocalAddr().String(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,5 +142,5 @@
 		t.Fatalf("%q, %v", buf[:n], err)
 	}
 	_, _ = server.WriteToUDP([]byte("pong"), from)
-	hear(t, c, "pong")
+	expect(t, c, "pong")
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,11 +1,11 @@
-// Package soak runs the real daemons as separate processes on one machine,
-// brings faults about from outside of them, and checks what callers and backend
-// servers see against what ladderridge promises.
+// Package soak runs the real daemons as separate processes on one machine, injects faults from
+// outside of them, and checks the observations of callers and backend servers against the
+// guarantees of ladderridge.
 //
-// A run is drawn from a seed: how many daemons, which faults, when. The store
-// and the backend servers are stand-ins in the soak's own process; each way to
-// them, to the daemons and between the daemons leads through a proxy on
-// loopback that can hold, delay and break it.
+// The seed determines the plan of a run: the number of daemons, and which faults happen when.
+// The store and the backend servers are stand-ins in the soak's own process. Connections to
+// them, to the daemons and between the daemons go through proxies on loopback that can stall,
+// delay and break them.
 package soak
 
 import (
@@ -16,103 +16,102 @@
 	"ladderridge.example/core/fault"
 )
 
-// Kind says what sort of error the package met.
+// Kind is the kind of an error.
 type Kind string
 
-// The kinds of errors.
 const (
-	// NoStart is a daemon or stand-in that does not start.
+	// NoStart means that a daemon or stand-in did not start.
 	NoStart Kind = "does not start"
-	// NoReturn is a daemon that does not serve again after the faults are over.
+	// NoReturn means that a daemon did not become ready again after the faults ended.
 	NoReturn Kind = "does not return"
 )
 
-// String names the kind.
 func (k Kind) String() string { return string(k) }
 
 // Error is the error type of this package.
 type Error = fault.Of[Kind]
 
-// Options say what is run.
+// Options configures a run.
 type Options struct {
-	// Program is the daemon's binary.
+	// Program is the path of the daemon's binary.
 	Program string
-	// Dir is an empty directory for settings and logs.
+	// Dir is an empty directory for settings files and logs.
 	Dir  string
 	Seed uint64
-	// Daemons is how many run; 0 is drawn from the seed.
+	// Daemons is the number of daemons; 0 has the seed determine it.
 	Daemons int
-	// Faults is how many faults come within Length; 0 is drawn from the seed.
+	// Faults is the number of faults within Length; 0 derives it from Length.
 	Faults int
 	Length time.Duration
-	// Workers is how many callers ask at once; 0 is three for each daemon.
+	// Workers is the number of concurrent callers; 0 means three for each daemon.
 	Workers int
-	// Bounds has the promises checked that name a time. They hold on a machine
-	// that has a processor for each process that needs one.
+	// Bounds also checks the guarantees with a time bound. They hold only on a machine with
+	// enough processors to run all processes without delay.
 	Bounds bool
-	// Deadly has a caller come again and again with a request that ends each server that
+	// CrashingRequest has a caller repeatedly send a request that crashes each server that
 	// begins to run it.
-	Deadly bool
-	// Stranger has somebody write entries that name no server to use.
-	Stranger bool
-	// Moods has servers say of themselves in answers what stands nowhere else.
-	Moods bool
-	// Drills has the store return from copies.
-	Drills bool
-	// Liar makes one server break a promise, which the checks must notice.
-	Liar bool
+	CrashingRequest bool
+	// CorruptEntries writes corrupted server entries into the store.
+	CorruptEntries bool
+	// Announcements has servers announce drain, back-off and rate limits in their answers only,
+	// without a store entry.
+	Announcements bool
+	// StoreRestores has the store become unavailable and return from an older copy.
+	StoreRestores bool
+	// LyingServer makes one server violate a guarantee, which the checks must detect.
+	LyingServer bool
 }
 
-// settleTime is how long after the last fault has ended requests still come: long
-// enough for daemons to be back and to serve as before.
+// settleTime is how long callers continue after the last fault has ended: long enough for
+// daemons to recover and serve as before.
 const settleTime = 5 * time.Second
 
-// returnWithin bounds the wait for daemons that start or come back.
-const returnWithin = 40 * time.Second
+// readyTimeout is how long daemons may take to become ready after a start or a fault.
+const readyTimeout = 40 * time.Second
 
-// Run runs one seed and returns what was seen.
+// Run runs the plan of one seed and returns the report.
 func Run(ctx context.Context, o Options) (Report, error) {
 	plan := NewPlan(o)
-	s, err := newSite(o, plan)
+	s, err := newCluster(o, plan)
 	if err != nil {
 		return Report{}, err
 	}
 	defer s.close()
-	if err := s.awaitReady(ctx, returnWithin); err != nil {
+	if err := s.awaitReady(ctx, readyTimeout); err != nil {
 		return Report{}, err
 	}
 	callers := newCallers(s, o)
 	callers.start(ctx)
-	poison, stranger, moods, limits := newDeadly(s, o.Seed), newStranger(s, o.Seed), newMoods(s, o.Seed), newLimiter(s, o.Seed)
-	if o.Deadly {
-		poison.start(ctx)
+	crasher, corrupter, announcer, limiter := newCrasher(s, o.Seed), newCorrupter(s, o.Seed), newAnnouncer(s, o.Seed), newLimiter(s, o.Seed)
+	if o.CrashingRequest {
+		crasher.start(ctx)
 	}
-	if o.Stranger {
-		stranger.start(ctx)
+	if o.CorruptEntries {
+		corrupter.start(ctx)
 	}
-	if o.Moods {
-		moods.start(ctx)
-		limits.start(ctx)
+	if o.Announcements {
+		announcer.start(ctx)
+		limiter.start(ctx)
 	}
-	drilled := newDrills(s, o.Seed)
-	if o.Drills {
-		drilled.start(ctx)
+	restorer := newRestorer(s, o.Seed)
+	if o.StoreRestores {
+		restorer.start(ctx)
 	}
 	s.play(ctx, plan)
-	moods.stop()
-	limits.stop()
-	drilled.stop()
-	back := s.awaitReady(ctx, returnWithin)
-	s.oracle.settled(time.Now())
-	if o.Drills {
-		drilled.last(ctx)
+	announcer.stop()
+	limiter.stop()
+	restorer.stop()
+	recoverErr := s.awaitReady(ctx, readyTimeout)
+	s.recorder.settled(time.Now())
+	if o.StoreRestores {
+		restorer.final(ctx)
 	}
 	clock.Wait(ctx, settleTime)
 	callers.stop()
-	poison.stop()
-	stranger.stop()
-	if back != nil {
-		s.oracle.found("RETURN", back.Error())
+	crasher.stop()
+	corrupter.stop()
+	if recoverErr != nil {
+		s.recorder.found("RETURN", recoverErr.Error())
 	}
-	return s.oracle.report(o, plan), nil
+	return s.recorder.report(o, plan), nil
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -18,16 +18,16 @@
 )
 
 var (
-	seedFlag    = flag.Uint64("soak.seed", 0, "run this seed alone")
-	seedsFlag   = flag.Int("soak.seeds", 0, "run that many fresh seeds")
-	lengthFlag  = flag.Duration("soak.length", 15*time.Second, "how long faults come in each run")
-	atOnceFlag  = flag.Int("soak.at-once", 2, "how many runs go on at once")
-	daemonsFlag = flag.Int("soak.daemons", 0, "how many daemons; 0 is drawn from the seed")
-	strangeFlag = flag.Bool("soak.strange", true, "a caller comes again and again with a request that ends its servers, somebody spoils entries of servers, servers say of themselves what stands nowhere else, and the store returns from copies")
-	keepFlag    = flag.String("soak.keep", "", "directory that keeps settings and logs of runs with findings")
+	seedFlag     = flag.Uint64("soak.seed", 0, "run only this seed")
+	seedsFlag    = flag.Int("soak.seeds", 0, "number of random seeds to run")
+	lengthFlag   = flag.Duration("soak.length", 15*time.Second, "period of faults in each run")
+	parallelFlag = flag.Int("soak.at-once", 2, "number of concurrent runs")
+	daemonsFlag  = flag.Int("soak.daemons", 0, "number of daemons; 0 has the seed determine it")
+	extrasFlag   = flag.Bool("soak.strange", true, "also inject requests that crash servers, corrupted store entries, announcements in answers and restores of the store")
+	keepFlag     = flag.String("soak.keep", "", "directory for the settings files and logs of runs with findings")
 )
 
-// program is the daemon's binary, built once for all tests.
+// program is the path of the daemon's binary, built once for all tests.
 var program string
 
 func TestMain(m *testing.M) {
@@ -47,7 +47,7 @@
 	os.Exit(code)
 }
 
-// run runs a seed and keeps its logs if it has findings.
+// run runs a seed and keeps its settings files and logs if it has findings.
 func run(t *testing.T, o soak.Options) soak.Report {
 	t.Helper()
 	o.Program, o.Dir = program, t.TempDir()
@@ -72,8 +72,8 @@
 	return report
 }
 
-// TestShortRun runs one seed for a few seconds. What is checked holds at any
-// time, so a busy machine does not change the verdict.
+// TestShortRun runs one seed for a few seconds. It checks only guarantees without a time bound,
+// so a busy machine does not change the result.
 func TestShortRun(t *testing.T) {
 	report := run(t, soak.Options{Seed: 1, Daemons: 3, Length: 4 * time.Second})
 	if len(report.Findings) > 0 {
@@ -84,20 +84,20 @@
 	}
 }
 
-// TestShortRunWithStrangers has a caller come again and again with a request that ends its
-// servers, which begin again under their id or another one, and spoiled entries, besides.
-func TestShortRunWithStrangers(t *testing.T) {
-	report := run(t, soak.Options{Seed: 3, Daemons: 3, Length: 6 * time.Second, Deadly: true, Stranger: true, Moods: true, Drills: true})
+// TestShortRunWithExtraFaults adds a request that crashes servers, which restart under the same
+// id or a new one, as well as corrupted store entries, announcements in answers and restores of
+// the store.
+func TestShortRunWithExtraFaults(t *testing.T) {
+	report := run(t, soak.Options{Seed: 3, Daemons: 3, Length: 6 * time.Second, CrashingRequest: true, CorruptEntries: true, Announcements: true, StoreRestores: true})
 	if len(report.Findings) > 0 {
 		t.Error(report)
 	}
 }
 
-// TestChecksNoticeABrokenPromise has one server run requests and say that it has
-// not: a request that may not be repeated runs twice, or is refused as not run
-// though it ran.
-func TestChecksNoticeABrokenPromise(t *testing.T) {
-	report := run(t, soak.Options{Seed: 2, Daemons: 2, Faults: 1, Length: 2 * time.Second, Liar: true})
+// TestChecksFindLyingServer has one server run requests and report them as not run: an unsafe
+// request then runs twice, or is refused as not run although it ran.
+func TestChecksFindLyingServer(t *testing.T) {
+	report := run(t, soak.Options{Seed: 2, Daemons: 2, Faults: 1, Length: 2 * time.Second, LyingServer: true})
 	rules := map[string]bool{}
 	for _, f := range report.Findings {
 		rules[f.Rule] = true
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestSeeds runs what the flags ask for: one seed, or fresh ones.
+// TestSeeds runs the seed or the number of random seeds that the flags ask for.
 func TestSeeds(t *testing.T) {
 	var seeds []uint64
 	switch {
@@ -120,11 +120,11 @@
 	default:
 		t.Skip("no seeds are asked for: make soak")
 	}
-	runAll(t, seeds, *lengthFlag, *strangeFlag)
+	runAll(t, seeds, *lengthFlag, *extrasFlag)
 }
 
-// TestSeedsThatFailed runs the seeds that ever failed, once fresh ones are asked
-// for.
+// TestSeedsThatFailed runs the seeds of seeds.txt, which have failed before, if the flags ask
+// for random seeds.
 func TestSeedsThatFailed(t *testing.T) {
 	if *seedsFlag == 0 {
 		t.Skip("no seeds are asked for: make soak")
@@ -134,8 +134,8 @@
 	}
 }
 
-// failedSeeds reads the seeds of the list, each with the length of its run: the
-// plan is drawn for that.
+// failedSeeds reads the seeds in seeds.txt with the length of their runs, on which the plan
+// depends as well.
 func failedSeeds(t *testing.T) map[uint64]time.Duration {
 	t.Helper()
 	file, err := os.Open("seeds.txt")
@@ -160,15 +160,15 @@
 	return seeds
 }
 
-func runAll(t *testing.T, seeds []uint64, length time.Duration, strange bool) {
+func runAll(t *testing.T, seeds []uint64, length time.Duration, extras bool) {
 	t.Helper()
-	places := make(chan struct{}, *atOnceFlag)
+	slots := make(chan struct{}, *parallelFlag)
 	var running sync.WaitGroup
 	for _, seed := range seeds {
-		places <- struct{}{}
+		slots <- struct{}{}
 		running.Go(func() {
-			defer func() { <-places }()
-			report := run(t, soak.Options{Seed: seed, Daemons: *daemonsFlag, Length: length, Bounds: true, Deadly: strange, Stranger: strange, Moods: strange, Drills: strange})
+			defer func() { <-slots }()
+			report := run(t, soak.Options{Seed: seed, Daemons: *daemonsFlag, Length: length, Bounds: true, CrashingRequest: extras, CorruptEntries: extras, Announcements: extras, StoreRestores: extras})
 			if len(report.Findings) > 0 {
 				t.Errorf("make soak SEED=%d repeats this", seed)
 			}
