--- a/core/cascade/cascade.go
+++ b/core/cascade/cascade.go
@@ -11,21 +11,18 @@
 )
 
 const (
-	// minGain is the least expected gain of a larger model's answer, as a fraction of the worth of
+	// minGain is the least expected gain of a larger model's answer, as a fraction of the value of
 	// a good answer in time: the larger model costs more and processes the prompt again. With this
-	// margin an answer is dropped below a confidence of 60 if the servers are idle. In trials on
-	// recorded days of two users 60 served best; between 45 and 70 the result changed by less than
-	// 0.02.
+	// margin an answer is dropped below a confidence of 60 if the servers are idle. Any threshold
+	// between 45 and 70 gives nearly the same result.
 	minGain = 0.4
 	// delayCost is the cost of delaying requests by one objective in total, on servers so busy
 	// that the smallest model's answer took its whole objective: there each delayed request is
-	// late. On idle servers a delay costs nothing. On days with incidents the term raised the mean
-	// worth from 0.628 to 0.641 of what is owed where prompt processing is the bottleneck (a calm
-	// day fell from 0.732 to 0.728), and left it at 0.787 where it is not (0.850 to 0.846), over
-	// six and three seeds of five days. Without the factor for the load of the servers it costs up
-	// to 0.03 on calm days.
+	// late. On idle servers a delay costs nothing. During incidents the term keeps runs of larger
+	// models from making other requests late where prompt processing is the bottleneck, at a small
+	// cost on calm days. That cost would be larger if the term were not multiplied by WaitShare.
 	delayCost = 2
-	// lateWorth is the worth of a late answer to callers as a fraction of one in time. The users
+	// lateWorth is the value of a late answer to callers as a fraction of one in time. The users
 	// state 0.3 to 0.5.
 	lateWorth = 0.35
 )
@@ -76,11 +73,8 @@
 // though they took a tenth of a second. A request's own time reacts at once, but is also long if
 // the server has to process a long prompt for the first time.
 //
-// Compared with the mean alone, the geometric mean raised the mean worth from 0.587 to 0.609 of
-// what is owed with five times the traffic for six seconds, and from 0.698 to 0.714 with 2.5 times
-// for seven; it stayed at 0.80 on a calm day (at reduced size, three seeds). The own time alone
-// came to 0.621, 0.722 and 0.790 there, and at full size to 0.802, 0.750 and 0.736 on three days,
-// on which both together came to 0.807, 0.769 and 0.736.
+// The geometric mean balances the two: the mean alone loses value in bursts, and the request's own
+// time alone loses value on calm days.
 func WaitShare(elapsed, mean, objective time.Duration) float64 {
 	if mean <= 0 || elapsed <= 0 || objective <= 0 {
 		return 0
--- a/core/fleet/choose.go
+++ b/core/fleet/choose.go
@@ -123,9 +123,8 @@
 // A prompt therefore moves to another server only when waiting costs more than
 // processing the prompt again, which costs ten times as much on the largest model.
 // Compared with a preferred server whose requests are bounded (consistent hashing with
-// bounded loads), the mean value earned on simulated days with faults rose by 0.017 of
-// the attainable value with long prompts on few servers, and by 0.004 and -0.003 with
-// shorter prompts on more servers (six and three seeds of five days each).
+// bounded loads), this earns more value during faults with long prompts on few servers,
+// and about the same with shorter prompts on more servers.
 type selector struct {
 	criteria Criteria
 	now      time.Time
--- a/core/fleet/remote.go
+++ b/core/fleet/remote.go
@@ -8,9 +8,9 @@
 const (
 	// excessWeight is the fraction of a server's excess over the mean of its version
 	// that counts. A prompt that moves is not only processed again, it also evicts
-	// other prompts from the cache of the new server. With all of the excess the gain
-	// with long prompts was the same, and with shorter prompts 0.015 of the attainable
-	// value was lost under high load.
+	// other prompts from the cache of the new server. Counting all of the excess gains
+	// nothing more with long prompts, and loses value with shorter prompts under high
+	// load.
 	excessWeight = 0.5
 	// recentWeight is the weight of the newest report in the moving average of a
 	// server's remote load, which covers about two seconds. A report is half a second
@@ -46,14 +46,9 @@
 //
 // Only the excess counts. Load is counted from when a request is sent until its answer
 // has ended, so that most of the requests in flight at a server do not delay another
-// one. With all of the load counted, prompts left the servers that had them cached, and
-// the value earned fell by 0.03 to 0.09 of the attainable value on three simulated days
-// of ninety daemons.
-//
-// With ninety daemons, 140 servers and long prompts, the value earned rose from 0.673
-// to 0.690 of the attainable value on a calm day and from 0.597 to 0.610 under high
-// load. With 65 daemons, 116 servers and shorter prompts it stayed at 0.734 to 0.736
-// under high load (one simulation each).
+// one. If all of the load counted, prompts would leave the servers that have them
+// cached, and value would be lost. Counting the excess gains value with long prompts,
+// and changes little with shorter ones.
 func (l *List) SetRemoteLoad(load map[string]float64, now time.Time) {
 	for _, servers := range l.open {
 		recent := make(map[string]float64, len(servers))
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -127,7 +127,7 @@
 // be restarted without the other.
 func (p *Process) tree() *suture.Supervisor {
 	spec := suture.Spec{EventHook: func(e suture.Event) {
-		p.log.Error().Str("event", e.String()).Msg("process: supervisor event")
+		p.log.Error().Str("event", e.String()).Msg("process: a supervised component ended")
 	}}
 	root := suture.New("ladderridged", spec)
 	coordination := suture.New("coordination", spec)
@@ -165,14 +165,14 @@
 // load balancer can notice, waits for the requests in flight and hands over the bills
 // that the platform has not acknowledged.
 func (p *Process) stop() {
-	p.log.Info().Msg("process: stopping, reporting not ready")
+	p.log.Info().Msg("process: shutting down: reporting not ready")
 	p.admin.BeginShutdown()
 	p.front.BeginShutdown()
 	time.Sleep(p.Settings.StopNotice)
 	ctx, cancel := context.WithTimeout(context.Background(), p.Settings.StopGrace)
 	defer cancel()
 	if err := p.front.Stop(ctx); err != nil {
-		p.log.Warn().Err(err).Int64("open", p.front.InFlight.Load()).Msg("process: stopping with requests still in flight after the grace period")
+		p.log.Warn().Err(err).Int64("open", p.front.InFlight.Load()).Msg("process: shutting down: requests exceeded the grace period")
 	}
 	p.flushOrHandOver()
 	p.log.Info().Msg("process: stopped")
@@ -254,7 +254,7 @@
 	}
 	data, err := json.Marshal(d)
 	if err != nil {
-		p.log.Error().Err(err).Msg("process: the dump failed")
+		p.log.Error().Err(err).Msg("process: cannot encode the state dump")
 		return
 	}
 	p.log.Info().RawJSON("state", data).Msg("process: dump")
